--- a/adapter/src/seat.rs
+++ b/adapter/src/seat.rs
@@ -1,7 +1,7 @@
 //! One front's seat: ids become small indices at its door, calls go in, actions go out.
 use crate::read::{armour, bytes, Bad, Line};
 use rockpick::{Ctl, Front, Member, Ns, Outcome, Phase, Post, Reply, Roll, Standing, State, Verdict};
-use rockpick_door::{tag, Door};
+use rockpick_id_table::{tag, IdTable};
 use rockpick_terms::{nanos, number, Terms};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -36,7 +36,7 @@
 struct Wire<'a> {
     now: Ns,
     front: u32,
-    door: &'a mut Door,
+    door: &'a mut IdTable,
     out: &'a mut String,
 }
 
@@ -131,7 +131,7 @@
 
 pub struct Seat {
     number: u32,
-    door: Door,
+    door: IdTable,
     front: Option<Front>,
 }
 
@@ -163,7 +163,7 @@
 impl Seat {
     pub fn start(now: Ns, number: u32, line: &mut Line, out: &mut String) -> Result<Self, Bad> {
         let post = post(line)?;
-        let mut seat = Seat { number, door: Door::default(), front: None };
+        let mut seat = Seat { number, door: IdTable::default(), front: None };
         seat.call(now, out, |front, ctl| *front = Some(Front::start(post, ctl)));
         Ok(seat)
     }
--- a/emu/src/seat.rs
+++ b/emu/src/seat.rs
@@ -1,6 +1,6 @@
 //! One front's seat in the emulator: the module, its open RPCs, and what its actions come to.
 use rockpick::{Ctl, Front, Ns, Standing, Verdict};
-use rockpick_door::Door;
+use rockpick_id_table::IdTable;
 
 /// What the module wants done; carried out once its call is over.
 pub enum Do {
@@ -86,7 +86,7 @@
     pub life: u32,
     pub born: Ns,
     pub zone: usize,
-    pub door: Door,
+    pub door: IdTable,
     pub open: Vec<Option<Open>>,
     /// It stands still until then; what comes meanwhile waits.
     pub still: Ns,
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -1014,7 +1014,7 @@
         let zone = self.charter.zone(&self.charter.places[place].zone);
         let index = *self.named.entry((place, build)).or_insert_with(|| {
             let name = format!("{}..{build}", self.charter.places[place].name);
-            let tag = rockpick_door::tag(&name);
+            let tag = rockpick_id_table::tag(&name);
             self.machines.push(Machine {
                 name,
                 tag,
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -644,7 +644,7 @@
             }
             entries.push(Member {
                 machine,
-                tag: rockpick_door::tag(said.name),
+                tag: rockpick_id_table::tag(said.name),
                 zone: said.zone,
                 cell: said.cell,
                 build: said.build,
@@ -908,5 +908,5 @@
 
 /// A key as the module wants it: a number as it is, any other text by its hash.
 fn key_of(text: &str) -> u64 {
-    text.parse().unwrap_or_else(|_| rockpick_door::key_hash(text))
+    text.parse().unwrap_or_else(|_| rockpick_id_table::key_hash(text))
 }
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -7,7 +7,7 @@
 use rockpick::{Ctl, Ns, Outcome, Standing, Verdict};
 use rockpick_control::desk::verdict_word;
 use rockpick_control::Charter;
-use rockpick_door::Door;
+use rockpick_id_table::IdTable;
 use rockpick_net::http::{self, Lines, Request, Response};
 use rockpick_net::{Call, Event, Id, Net, Often, MS, SEC};
 use serde_json::{json, Value};
@@ -116,7 +116,7 @@
 
 pub struct Wire {
     pub net: Net,
-    pub door: Door,
+    pub door: IdTable,
     pub opening: Opening,
     pub charter: Charter,
     pub life: u64,
@@ -168,7 +168,7 @@
         Wire {
             notes_real,
             net,
-            door: Door::default(),
+            door: IdTable::default(),
             chance: StdRng::seed_from_u64(opening.seed),
             opening,
             charter,
@@ -322,7 +322,7 @@
     }
 }
 
-fn forget(places: &mut [Place], door: &mut Door, now: Ns, longer: Ns) {
+fn forget(places: &mut [Place], door: &mut IdTable, now: Ns, longer: Ns) {
     for (machine, place) in places.iter_mut().enumerate() {
         if place.out == 0 && place.gone.is_some_and(|since| now - since >= longer) {
             door.forget(machine);
@@ -522,7 +522,7 @@
     /// Finding 10: names come and go for years; one whose pick is still out keeps its number.
     #[test]
     fn machines_that_have_gone_are_forgotten_but_for_those_that_owe_an_end() {
-        let (mut places, mut door): (Vec<Place>, Door) = (Vec::new(), Door::default());
+        let (mut places, mut door): (Vec<Place>, IdTable) = (Vec::new(), IdTable::default());
         for i in 0..100_000 {
             let machine = door.machine(&format!("m{i}"));
             places.resize_with(places.len().max(machine + 1), Place::default);
--- a/door/src/lib.rs
+++ b/id-table/src/lib.rs
@@ -2,7 +2,7 @@
 //! adapter and the running front; it decides nothing.
 //!
 //! ```
-//! let mut door = rockpick_door::Door::default();
+//! let mut door = rockpick_id_table::IdTable::default();
 //! let rpc = door.open(0xaa);
 //! door.sent(rpc);
 //! door.finish(rpc);
@@ -22,7 +22,7 @@
 }
 
 #[derive(Default)]
-pub struct Door {
+pub struct IdTable {
     machines: HashMap<String, usize>,
     names: Vec<String>,
     /// Numbers of machines that were forgotten.
@@ -32,7 +32,7 @@
     free: Vec<usize>,
 }
 
-impl Door {
+impl IdTable {
     /// The index of a machine; a name not met before gets the next one, or that of one forgotten.
     pub fn machine(&mut self, name: &str) -> usize {
         if let Some(&index) = self.machines.get(name) {
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rockpick::{Ctl, Ns, Outcome, Verdict};
-use rockpick_door::Door;
+use rockpick_id_table::IdTable;
 use rockpick_net::{Dues, Event, Id, Net, Often, MS};
 use rockpick_pg as pg;
 use std::collections::{BTreeMap, VecDeque};
@@ -70,7 +70,7 @@
 
 pub struct Effects {
     pub net: Net,
-    pub door: Door,
+    pub door: IdTable,
     pub startup: Startup,
     pub open: Vec<Option<Open>>,
     pub clients: Clients,
@@ -102,7 +102,7 @@
             desk: Desk::new(startup.desk),
             chance: StdRng::seed_from_u64(startup.post.seed),
             net,
-            door: Door::default(),
+            door: IdTable::default(),
             startup,
             open: Vec::new(),
             dues: Dues::default(),
