--- a/adapter/src/read.rs
+++ b/adapter/src/read.rs
@@ -1,5 +1,5 @@
 //! Reading one line: fields in order, plain words for what is malformed.
-use rockpick_terms::{nanos, Wrong};
+use rockpick_front_settings::{nanos, Wrong};
 use std::fmt;
 use std::str::FromStr;
 
--- a/front-settings/src/lib.rs
+++ b/front-settings/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! ```
 //! let told = serde_json::json!({ "balancers": 3, "lanes": [{ "aimMs": 330.0, "idempotency": "free" }] });
-//! let terms = rockpick_terms::Terms::of_json(&told);
-//! let post = rockpick_terms::post(7, &terms).unwrap();
+//! let terms = rockpick_front_settings::Terms::of_json(&told);
+//! let post = rockpick_front_settings::post(7, &terms).unwrap();
 //! assert_eq!((post.fronts, post.methods[0].soft_deadline), (3, 330_000_000));
 //! ```
 use rockpick::{Control, Group, Guard, Method, Ns, Post, Repeat, Rights, Rollout};
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -1,9 +1,9 @@
 //! What a node is told at its start, and again at a reload.
 use rockpick::{Ns, Post};
+use rockpick_front_settings::{post, Terms, Wrong};
 use rockpick_net::MS;
 use rockpick_platform::desk::{self, Stood};
 use rockpick_platform::roster;
-use rockpick_terms::{post, Terms, Wrong};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -65,7 +65,8 @@
         let of = |wrong: Wrong| format!("settings.{}: {}", wrong.field, wrong.why);
         let longest = terms.column("lanes", "deadlineMs").map_err(of)?;
         let names = terms.column("lanes", "name").map_err(of)?;
-        let most = |word: &String| rockpick_terms::nanos(word).filter(|ns| *ns > 0).unwrap_or(Ns::MAX / 4);
+        let most =
+            |word: &String| rockpick_front_settings::nanos(word).filter(|ns| *ns > 0).unwrap_or(Ns::MAX / 4);
         let sockets = match &told["limits"]["sockets"] {
             Value::Null => SOCKETS.1,
             n => n.as_u64().ok_or("limits.sockets: no number")? as usize,
@@ -75,8 +76,10 @@
             Value::String(word) => Some(address("platform.address", word)?),
             _ => return Err("platform.address: no text".into()),
         };
-        let dial = terms.get("permissions.dialTimeoutMs", 250 * MS, rockpick_terms::nanos).map_err(of)?;
-        let grace = terms.get("invariants.drainGraceMs", Ns::MAX, rockpick_terms::nanos).map_err(of)?;
+        let dial =
+            terms.get("permissions.dialTimeoutMs", 250 * MS, rockpick_front_settings::nanos).map_err(of)?;
+        let grace =
+            terms.get("invariants.drainGraceMs", Ns::MAX, rockpick_front_settings::nanos).map_err(of)?;
         let mut post = post(seed, &terms).map_err(of)?;
         post.guard.told_within = roster::TOLD_WITHIN;
         Ok(Startup {
@@ -91,7 +94,9 @@
             methods: names.into_iter().zip(longest.iter().map(most)).collect(),
             zones: terms.words("zones"),
             connect_within: if grace > 0 { dial.min(grace) } else { dial },
-            idle: terms.get("permissions.idleCloseMs", 10_000 * MS, rockpick_terms::nanos).map_err(of)?,
+            idle: terms
+                .get("permissions.idleCloseMs", 10_000 * MS, rockpick_front_settings::nanos)
+                .map_err(of)?,
             file,
             circle: None,
         })
