--- a/members/tests/figures.rs
+++ b/membership/tests/figures.rs
@@ -1,8 +1,8 @@
 //! What membership costs and how fast it is, at several sizes, in virtual time: printed, not judged. By hand:
-//! `cargo test --release -p rockpick-members --test figures -- --ignored --nocapture`.
+//! `cargo test --release -p rockpick-membership --test figures -- --ignored --nocapture`.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_members::*;
+use rockpick_membership::*;
 use rockpick_storm::plan::Act as Deed;
 use rockpick_storm::virt::{Out, Part, World};
 use rockpick_storm::{Fault, Plan, Return, Way};
--- a/members/tests/laws.rs
+++ b/membership/tests/laws.rs
@@ -1,6 +1,6 @@
 //! Records override each other alike in whatever order they come.
 use proptest::prelude::*;
-use rockpick_members::*;
+use rockpick_membership::*;
 use std::net::SocketAddr;
 
 fn record() -> impl Strategy<Value = Record> {
--- a/members/tests/storms.rs
+++ b/membership/tests/storms.rs
@@ -1,7 +1,7 @@
 //! Members in virtual time, under drawn storms; what each holds of the others at the end is judged by who runs.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_members::*;
+use rockpick_membership::*;
 use rockpick_storm::plan::{Act as Deed, Range};
 use rockpick_storm::virt::{Out, Part, World};
 use rockpick_storm::{shrink, Fault, Plan, Return, Way};
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 use rockpick::{Front, Standing};
 use rockpick_copies::{self as copies, Build, Copies, Fact, Key, Near, Phase, Row, Table};
-use rockpick_members::{Act, Change, Event, Members, Ns, Pace, Place, Record, Status, MS, SEC};
+use rockpick_membership::{Act, Change, Event, Members, Ns, Pace, Place, Record, Status, MS, SEC};
 use rockpick_net::{Id, Net, Often};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
