--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -8,7 +8,7 @@
 use kept::Keeper;
 use rand::Rng;
 use rockpick::{Front, Standing};
-use rockpick_copies::{self as copies, Build, Copies, Fact, Key, Near, Phase, Row, Table};
+use rockpick_replication::{self as copies, Build, Copies, Fact, Key, Near, Phase, Row, Table};
 use rockpick_membership::{Act, Change, Event, Members, Ns, Pace, Place, Record, Status, MS, SEC};
 use rockpick_net::{Id, Net, Often};
 use serde_json::{json, Value};
--- a/copies/tests/figures.rs
+++ b/replication/tests/figures.rs
@@ -1,6 +1,6 @@
 //! Catching up, in virtual time: printed, not judged. By hand:
-//! `cargo test --release -p rockpick-copies --test figures -- --ignored --nocapture`.
-use rockpick_copies::*;
+//! `cargo test --release -p rockpick-replication --test figures -- --ignored --nocapture`.
+use rockpick_replication::*;
 use rockpick_storm::plan::Act as Deed;
 use rockpick_storm::virt::{Out, Part, World};
 use rockpick_storm::{Fault, Plan, Return, Way};
--- a/copies/tests/laws.rs
+++ b/replication/tests/laws.rs
@@ -1,6 +1,6 @@
 //! Every table's join: associative, commutative, idempotent; and shelves that take the same rows in any order are equal.
 use proptest::prelude::*;
-use rockpick_copies::*;
+use rockpick_replication::*;
 
 fn row(key: Key) -> BoxedStrategy<(Key, Row)> {
     match key {
--- a/copies/tests/storms.rs
+++ b/replication/tests/storms.rs
@@ -2,7 +2,7 @@
 //! asked to note down, kept outside of it.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_copies::*;
+use rockpick_replication::*;
 use rockpick_storm::plan::{Act as Deed, Range};
 use rockpick_storm::virt::{Out, Part, World};
 use rockpick_storm::{shrink, Fault, Plan, Return, Way};
