--- a/ledger/tests/storms.rs
+++ b/raft/tests/storms.rs
@@ -2,7 +2,7 @@
 //! was answered, noted down outside of them. One keeper's disk lies: syncs that keep nothing, last hour's folder, none.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_ledger::*;
+use rockpick_raft::*;
 use rockpick_storm::plan::Range;
 use rockpick_storm::virt::{Out, Part, World};
 use rockpick_storm::{shrink, Fault, Plan, Return, Way};
