--- a/adapter/src/seat.rs
+++ b/adapter/src/seat.rs
@@ -68,8 +68,8 @@
     }
 
     fn pick(&mut self, rpc: usize, machine: usize, time_out: Ns) {
-        self.door.sent(rpc);
-        let (id, name) = (self.door.id(rpc), self.door.name(machine));
+        self.door.pick_sent(rpc);
+        let (id, name) = (self.door.id(rpc), self.door.machine_name(machine));
         say!(self, "PASS_ON {} {id:016x} {} {name}", self.front, Ms(time_out));
     }
 
@@ -93,7 +93,7 @@
     }
 
     fn probe(&mut self, machine: usize) {
-        let name = self.door.name(machine);
+        let name = self.door.machine_name(machine);
         say!(self, "PROBE {} {name}", self.front);
     }
 
@@ -170,7 +170,7 @@
 
     #[cfg(test)]
     pub fn open(&self) -> usize {
-        self.door.in_use()
+        self.door.open_rpcs()
     }
 
     /// Hands the module a call; a panic in there becomes a BAIL_OUT and the front falls silent.
@@ -213,8 +213,10 @@
                     let set = line.int::<u8>("setId")?;
                     let list = lists.get(&set).ok_or_else(|| line.bad("setId", format!("no list {set}")))?;
                     members.extend(
-                        list.iter()
-                            .map(|l| Member { machine: self.door.machine(&l.name), ..l.entry.clone() }),
+                        list.iter().map(|l| Member {
+                            machine: self.door.intern_machine(&l.name),
+                            ..l.entry.clone()
+                        }),
                     );
                 }
                 go!(members(form, &members));
@@ -228,7 +230,7 @@
                 line.may("workHintMs", number)?;
                 let rpc = self.door.open(id);
                 go!(taken(rpc, method, key, deadline));
-                self.door.sweep(rpc);
+                self.door.release(rpc);
             }
             "RESULT" => {
                 if let Some(rpc) = self.door.rpc(line.hex("req")?) {
@@ -238,12 +240,12 @@
                     let elapsed = line.time("elapsedMs")?;
                     let last = line.flag("last")?;
                     line.may("report", report)?;
-                    self.door.came_back(rpc);
+                    self.door.pick_ended(rpc);
                     if last {
                         self.door.finish(rpc);
                     }
                     go!(ended(rpc, pick, how, elapsed, last));
-                    self.door.sweep(rpc);
+                    self.door.release(rpc);
                 }
             }
             "ACCEPTED" | "ABANDONED" => {
@@ -256,7 +258,7 @@
                             front.left(rpc)
                         }
                     });
-                    self.door.sweep(rpc);
+                    self.door.release(rpc);
                 }
             }
             "WAKE" => {
@@ -303,7 +305,7 @@
             }
             "DISPUTED" => {
                 let age = line.may("oldMs", nanos)?.unwrap_or(0);
-                let machine = self.door.machine(line.word("machine")?);
+                let machine = self.door.intern_machine(line.word("machine")?);
                 go!(disputed(machine, now - age));
             }
             _ => {}
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -804,7 +804,7 @@
         let Some(open) = seat.open[rpc].as_mut() else { return };
         let number = open.picks.len();
         open.picks.push(Pick { call, build, sent: now, out: true });
-        seat.door.sent(rpc);
+        seat.door.pick_sent(rpc);
         self.picks.insert(call, (front, rpc, number, machine as u32));
         if finished || time_out <= 0 {
             return self.at(now, Ev::Ended { front, life, call, end: End::Void, right: false });
@@ -861,7 +861,7 @@
         let p = &mut open.picks[number];
         p.out = false;
         let (took, build) = (now - p.sent, p.build);
-        seat.door.came_back(rpc);
+        seat.door.pick_ended(rpc);
         if sample && end != End::Cancelled {
             let count = seat.counts.entry((build, method)).or_default();
             *count = [count[0] + 1, count[1] + u32::from(end != End::Ok)];
@@ -883,7 +883,7 @@
 
     fn sweep(&mut self, front: u32, rpc: usize) {
         let seat = &mut self.seats[front as usize];
-        if seat.door.sweep(rpc) {
+        if seat.door.release(rpc) {
             seat.open[rpc] = None;
         }
     }
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -358,7 +358,7 @@
         if self.leaving.is_some() || self.lives.is_empty() {
             return self.not_taken(conn, 503, "not taking RPCs now");
         }
-        if self.wire.door.in_use() >= MOST_OPEN {
+        if self.wire.door.open_rpcs() >= MOST_OPEN {
             return self.not_taken(conn, 503, "too many RPCs are open");
         }
         let Some(method) = self.wire.charter.method(name) else {
@@ -604,7 +604,7 @@
         let now = self.wire.net.now();
         let mut entries = Vec::with_capacity(lines.len());
         // Before the list below marks all as gone that it is about to name.
-        if self.wire.door.machines() + lines.len() > MOST_MACHINES {
+        if self.wire.door.machine_count() + lines.len() > MOST_MACHINES {
             self.wire.forget(0);
         }
         if roll != Roll::Changes {
@@ -618,11 +618,11 @@
                     continue;
                 }
             };
-            let known = self.wire.door.known(said.name).is_some();
-            if !known && (said.state == State::Gone || self.wire.door.machines() >= MOST_MACHINES) {
+            let known = self.wire.door.machine_index(said.name).is_some();
+            if !known && (said.state == State::Gone || self.wire.door.machine_count() >= MOST_MACHINES) {
                 continue;
             }
-            let machine = self.wire.door.machine(said.name);
+            let machine = self.wire.door.intern_machine(said.name);
             if self.wire.places.len() <= machine {
                 self.wire.places.resize_with(machine + 1, Default::default);
             }
@@ -836,7 +836,7 @@
         let (Some(name), Some(age)) = (name, age) else {
             return (400, json!({ "error": "machine and age_ms are wanted" }));
         };
-        let Some(machine) = self.wire.door.known(name) else {
+        let Some(machine) = self.wire.door.machine_index(name) else {
             return (404, json!({ "error": "machine: not known" }));
         };
         let sent = self.wire.net.now() - (age * MS as f64) as Ns;
@@ -855,7 +855,7 @@
         let listed = self.wire.places.iter().filter(|p| p.gone.is_none() && p.line.is_object()).count();
         json!({ "name": self.wire.opening.name, "settings_version": self.version, "stage": stage,
             "machines": listed, "watching": self.wire.watch.is_some(), "heard_ms_ago": (now - self.heard) / MS,
-            "open": self.wire.door.in_use(), "clients": clients, "calls": calls, "taken": t.taken, "ok": t.ok,
+            "open": self.wire.door.open_rpcs(), "clients": clients, "calls": calls, "taken": t.taken, "ok": t.ok,
             "pushed_back": t.pushed_back, "aborted": t.aborted, "left": t.left, "late": t.late, "picks": t.picks,
             "not_taken": t.not_taken, "refused_connections": self.wire.net.refused,
             "peers": self.wire.peers.len(), "notes": self.wire.notes_real.to_string(), "directory": self.shelf.as_ref().map(|s| s.status(now)), "module_ms": (self.wire.in_module - self.wire.in_actions) / MS, "up_ms": now / MS })
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -266,7 +266,7 @@
         let (took, machine, build, method, life) = (now - p.sent, p.machine, p.build, open.method, open.life);
         open.late |= outcome == Outcome::TimedOut;
         let picks = open.picks.len();
-        self.door.came_back(rpc);
+        self.door.pick_ended(rpc);
         self.places[machine].out = self.places[machine].out.saturating_sub(1);
         // Methods of former settings have other numbers; where nothing is told nothing is gathered.
         let r = &self.charter.rollout;
@@ -284,7 +284,7 @@
             let mut lines: Vec<(&str, &str)> = passed(&response.lines).filter(|(n, _)| !own(n)).collect();
             lines.push(("Rockpick-Answer", "ok"));
             lines.push(("Rockpick-Build", &build));
-            lines.push(("Rockpick-Machine", self.door.name(machine)));
+            lines.push(("Rockpick-Machine", self.door.machine_name(machine)));
             lines.push(("Rockpick-Picks", &picks));
             let (conn, gives_up) = (open.conn, open.gives_up);
             send(&mut self.net, &mut self.tolls, conn, gives_up, response.status, &lines, &response.body);
@@ -295,7 +295,7 @@
 
     /// Frees an RPC's slot once nothing more can come of it.
     pub fn sweep(&mut self, rpc: usize) {
-        if self.door.sweep(rpc) {
+        if self.door.release(rpc) {
             let over = self.open[rpc].take().and_then(|o| Some((o.tenant?, o.served?)));
             self.over.extend(over);
         }
@@ -325,7 +325,7 @@
 fn forget(places: &mut [Place], door: &mut IdTable, now: Ns, longer: Ns) {
     for (machine, place) in places.iter_mut().enumerate() {
         if place.out == 0 && place.gone.is_some_and(|since| now - since >= longer) {
-            door.forget(machine);
+            door.forget_machine(machine);
             *place = Place::default();
         }
     }
@@ -336,7 +336,7 @@
         let Some(open) = self.open.get_mut(rpc).and_then(Option::as_mut) else { return };
         let place = &mut self.places[machine];
         let number = open.picks.len();
-        self.door.sent(rpc);
+        self.door.pick_sent(rpc);
         place.out += 1;
         self.tolls.picks += 1;
         let now = self.net.now();
@@ -524,13 +524,13 @@
     fn machines_that_have_gone_are_forgotten_but_for_those_that_owe_an_end() {
         let (mut places, mut door): (Vec<Place>, IdTable) = (Vec::new(), IdTable::default());
         for i in 0..100_000 {
-            let machine = door.machine(&format!("m{i}"));
+            let machine = door.intern_machine(&format!("m{i}"));
             places.resize_with(places.len().max(machine + 1), Place::default);
             assert_eq!(places[machine].out, 0, "not the number of one that owes an end");
             places[machine] = Place { gone: Some(i * SEC), out: u32::from(i == 7), ..Place::default() };
             forget(&mut places, &mut door, i * SEC, 60 * SEC);
         }
-        assert!(door.machines() <= 61 && places.len() <= 62, "{} names", door.machines());
-        assert_eq!(door.name(door.known("m7").unwrap()), "m7");
+        assert!(door.machine_count() <= 61 && places.len() <= 62, "{} names", door.machine_count());
+        assert_eq!(door.machine_name(door.machine_index("m7").unwrap()), "m7");
     }
 }
--- a/id-table/src/lib.rs
+++ b/id-table/src/lib.rs
@@ -1,15 +1,15 @@
-//! Ids become small indices at the door: machines by name, open RPCs by id. Shared by the simulator's
-//! adapter and the running front; it decides nothing.
+//! Maps machine names and the ids of open RPCs to small, reusable indices. Shared by the simulator's adapter and
+//! the live fronts; it makes no decisions.
 //!
 //! ```
-//! let mut door = rockpick_id_table::IdTable::default();
-//! let rpc = door.open(0xaa);
-//! door.sent(rpc);
-//! door.finish(rpc);
-//! assert!(!door.sweep(rpc), "a pick is still out");
-//! door.came_back(rpc);
-//! assert!(door.sweep(rpc));
-//! assert_eq!(door.open(0xbb), rpc, "its slot is used again");
+//! let mut ids = rockpick_id_table::IdTable::default();
+//! let rpc = ids.open(0xaa);
+//! ids.pick_sent(rpc);
+//! ids.finish(rpc);
+//! assert!(!ids.release(rpc), "a pick is still out");
+//! ids.pick_ended(rpc);
+//! assert!(ids.release(rpc));
+//! assert_eq!(ids.open(0xbb), rpc, "its slot is used again");
 //! ```
 use std::collections::HashMap;
 
@@ -34,7 +34,7 @@
 
 impl IdTable {
     /// The index of a machine; a name not met before gets the next one, or that of one forgotten.
-    pub fn machine(&mut self, name: &str) -> usize {
+    pub fn intern_machine(&mut self, name: &str) -> usize {
         if let Some(&index) = self.machines.get(name) {
             return index;
         }
@@ -48,23 +48,23 @@
     }
 
     /// Forgets a machine: its index goes to the next new name.
-    pub fn forget(&mut self, machine: usize) {
+    pub fn forget_machine(&mut self, machine: usize) {
         if self.machines.remove(&self.names[machine]).is_some() {
             self.spare.push(machine);
         }
     }
 
     /// The index of a machine met before.
-    pub fn known(&self, name: &str) -> Option<usize> {
+    pub fn machine_index(&self, name: &str) -> Option<usize> {
         self.machines.get(name).copied()
     }
 
-    pub fn name(&self, machine: usize) -> &str {
+    pub fn machine_name(&self, machine: usize) -> &str {
         &self.names[machine]
     }
 
     /// Machines met and not forgotten.
-    pub fn machines(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
@@ -88,12 +88,12 @@
     }
 
     /// A pick was sent; returns its number.
-    pub fn sent(&mut self, rpc: usize) {
+    pub fn pick_sent(&mut self, rpc: usize) {
         self.slots[rpc].out += 1;
     }
 
     /// A pick has ended.
-    pub fn came_back(&mut self, rpc: usize) {
+    pub fn pick_ended(&mut self, rpc: usize) {
         let slot = &mut self.slots[rpc];
         slot.out = slot.out.saturating_sub(1);
     }
@@ -108,7 +108,7 @@
     }
 
     /// Frees the slot once nothing more can come for it; true when it did.
-    pub fn sweep(&mut self, rpc: usize) -> bool {
+    pub fn release(&mut self, rpc: usize) -> bool {
         let Slot { id, out, done } = self.slots[rpc];
         let freed = done && out == 0 && self.rpcs.remove(&id).is_some();
         if freed {
@@ -118,7 +118,7 @@
     }
 
     /// RPCs whose slot is in use.
-    pub fn in_use(&self) -> usize {
+    pub fn open_rpcs(&self) -> usize {
         self.rpcs.len()
     }
 }
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -156,14 +156,14 @@
 
     /// May a machine of this name be listed? At the bound only those that are known.
     pub fn listable(&self, name: &str) -> bool {
-        self.door.known(name).is_some() || self.door.machines() < MOST_MACHINES
+        self.door.machine_index(name).is_some() || self.door.machine_count() < MOST_MACHINES
     }
 
     pub fn forget_machines(&mut self) {
         let now = self.net.now();
         for (machine, place) in self.pool.places.iter_mut().enumerate() {
             if place.out == 0 && place.gone.is_some_and(|since| now - since >= FORGOTTEN) {
-                self.door.forget(machine);
+                self.door.forget_machine(machine);
                 let incarnation = place.incarnation.wrapping_add(1);
                 *place = Place { incarnation, ..Place::default() };
             }
@@ -183,7 +183,7 @@
             ran: false,
             conn: None,
         });
-        self.door.sent(rpc);
+        self.door.pick_sent(rpc);
         self.tolls.picks += 1;
         let place = &mut self.pool.places[machine];
         place.out += 1;
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -294,7 +294,7 @@
             if !self.listable(&record.name) {
                 continue;
             }
-            let machine = self.door.machine(&record.name);
+            let machine = self.door.intern_machine(&record.name);
             // All machines read one clock; the loop has another, which begins with it.
             let born = i128::from(record.born_ms) * i128::from(MS) - self.wall;
             let started = (record.born_ms > 0).then_some(born as Ns);
@@ -432,7 +432,7 @@
                     tells.extend(method.map(|method| Tell::Tallied { build, method, picks, not_ok }));
                 }
                 Some(Line::Dispute { machine, age }) => {
-                    let machine = self.door.known(machine);
+                    let machine = self.door.machine_index(machine);
                     tells.extend(machine.map(|machine| Tell::Disputed { machine, sent: now - age }));
                 }
                 Some(Line::Alive | Line::Else) => {}
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -160,7 +160,7 @@
         p.ran = how.may_have_run();
         let took = now - p.sent;
         self.pool.came_back(p.machine);
-        self.door.came_back(rpc);
+        self.door.pick_ended(rpc);
         self.tolls.ends[how as usize] += 1;
         let build = self.pool.places[p.machine].build;
         self.tolls.by_build.entry(build).or_default()[how as usize] += 1;
@@ -199,7 +199,7 @@
 
     /// Frees an RPC's slot once nothing more can come of it.
     pub fn sweep(&mut self, rpc: usize) {
-        if self.door.sweep(rpc) {
+        if self.door.release(rpc) {
             self.open[rpc] = None;
         }
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -59,7 +59,7 @@
     let mut node = Node::prepare(startup)?;
     node.listen()?;
     ready(node.at);
-    tracing::info!(event = "node up", at = %node.at, sockets = node.effects.startup.sockets, machines = node.effects.door.machines());
+    tracing::info!(event = "node up", at = %node.at, sockets = node.effects.startup.sockets, machines = node.effects.door.machine_count());
     node.work()
 }
 
@@ -401,7 +401,7 @@
             picks = t.picks,
             ends,
             by_build,
-            open = self.effects.door.in_use(),
+            open = self.effects.door.open_rpcs(),
             longest_turn_ms = longest.turn / MS,
             latest_timer_ms = longest.timer / MS,
             clients = self.effects.clients.count(),
