--- a/adapter/src/read.rs
+++ b/adapter/src/read.rs
@@ -1,5 +1,5 @@
 //! Reading one line: fields in order, plain words for what is malformed.
-use rockpick_front_settings::{nanos, Wrong};
+use rockpick_front_settings::{nanos, FieldError};
 use std::fmt;
 use std::str::FromStr;
 
@@ -17,8 +17,8 @@
     }
 }
 
-impl From<Wrong> for Bad {
-    fn from(wrong: Wrong) -> Bad {
+impl From<FieldError> for Bad {
+    fn from(wrong: FieldError) -> Bad {
         Bad { message: "POWER_ON".into(), field: wrong.field, why: wrong.why }
     }
 }
--- a/adapter/src/seat.rs
+++ b/adapter/src/seat.rs
@@ -1,7 +1,7 @@
 //! One front's seat: ids become small indices at its door, calls go in, actions go out.
 use crate::read::{armour, bytes, Bad, Line};
 use rockpick::{Ctl, Front, Member, Ns, Outcome, Phase, Post, Reply, Roll, Standing, State, Verdict};
-use rockpick_front_settings::{nanos, number, Terms};
+use rockpick_front_settings::{nanos, number, SettingsMap};
 use rockpick_id_table::{tag, IdTable};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -157,7 +157,7 @@
 fn post(line: &mut Line) -> Result<Post, Bad> {
     let seed =
         line.must("rngSeed", |w| w.parse::<u64>().ok().or_else(|| w.parse::<i64>().ok().map(|x| x as u64)))?;
-    Ok(rockpick_front_settings::post(seed, &Terms::of_pairs(line.rest())?)?)
+    Ok(rockpick_front_settings::parse_post(seed, &SettingsMap::from_pairs(line.rest())?)?)
 }
 
 impl Seat {
--- a/front-settings/src/lib.rs
+++ b/front-settings/src/lib.rs
@@ -3,8 +3,8 @@
 //!
 //! ```
 //! let told = serde_json::json!({ "balancers": 3, "lanes": [{ "aimMs": 330.0, "idempotency": "free" }] });
-//! let terms = rockpick_front_settings::Terms::of_json(&told);
-//! let post = rockpick_front_settings::post(7, &terms).unwrap();
+//! let settings = rockpick_front_settings::SettingsMap::from_json(&told);
+//! let post = rockpick_front_settings::parse_post(7, &settings).unwrap();
 //! assert_eq!((post.fronts, post.methods[0].soft_deadline), (3, 330_000_000));
 //! ```
 use rockpick::{Control, Group, Guard, Method, Ns, Post, Repeat, Rights, Rollout};
@@ -12,11 +12,11 @@
 use std::collections::BTreeMap;
 
 /// Most methods told of: tables of the module have a row a method.
-pub const MOST_METHODS: u32 = 256;
+pub const MAX_METHODS: u32 = 256;
 
 /// A field that could not be read.
 #[derive(Debug)]
-pub struct Wrong {
+pub struct FieldError {
     pub field: String,
     pub why: String,
 }
@@ -31,83 +31,82 @@
 }
 
 /// The settings by path: `lanes.0.aimMs`, and `lanes.count` for a list's length.
-pub struct Terms(BTreeMap<String, String>);
+pub struct SettingsMap(BTreeMap<String, String>);
 
-impl Terms {
+impl SettingsMap {
     /// Reads pairs, split by single spaces.
     ///
     /// # Errors
     /// A pair without a value.
-    pub fn of_pairs(text: &str) -> Result<Terms, Wrong> {
-        let mut terms = BTreeMap::new();
+    pub fn from_pairs(text: &str) -> Result<SettingsMap, FieldError> {
+        let mut settings = BTreeMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
-            let wrong = || Wrong { field: "conf".into(), why: format!("no '=' in '{pair}'") };
+            let wrong = || FieldError { field: "conf".into(), why: format!("no '=' in '{pair}'") };
             let (path, value) = pair.split_once('=').ok_or_else(wrong)?;
-            terms.insert(path.to_string(), value.to_string());
+            settings.insert(path.to_string(), value.to_string());
         }
-        Ok(Terms(terms))
+        Ok(SettingsMap(settings))
     }
 
     /// Nested JSON under the same names: a list of plain values is joined by commas, as in pairs.
-    pub fn of_json(told: &Value) -> Terms {
-        let mut terms = BTreeMap::new();
-        flatten(String::new(), told, &mut terms);
-        Terms(terms)
+    pub fn from_json(told: &Value) -> SettingsMap {
+        let mut settings = BTreeMap::new();
+        flatten(String::new(), told, &mut settings);
+        SettingsMap(settings)
     }
 
-    pub fn word(&self, path: &str) -> &str {
+    pub fn text(&self, path: &str) -> &str {
         self.0.get(path).map_or("", String::as_str)
     }
 
-    pub fn get<T>(&self, path: &str, none: T, read: impl Fn(&str) -> Option<T>) -> Result<T, Wrong> {
-        match self.word(path) {
+    pub fn parse<T>(&self, path: &str, none: T, read: impl Fn(&str) -> Option<T>) -> Result<T, FieldError> {
+        match self.text(path) {
             "" | "-" => Ok(none),
-            word => {
-                read(word).ok_or_else(|| Wrong { field: path.into(), why: format!("cannot read '{word}'") })
-            }
+            word => read(word)
+                .ok_or_else(|| FieldError { field: path.into(), why: format!("cannot read '{word}'") }),
         }
     }
 
-    pub fn num(&self, path: &str) -> Result<f64, Wrong> {
-        self.get(path, 0.0, number)
+    pub fn float(&self, path: &str) -> Result<f64, FieldError> {
+        self.parse(path, 0.0, number)
     }
 
-    pub fn int(&self, path: &str) -> Result<u32, Wrong> {
-        self.get(path, 0, |word| number(word).filter(|x| *x >= 0.0).map(|x| x as u32))
+    pub fn integer(&self, path: &str) -> Result<u32, FieldError> {
+        self.parse(path, 0, |word| number(word).filter(|x| *x >= 0.0).map(|x| x as u32))
     }
 
-    pub fn time(&self, path: &str) -> Result<Ns, Wrong> {
-        self.get(path, 0, nanos)
+    pub fn duration(&self, path: &str) -> Result<Ns, FieldError> {
+        self.parse(path, 0, nanos)
     }
 
-    pub fn flag(&self, path: &str) -> Result<bool, Wrong> {
-        self.get(path, false, |word| match word {
+    pub fn flag(&self, path: &str) -> Result<bool, FieldError> {
+        self.parse(path, false, |word| match word {
             "true" | "1" | "1.0" => Some(true),
             "false" | "0" | "0.0" => Some(false),
             _ => None,
         })
     }
 
-    pub fn list(&self, path: &str) -> Result<Vec<f64>, Wrong> {
-        self.get(path, Vec::new(), |word| word.split(',').map(number).collect())
+    pub fn numbers(&self, path: &str) -> Result<Vec<f64>, FieldError> {
+        self.parse(path, Vec::new(), |word| word.split(',').map(number).collect())
     }
 
     /// A list of plain words.
-    pub fn words(&self, path: &str) -> Vec<String> {
-        self.word(path).split(',').filter(|w| !w.is_empty()).map(str::to_string).collect()
+    pub fn strings(&self, path: &str) -> Vec<String> {
+        self.text(path).split(',').filter(|w| !w.is_empty()).map(str::to_string).collect()
     }
 
     /// One word of each row of a list of objects.
     ///
     /// # Errors
     /// A length that is none.
-    pub fn column(&self, list: &str, name: &str) -> Result<Vec<String>, Wrong> {
-        let rows = self.int(&format!("{list}.count"))?.min(MOST_METHODS);
-        Ok((0..rows).map(|row| self.word(&format!("{list}.{row}.{name}")).to_string()).collect())
+    pub fn column(&self, list: &str, name: &str) -> Result<Vec<String>, FieldError> {
+        let rows = self.integer(&format!("{list}.count"))?.min(MAX_METHODS);
+        Ok((0..rows).map(|row| self.text(&format!("{list}.{row}.{name}")).to_string()).collect())
     }
 }
 
-fn flatten(path: String, value: &Value, terms: &mut BTreeMap<String, String>) {
+fn flatten(path: String, value: &Value, settings: &mut BTreeMap<String, String>) {
     let plain = |value: &Value| match value {
         Value::String(word) => word.clone(),
         Value::Null => String::new(),
@@ -115,16 +114,16 @@
     };
     let under = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(under(name), v, terms)),
+        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(under(name), v, settings)),
         Value::Array(rows) if rows.iter().any(Value::is_object) => {
-            terms.insert(under("count"), rows.len().to_string());
-            rows.iter().enumerate().for_each(|(i, row)| flatten(under(&i.to_string()), row, terms));
+            settings.insert(under("count"), rows.len().to_string());
+            rows.iter().enumerate().for_each(|(i, row)| flatten(under(&i.to_string()), row, settings));
         }
         Value::Array(values) => {
-            terms.insert(path, values.iter().map(plain).collect::<Vec<_>>().join(","));
+            settings.insert(path, values.iter().map(plain).collect::<Vec<_>>().join(","));
         }
         value => {
-            terms.insert(path, plain(value));
+            settings.insert(path, plain(value));
         }
     }
 }
@@ -133,76 +132,79 @@
 ///
 /// # Errors
 /// The first field that can't be read.
-pub fn post(seed: u64, terms: &Terms) -> Result<Post, Wrong> {
-    let rows = terms.int("lanes.count")?;
-    if rows > MOST_METHODS {
-        return Err(Wrong { field: "lanes.count".into(), why: format!("{rows}, at most {MOST_METHODS}") });
+pub fn parse_post(seed: u64, settings: &SettingsMap) -> Result<Post, FieldError> {
+    let rows = settings.integer("lanes.count")?;
+    if rows > MAX_METHODS {
+        return Err(FieldError {
+            field: "lanes.count".into(),
+            why: format!("{rows}, at most {MAX_METHODS}"),
+        });
     }
     let methods = (0..rows).map(|row| {
         let at = |name: &str| format!("lanes.{row}.{name}");
         Ok(Method {
-            soft_deadline: terms.time(&at("aimMs"))?,
-            utility: terms.num(&at("importance"))?,
-            repeat: terms.get(&at("idempotency"), Repeat::NonIdempotent, |word| match word {
+            soft_deadline: settings.duration(&at("aimMs"))?,
+            utility: settings.float(&at("importance"))?,
+            repeat: settings.parse(&at("idempotency"), Repeat::NonIdempotent, |word| match word {
                 "free" => Some(Repeat::Idempotent),
                 "guarded" => Some(Repeat::Tokened),
                 "single_shot" => Some(Repeat::NonIdempotent),
                 _ => None,
             })?,
-            group: terms.get(&at("keyScope"), Group::Cell, |word| match word {
+            group: settings.parse(&at("keyScope"), Group::Cell, |word| match word {
                 "all" => Some(Group::All),
                 "zone" => Some(Group::Zone),
                 "cell" => Some(Group::Cell),
                 _ => None,
             })?,
-            remembered: terms.time(&at("windowMs"))?,
+            remembered: settings.duration(&at("windowMs"))?,
         })
     });
     Ok(Post {
-        fronts: terms.int("balancers")?,
-        rank: terms.int("rank")?,
-        zone: terms.int("locality")?,
+        fronts: settings.integer("balancers")?,
+        rank: settings.integer("rank")?,
+        zone: settings.integer("locality")?,
         seed,
-        ask_roster: terms.word("discovery") == "subscribe",
-        step: terms.time("stepMs")?,
-        cross_zone_price: terms.num("charges.crossZone")?,
-        handshake_price: terms.num("charges.handshake")?,
-        methods: methods.collect::<Result<_, Wrong>>()?,
+        ask_roster: settings.text("discovery") == "subscribe",
+        step: settings.duration("stepMs")?,
+        cross_zone_price: settings.float("charges.crossZone")?,
+        handshake_price: settings.float("charges.handshake")?,
+        methods: methods.collect::<Result<_, FieldError>>()?,
         rollout: Rollout {
-            control: terms.get("extra.control", Control::FirstVoice, |word| match word {
+            control: settings.parse("extra.control", Control::FirstVoice, |word| match word {
                 "first_voice" => Some(Control::FirstVoice),
                 "by_count" => Some(Control::ByCount),
                 "automatic" => Some(Control::Automatic),
                 _ => None,
             })?,
-            parallel: terms.word("extra.layout") != "replace",
-            caps: terms.list("extra.exposureCaps")?,
-            free: terms.num("extra.free")?,
-            window: terms.time("extra.windowMs")?,
-            cap_per_method: terms.word("extra.capScope") == "each_class",
-            guarded_stages: terms.int("extra.safeOnlyStages")? as usize,
-            one_way: terms.flag("extra.oneWay")?,
-            dwell: terms.time("extra.minDwellMs")?,
-            vote_life: terms.time("extra.ballotTtlMs")?,
-            call_timeout: terms.time("extra.apiTimeoutMs")?,
-            on_votes: terms.int("extra.votesToGo")?,
-            back_votes: terms.int("extra.toAbort")?,
-            calls: terms.num("extra.apiRate")?,
+            parallel: settings.text("extra.layout") != "replace",
+            caps: settings.numbers("extra.exposureCaps")?,
+            free: settings.float("extra.free")?,
+            window: settings.duration("extra.windowMs")?,
+            cap_per_method: settings.text("extra.capScope") == "each_class",
+            guarded_stages: settings.integer("extra.safeOnlyStages")? as usize,
+            one_way: settings.flag("extra.oneWay")?,
+            dwell: settings.duration("extra.minDwellMs")?,
+            vote_life: settings.duration("extra.ballotTtlMs")?,
+            call_timeout: settings.duration("extra.apiTimeoutMs")?,
+            on_votes: settings.integer("extra.votesToGo")?,
+            back_votes: settings.integer("extra.toAbort")?,
+            calls: settings.float("extra.apiRate")?,
         },
         guard: Guard {
-            ask_within: terms.time("invariants.askWithinMs")?,
+            ask_within: settings.duration("invariants.askWithinMs")?,
             told_within: 0,
-            drain_grace: terms.time("invariants.drainGraceMs")?,
-            cold_from: terms.get("invariants.coldFrom", 1.0, number)?,
-            cold_time: terms.time("invariants.coldMs")?,
-            overload_factor: terms.get("invariants.overloadFactor", 1.0, number)?,
-            fall_time: terms.time("invariants.fallMs")?,
+            drain_grace: settings.duration("invariants.drainGraceMs")?,
+            cold_from: settings.parse("invariants.coldFrom", 1.0, number)?,
+            cold_time: settings.duration("invariants.coldMs")?,
+            overload_factor: settings.parse("invariants.overloadFactor", 1.0, number)?,
+            fall_time: settings.duration("invariants.fallMs")?,
         },
         rights: Rights {
-            most_picks: terms.get("permissions.attemptsCap", 1, |w| number(w).map(|x| x as u32))?,
-            notes: terms.flag("permissions.peers")?,
-            longest_wait: if terms.flag("permissions.retryAfter")? {
-                terms.time("permissions.maxRetryAfterMs")?
+            most_picks: settings.parse("permissions.attemptsCap", 1, |w| number(w).map(|x| x as u32))?,
+            notes: settings.flag("permissions.peers")?,
+            longest_wait: if settings.flag("permissions.retryAfter")? {
+                settings.duration("permissions.maxRetryAfterMs")?
             } else {
                 0
             },
@@ -223,19 +225,19 @@
         let pairs = "balancers=2 discovery=subscribe lanes.count=1 lanes.0.aimMs=330.0 lanes.0.importance=2.0 \
             lanes.0.idempotency=single_shot lanes.0.keyScope=zone extra.exposureCaps=0.14,1.0 extra.oneWay=true \
             permissions.retryAfter=true permissions.maxRetryAfterMs=2000 -";
-        let a = post(7, &Terms::of_json(&told)).unwrap();
-        let b = post(7, &Terms::of_pairs(pairs).unwrap()).unwrap();
+        let a = parse_post(7, &SettingsMap::from_json(&told)).unwrap();
+        let b = parse_post(7, &SettingsMap::from_pairs(pairs).unwrap()).unwrap();
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
         assert_eq!((a.rollout.caps, a.rights.longest_wait), (vec![0.14, 1.0], 2_000_000_000));
     }
 
     #[test]
     fn a_field_that_can_t_be_read_is_named() {
-        let wrong = |told: Value| post(7, &Terms::of_json(&told)).unwrap_err().field;
+        let wrong = |told: Value| parse_post(7, &SettingsMap::from_json(&told)).unwrap_err().field;
         assert_eq!(wrong(json!({ "lanes": [{ "aimMs": "soon" }] })), "lanes.0.aimMs");
         assert_eq!(wrong(json!({ "lanes": [{ "idempotency": "often" }] })), "lanes.0.idempotency");
         assert_eq!(wrong(json!({ "lanes": { "count": 1e9 } })), "lanes.count");
-        assert!(Terms::of_pairs("a=1 b").is_err());
+        assert!(SettingsMap::from_pairs("a=1 b").is_err());
     }
 
     #[test]
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -1,6 +1,6 @@
 //! What a node is told at its start, and again at a reload.
 use rockpick::{Ns, Post};
-use rockpick_front_settings::{post, Terms, Wrong};
+use rockpick_front_settings::{parse_post, FieldError, SettingsMap};
 use rockpick_net::MS;
 use rockpick_platform::desk::{self, Stood};
 use rockpick_platform::roster;
@@ -61,10 +61,10 @@
             Value::String(hex) => u64::from_str_radix(hex, 16).map_err(|_| "seed: no hex number")?,
             _ => return Err("seed: no number".into()),
         };
-        let terms = Terms::of_json(&told["settings"]);
-        let of = |wrong: Wrong| format!("settings.{}: {}", wrong.field, wrong.why);
-        let longest = terms.column("lanes", "deadlineMs").map_err(of)?;
-        let names = terms.column("lanes", "name").map_err(of)?;
+        let settings = SettingsMap::from_json(&told["settings"]);
+        let of = |wrong: FieldError| format!("settings.{}: {}", wrong.field, wrong.why);
+        let longest = settings.column("lanes", "deadlineMs").map_err(of)?;
+        let names = settings.column("lanes", "name").map_err(of)?;
         let most =
             |word: &String| rockpick_front_settings::nanos(word).filter(|ns| *ns > 0).unwrap_or(Ns::MAX / 4);
         let sockets = match &told["limits"]["sockets"] {
@@ -76,11 +76,12 @@
             Value::String(word) => Some(address("platform.address", word)?),
             _ => return Err("platform.address: no text".into()),
         };
-        let dial =
-            terms.get("permissions.dialTimeoutMs", 250 * MS, rockpick_front_settings::nanos).map_err(of)?;
+        let dial = settings
+            .parse("permissions.dialTimeoutMs", 250 * MS, rockpick_front_settings::nanos)
+            .map_err(of)?;
         let grace =
-            terms.get("invariants.drainGraceMs", Ns::MAX, rockpick_front_settings::nanos).map_err(of)?;
-        let mut post = post(seed, &terms).map_err(of)?;
+            settings.parse("invariants.drainGraceMs", Ns::MAX, rockpick_front_settings::nanos).map_err(of)?;
+        let mut post = parse_post(seed, &settings).map_err(of)?;
         post.guard.told_within = roster::TOLD_WITHIN;
         Ok(Startup {
             name: said("name", "PROXY_NAME")?,
@@ -92,10 +93,10 @@
             sockets: sockets.clamp(SOCKETS.0, SOCKETS.1),
             post,
             methods: names.into_iter().zip(longest.iter().map(most)).collect(),
-            zones: terms.words("zones"),
+            zones: settings.strings("zones"),
             connect_within: if grace > 0 { dial.min(grace) } else { dial },
-            idle: terms
-                .get("permissions.idleCloseMs", 10_000 * MS, rockpick_front_settings::nanos)
+            idle: settings
+                .parse("permissions.idleCloseMs", 10_000 * MS, rockpick_front_settings::nanos)
                 .map_err(of)?,
             file,
             circle: None,
