--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -396,7 +396,7 @@
     let (mut good, mut looks) = (node.client(), node.client());
     assert_eq!(good.rpc(&lookup(1, 900)), value());
     let mut head = vec![b'Q'];
-    head.extend_from_slice(&(rockpick_pg::MOST_QUERY as u32 - 8).to_be_bytes());
+    head.extend_from_slice(&(rockpick_pg::MAX_QUERY_LEN as u32 - 8).to_be_bytes());
     let mut half = head;
     half.resize(PART, b'x');
     let mut flood: Vec<Client> = (0..64).map(|_| node.client()).collect();
--- a/node/src/clients.rs
+++ b/node/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::Startup;
 use rockpick::Ns;
 use rockpick_net::{Event, Id, MS, SEC};
-use rockpick_pg::{self as pg, Cut, Start};
+use rockpick_pg::{self as pg, Frame, StartupMessage};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// One that has said nothing whole by then is closed: hundreds connect and stay silent.
@@ -70,8 +70,8 @@
 impl Client {
     /// Has a command come whole, or what is none, that was not read yet?
     fn holds_whole(&self) -> bool {
-        let next = || pg::frame(&self.came, pg::MOST_QUERY);
-        self.started && self.owed.is_empty() && matches!(next(), Ok(Cut::Whole { .. }) | Err(_))
+        let next = || pg::read_frame(&self.came, pg::MAX_QUERY_LEN);
+        self.started && self.owed.is_empty() && matches!(next(), Ok(Frame::Complete { .. }) | Err(_))
     }
 
     /// May it give way to a new connection? One that was never welcomed may at once: nothing was said on either side.
@@ -170,7 +170,7 @@
 /// What a new connection is told for which there is no room.
 pub fn too_many_connections() -> Vec<u8> {
     let mut out = Vec::new();
-    pg::put_error(&mut out, true, pg::TOO_MANY, "too many connections", None);
+    pg::put_error(&mut out, true, pg::TOO_MANY_CONNECTIONS, "too many connections", None);
     out
 }
 
@@ -211,7 +211,7 @@
         }
         let found = ids().find(|id| half(id) && net.quiet(*id));
         if let Some(old) = found {
-            self.end_client(old, pg::NOT_NOW, "too many connections");
+            self.end_client(old, pg::CANNOT_CONNECT_NOW, "too many connections");
         }
         found.is_some()
     }
@@ -295,7 +295,7 @@
             self.clients.closed.idle += 1;
             self.close_resting(id);
         } else {
-            self.end_client(id, pg::NOT_NOW, "no whole command in time");
+            self.end_client(id, pg::CANNOT_CONNECT_NOW, "no whole command in time");
         }
     }
 
@@ -306,7 +306,7 @@
         self.clients.kept += bytes.len();
         // Against a flood: who sends little may go on, as it fills nothing.
         if self.clients.kept > MOST_KEPT && client.came.len() > MOST_AHEAD {
-            self.end_client(id, pg::TOO_MANY, "too much at once");
+            self.end_client(id, pg::TOO_MANY_CONNECTIONS, "too much at once");
         }
     }
 
@@ -327,19 +327,19 @@
             let mut asked = None;
             let mut last = None;
             let used = if !client.started {
-                match pg::startup(&client.came) {
-                    Ok(Start::More) => break,
-                    Ok(Start::Encrypt { used }) => {
+                match pg::read_startup(&client.came) {
+                    Ok(StartupMessage::Incomplete) => break,
+                    Ok(StartupMessage::EncryptionRequest { used }) => {
                         out.push(b'N');
                         client.odd += 4; // three times is no start
                         used
                     }
-                    Ok(Start::Cancel) => {
+                    Ok(StartupMessage::CancelRequest) => {
                         self.close_client(id);
                         return Asked::Nothing;
                     }
-                    Ok(Start::Begin { used }) => {
-                        pg::put_welcome(&mut out);
+                    Ok(StartupMessage::Startup { used }) => {
+                        pg::put_startup_response(&mut out);
                         client.started = true;
                         used
                     }
@@ -349,11 +349,11 @@
                     }
                 }
             } else {
-                match pg::frame(&client.came, pg::MOST_QUERY) {
-                    Ok(Cut::More) => break,
-                    Ok(Cut::Whole { tag: b'Q', body, used }) => {
-                        match pg::text(body) {
-                            Some(text) if text.trim().is_empty() => pg::put_empty(&mut out),
+                match pg::read_frame(&client.came, pg::MAX_QUERY_LEN) {
+                    Ok(Frame::Incomplete) => break,
+                    Ok(Frame::Complete { tag: b'Q', body, used }) => {
+                        match pg::read_cstr(body) {
+                            Some(text) if text.trim().is_empty() => pg::put_empty_query_response(&mut out),
                             Some(text) if !client.owed.is_empty() && !room(&self.startup, text) => {
                                 return self.client_waits(id);
                             }
@@ -362,11 +362,11 @@
                         }
                         used
                     }
-                    Ok(Cut::Whole { tag: b'X', .. }) => {
+                    Ok(Frame::Complete { tag: b'X', .. }) => {
                         self.close_client(id);
                         return Asked::Nothing;
                     }
-                    Ok(Cut::Whole { .. }) => {
+                    Ok(Frame::Complete { .. }) => {
                         last = Some("only simple queries are taken");
                         0
                     }
@@ -377,7 +377,7 @@
                 }
             };
             if let Some(why) = last {
-                self.end_client(id, pg::PROTOCOL, why);
+                self.end_client(id, pg::PROTOCOL_VIOLATION, why);
                 return Asked::Nothing;
             }
             let came = client.used(used);
@@ -392,7 +392,7 @@
                 continue;
             }
             if hopeless {
-                self.end_client(id, pg::PROTOCOL, "no start");
+                self.end_client(id, pg::PROTOCOL_VIOLATION, "no start");
                 return Asked::Nothing;
             }
             if !out.is_empty() && !self.reply(id, out) {
@@ -431,11 +431,11 @@
         let Some(client) = self.clients.all.get_mut(&id) else { return };
         client.odd += 1;
         if client.odd >= MOST_ODD {
-            return self.end_client(id, pg::PROTOCOL, why);
+            return self.end_client(id, pg::PROTOCOL_VIOLATION, why);
         }
         self.tolls.odd += 1;
         let mut out = Vec::new();
-        pg::put_error(&mut out, false, pg::SYNTAX, why, None);
+        pg::put_error(&mut out, false, pg::SYNTAX_ERROR, why, None);
         self.reply(id, out);
     }
 
@@ -464,7 +464,7 @@
         if room {
             reply.extend_from_slice(bytes);
         } else {
-            pg::put_error(&mut reply, false, pg::INTERNAL, "aborted", None);
+            pg::put_error(&mut reply, false, pg::INTERNAL_ERROR, "aborted", None);
         }
         self.clients.held_back += reply.len();
         client.owed[at] = Reply::Held(reply);
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -2,7 +2,7 @@
 use crate::effects::{Effects, Pick};
 use rockpick::{Ns, Outcome, Repeat};
 use rockpick_net::{Id, MS, SEC};
-use rockpick_pg::{self as pg, Answer, Heard};
+use rockpick_pg::{self as pg, Response, ResponseReader};
 use rockpick_platform::statement;
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     machine: usize,
     incarnation: u32,
     step: Step,
-    answer: Answer,
+    answer: ResponseReader,
     /// The pick that it carries.
     job: Option<(usize, usize)>,
     /// Its part of what the pool holds.
@@ -193,7 +193,7 @@
         };
         while let Some(id) = self.pool.rested(machine, now) {
             // Found closed, or holding bytes that nobody asked for: replaced, and no pick that ran.
-            let fit = self.net.quiet(id) && self.pool.conns.get(&id).is_some_and(|c| c.answer.clean());
+            let fit = self.net.quiet(id) && self.pool.conns.get(&id).is_some_and(|c| c.answer.is_reusable());
             if fit && self.ask_machine(id, rpc, number) {
                 return;
             }
@@ -216,8 +216,14 @@
         self.pool.dialled += 1;
         let incarnation = self.pool.places[machine].incarnation;
         let job = Some((rpc, number));
-        let conn =
-            Conn { machine, incarnation, step: Step::Opening, answer: Answer::default(), job, held: 0 };
+        let conn = Conn {
+            machine,
+            incarnation,
+            step: Step::Opening,
+            answer: ResponseReader::default(),
+            job,
+            held: 0,
+        };
         self.pool.conns.insert(id, conn);
         let mut hello = Vec::new();
         pg::put_startup(&mut hello, "api", "ledger");
@@ -256,7 +262,7 @@
                 self.pool.idle.remove(&(since, id));
             }
             (conn.step, conn.job) = (Step::Asked, Some((rpc, number)));
-            conn.answer.asked();
+            conn.answer.query_sent();
         }
         self.due(id, until);
         true
@@ -290,7 +296,7 @@
         let mut ends = Vec::new();
         let now = self.net.now();
         if let Some(conn) = self.pool.conns.get_mut(&id) {
-            conn.answer.take(bytes);
+            conn.answer.push(bytes);
             if let Step::Idle(since) = conn.step {
                 let late_us = (now - since) / 1_000;
                 if let Some(left_out) = self.often.may(now) {
@@ -300,30 +306,30 @@
         }
         while let Some(conn) = self.pool.conns.get_mut(&id) {
             let step = conn.step;
-            let heard = conn.answer.heard();
-            self.pool.held = self.pool.held - conn.held + conn.answer.holds();
-            conn.held = conn.answer.holds();
+            let heard = conn.answer.next_response();
+            self.pool.held = self.pool.held - conn.held + conn.answer.buffered_len();
+            conn.held = conn.answer.buffered_len();
             let heard = match heard {
-                Ok(Heard::More) if self.pool.held > MOST_HELD => {
-                    Err(pg::Odd("no room for more of an answer"))
+                Ok(Response::Incomplete) if self.pool.held > MOST_HELD => {
+                    Err(pg::ProtocolError("no room for more of an answer"))
                 }
                 heard => heard,
             };
             match heard {
-                Ok(Heard::More) => {
+                Ok(Response::Incomplete) => {
                     // Words behind an answer, not whole: of no further use, and the answer stands.
-                    if matches!(step, Step::Idle(_)) && !conn.answer.clean() {
+                    if matches!(step, Step::Idle(_)) && !conn.answer.is_reusable() {
                         self.drop_machine_conn(id);
                     }
                     break;
                 }
-                Ok(Heard::Row(row)) => {
+                Ok(Response::Row(row)) => {
                     conn.step = Step::Tail;
                     ends.extend(conn.job.take().map(|(rpc, n)| (rpc, n, Came::Over(Outcome::Ok, Some(row)))));
                     self.due(id, now + TAIL);
                 }
-                Ok(Heard::Error(code)) => {
-                    let full = code == pg::TOO_MANY;
+                Ok(Response::Error(code)) => {
+                    let full = code == pg::TOO_MANY_CONNECTIONS;
                     conn.step = Step::Tail;
                     let how = match step {
                         _ if full => Outcome::Full,
@@ -337,7 +343,7 @@
                     }
                     self.due(id, now + TAIL);
                 }
-                Ok(Heard::Ready) => {
+                Ok(Response::Ready) => {
                     if step == Step::Opening {
                         let place = &self.pool.places[conn.machine];
                         let there = conn.incarnation == place.incarnation && place.gone.is_none();
@@ -378,7 +384,7 @@
         let now = self.net.now();
         let Some(conn) = self.pool.conns.get_mut(&id) else { return false };
         let place = &mut self.pool.places[conn.machine];
-        if !conn.answer.clean() || conn.incarnation != place.incarnation || place.gone.is_some() {
+        if !conn.answer.is_reusable() || conn.incarnation != place.incarnation || place.gone.is_some() {
             self.drop_machine_conn(id);
             return false;
         }
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -226,7 +226,13 @@
     fn push_back(&mut self, rpc: usize, wait: Ns) {
         let mut out = Vec::new();
         let ms = ((wait + MS - 1) / MS).to_string();
-        pg::put_error(&mut out, false, pg::TOO_MANY, "pushed back", (wait > 0).then_some(ms.as_str()));
+        pg::put_error(
+            &mut out,
+            false,
+            pg::TOO_MANY_CONNECTIONS,
+            "pushed back",
+            (wait > 0).then_some(ms.as_str()),
+        );
         if self.answer(rpc, &out) {
             self.tolls.pushed_back += 1;
         }
@@ -234,7 +240,7 @@
 
     fn abort(&mut self, rpc: usize) {
         let mut out = Vec::new();
-        pg::put_error(&mut out, false, pg::INTERNAL, "aborted", None);
+        pg::put_error(&mut out, false, pg::INTERNAL_ERROR, "aborted", None);
         if self.answer(rpc, &out) {
             self.tolls.aborted += 1;
         }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -499,4 +499,4 @@
     }
 }
 
-const _: () = assert!(pg::MOST_QUERY > 2 * pg::MOST_VALUE);
+const _: () = assert!(pg::MAX_QUERY_LEN > 2 * pg::MAX_VALUE_LEN);
--- a/node/src/tests.rs
+++ b/node/src/tests.rs
@@ -138,7 +138,7 @@
     assert!(all.iter().all(|(_, id)| place.effects.clients.owns(*id)));
     let mut words = [0; 1024];
     let many = turned_away.read(&mut words).unwrap();
-    assert!(String::from_utf8_lossy(&words[..many]).contains(pg::TOO_MANY));
+    assert!(String::from_utf8_lossy(&words[..many]).contains(pg::TOO_MANY_CONNECTIONS));
     place.rest();
     let (_new, conn) = place.newcomer();
     place.effects.client_came(conn);
--- a/pg/src/lib.rs
+++ b/pg/src/lib.rs
@@ -2,24 +2,24 @@
 //! every declared length is judged from its header, before a byte of the body is waited for.
 //!
 //! ```
-//! use rockpick_pg::{frame, put_query, text, Cut};
+//! use rockpick_pg::{read_frame, put_query, read_cstr, Frame};
 //! let mut bytes = Vec::new();
 //! put_query(&mut bytes, "SELECT 1");
-//! let Ok(Cut::Whole { tag: b'Q', body, used }) = frame(&bytes, 1_000) else { panic!() };
-//! assert_eq!((text(body), used), (Some("SELECT 1"), bytes.len()));
+//! let Ok(Frame::Complete { tag: b'Q', body, used }) = read_frame(&bytes, 1_000) else { panic!() };
+//! assert_eq!((read_cstr(body), used), (Some("SELECT 1"), bytes.len()));
 //! ```
-mod answer;
+mod response;
 
-pub use answer::{Answer, Heard, MOST_ANSWER};
+pub use response::{Response, ResponseReader, MAX_RESPONSE_LEN};
 
 /// Longest startup message; servers in use take as much.
-pub const MOST_STARTUP: usize = 10_000;
+pub const MAX_STARTUP_LEN: usize = 10_000;
 /// Largest value that a client may send, in bytes: what the platform promises.
-pub const MOST_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE_LEN: usize = 64 * 1024;
 /// Largest value that is taken from a machine: eight times the promise, as answers of 400 KB were met.
-pub const MOST_ROW: usize = 8 * MOST_VALUE;
+pub const MAX_ROW_LEN: usize = 8 * MAX_VALUE_LEN;
 /// Longest query: the largest value in hex, and room for the statement around it.
-pub const MOST_QUERY: usize = 2 * MOST_VALUE + 4_096;
+pub const MAX_QUERY_LEN: usize = 2 * MAX_VALUE_LEN + 4_096;
 
 const V3: u32 = 196_608;
 const SSL: u32 = 80_877_103;
@@ -27,29 +27,29 @@
 const CANCEL: u32 = 80_877_102;
 
 /// SQLSTATE codes that are used here.
-pub const TOO_MANY: &str = "53300";
-pub const NOT_NOW: &str = "57P03";
-pub const INTERNAL: &str = "XX000";
-pub const SYNTAX: &str = "42601";
-pub const PROTOCOL: &str = "08P01";
+pub const TOO_MANY_CONNECTIONS: &str = "53300";
+pub const CANNOT_CONNECT_NOW: &str = "57P03";
+pub const INTERNAL_ERROR: &str = "XX000";
+pub const SYNTAX_ERROR: &str = "42601";
+pub const PROTOCOL_VIOLATION: &str = "08P01";
 
 /// Bytes that are no message of this protocol.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Odd(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// What stands at the front of a stream.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Cut<'a> {
+pub enum Frame<'a> {
     /// Not whole yet.
-    More,
-    Whole {
+    Incomplete,
+    Complete {
         tag: u8,
         body: &'a [u8],
         used: usize,
     },
 }
 
-fn word(bytes: &[u8]) -> Option<u32> {
+fn read_u32(bytes: &[u8]) -> Option<u32> {
     bytes.first_chunk::<4>().map(|b| u32::from_be_bytes(*b))
 }
 
@@ -57,33 +57,33 @@
 ///
 /// # Errors
 /// A length that none can have, or too large a one.
-pub fn frame(bytes: &[u8], most: usize) -> Result<Cut<'_>, Odd> {
-    let Some((&tag, rest)) = bytes.split_first() else { return Ok(Cut::More) };
+pub fn read_frame(bytes: &[u8], most: usize) -> Result<Frame<'_>, ProtocolError> {
+    let Some((&tag, rest)) = bytes.split_first() else { return Ok(Frame::Incomplete) };
     if !tag.is_ascii_alphabetic() {
-        return Err(Odd("no message begins so"));
+        return Err(ProtocolError("no message begins so"));
     }
-    let Some(long) = word(rest) else { return Ok(Cut::More) };
+    let Some(long) = read_u32(rest) else { return Ok(Frame::Incomplete) };
     let long = long as usize;
     if long < 4 || long - 4 > most {
-        return Err(Odd("a message of such a length is not taken"));
+        return Err(ProtocolError("a message of such a length is not taken"));
     }
     match rest.get(4..long) {
-        Some(body) => Ok(Cut::Whole { tag, body, used: 1 + long }),
-        None => Ok(Cut::More),
+        Some(body) => Ok(Frame::Complete { tag, body, used: 1 + long }),
+        None => Ok(Frame::Incomplete),
     }
 }
 
 /// How a client begins.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Start {
-    More,
+pub enum StartupMessage {
+    Incomplete,
     /// Asks for an encryption that is not had: answered by one `N`.
-    Encrypt {
+    EncryptionRequest {
         used: usize,
     },
     /// Wants another connection's query ended; owed a close.
-    Cancel,
-    Begin {
+    CancelRequest,
+    Startup {
         used: usize,
     },
 }
@@ -92,32 +92,32 @@
 ///
 /// # Errors
 /// What is no startup message of version 3.
-pub fn startup(bytes: &[u8]) -> Result<Start, Odd> {
-    let Some(long) = word(bytes) else { return Ok(Start::More) };
+pub fn read_startup(bytes: &[u8]) -> Result<StartupMessage, ProtocolError> {
+    let Some(long) = read_u32(bytes) else { return Ok(StartupMessage::Incomplete) };
     let long = long as usize;
-    if !(8..=MOST_STARTUP).contains(&long) {
-        return Err(Odd("a startup message of such a length is not taken"));
+    if !(8..=MAX_STARTUP_LEN).contains(&long) {
+        return Err(ProtocolError("a startup message of such a length is not taken"));
     }
-    let Some(code) = word(&bytes[4..]) else { return Ok(Start::More) };
+    let Some(code) = read_u32(&bytes[4..]) else { return Ok(StartupMessage::Incomplete) };
     match code {
-        SSL | GSS if long == 8 => Ok(Start::Encrypt { used: 8 }),
-        CANCEL => Ok(Start::Cancel),
+        SSL | GSS if long == 8 => Ok(StartupMessage::EncryptionRequest { used: 8 }),
+        CANCEL => Ok(StartupMessage::CancelRequest),
         V3 => {
-            let Some(body) = bytes.get(8..long) else { return Ok(Start::More) };
+            let Some(body) = bytes.get(8..long) else { return Ok(StartupMessage::Incomplete) };
             // Names and values in pairs, each ended by a zero, and one more zero.
             let whole = body.strip_suffix(b"\0").filter(|b| b.is_empty() || b.ends_with(b"\0"));
             let zeros = whole.map(|b| b.iter().filter(|c| **c == 0).count());
             match zeros {
-                Some(zeros) if zeros % 2 == 0 => Ok(Start::Begin { used: long }),
-                _ => Err(Odd("startup words that don't come in pairs")),
+                Some(zeros) if zeros % 2 == 0 => Ok(StartupMessage::Startup { used: long }),
+                _ => Err(ProtocolError("startup words that don't come in pairs")),
             }
         }
-        _ => Err(Odd("only version 3.0 of the protocol is spoken")),
+        _ => Err(ProtocolError("only version 3.0 of the protocol is spoken")),
     }
 }
 
 /// A body that is one text ended by a zero.
-pub fn text(body: &[u8]) -> Option<&str> {
+pub fn read_cstr(body: &[u8]) -> Option<&str> {
     let text = body.strip_suffix(b"\0")?;
     std::str::from_utf8(text).ok().filter(|t| !t.contains('\0'))
 }
@@ -154,7 +154,7 @@
 }
 
 /// What a server says to a startup message: welcome without a password, a few parameters, ready.
-pub fn put_welcome(out: &mut Vec<u8>) {
+pub fn put_startup_response(out: &mut Vec<u8>) {
     put(out, b'R', |out| out.extend(0u32.to_be_bytes()));
     for (name, value) in [
         ("server_version", "14.0"),
@@ -175,7 +175,7 @@
     put(out, b'Z', |out| out.push(b'I'));
 }
 
-pub fn put_empty(out: &mut Vec<u8>) {
+pub fn put_empty_query_response(out: &mut Vec<u8>) {
     put(out, b'I', |_| {});
     put_ready(out);
 }
--- a/pg/src/answer.rs
+++ b/pg/src/response.rs
@@ -1,9 +1,9 @@
 //! A machine's side of a connection, read message by message: its welcome, then answers to queries. An answer
 //! is believed only if it is whole and well formed; nothing of it is handed on before that.
-use crate::{error_field, frame, text, Cut, Odd, MOST_ROW};
+use crate::{error_field, read_cstr, read_frame, Frame, ProtocolError, MAX_ROW_LEN};
 
 /// Most bytes of an answer that are gathered: a value, its row's description and its end.
-pub const MOST_ANSWER: usize = MOST_ROW + 4_096;
+pub const MAX_RESPONSE_LEN: usize = MAX_ROW_LEN + 4_096;
 /// Longest message besides the row.
 const MOST_OTHER: usize = 2_048;
 /// Notices and parameters let pass between two answers; more is noise.
@@ -25,9 +25,9 @@
 
 /// What has come.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Response {
     /// Nothing whole yet.
-    More,
+    Incomplete,
     /// Ready for a query.
     Ready,
     /// A whole answer: description, row and end as they came.
@@ -38,7 +38,7 @@
 
 /// Reads what a machine sends.
 #[derive(Default)]
-pub struct Answer {
+pub struct ResponseReader {
     came: Vec<u8>,
     /// Of `came`: messages of the answer that are read already.
     kept: usize,
@@ -46,56 +46,58 @@
     asides: u32,
 }
 
-impl Answer {
+impl ResponseReader {
     /// A query has been written.
-    pub fn asked(&mut self) {
+    pub fn query_sent(&mut self) {
         self.step = Step::Asked;
         self.asides = 0;
     }
 
     /// Is the connection fit for another query: ready, and nothing behind the last answer?
-    pub fn clean(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         self.step == Step::Idle && self.came.is_empty()
     }
 
     /// Has the machine been heard to be ready since it was dialled?
-    pub fn opened(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.step != Step::Opening
     }
 
-    pub fn take(&mut self, bytes: &[u8]) {
+    pub fn push(&mut self, bytes: &[u8]) {
         self.came.extend_from_slice(bytes);
     }
 
     /// Bytes held.
-    pub fn holds(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.came.len()
     }
 
     /// The header of the message that is read next, for the log: its tag and declared length.
     pub fn header(&self) -> Option<(u8, u32)> {
         let next = &self.came[self.kept..];
-        Some((*next.first()?, crate::word(&next[1..])?))
+        Some((*next.first()?, crate::read_u32(&next[1..])?))
     }
 
     /// The next thing that has come whole.
     ///
     /// # Errors
     /// What no machine may say here: the connection is of no further use.
-    pub fn heard(&mut self) -> Result<Heard, Odd> {
+    pub fn next_response(&mut self) -> Result<Response, ProtocolError> {
         loop {
             // While nothing is owed, whatever comes is noise: the step decides below.
-            let most = if self.step == Step::Described { MOST_ROW + 6 } else { MOST_OTHER };
-            let (tag, used, said) = match frame(&self.came[self.kept..], most)? {
-                Cut::More if self.came.len() > MOST_ANSWER => return Err(Odd("too long an answer")),
-                Cut::More => return Ok(Heard::More),
-                Cut::Whole { tag, body, used } => (tag, used, read(self.step, tag, body)?),
+            let most = if self.step == Step::Described { MAX_ROW_LEN + 6 } else { MOST_OTHER };
+            let (tag, used, said) = match read_frame(&self.came[self.kept..], most)? {
+                Frame::Incomplete if self.came.len() > MAX_RESPONSE_LEN => {
+                    return Err(ProtocolError("too long an answer"))
+                }
+                Frame::Incomplete => return Ok(Response::Incomplete),
+                Frame::Complete { tag, body, used } => (tag, used, read(self.step, tag, body)?),
             };
             match said {
                 Said::Aside => {
                     self.asides += 1;
                     if self.asides > MOST_ASIDES {
-                        return Err(Odd("more notices than an answer has"));
+                        return Err(ProtocolError("more notices than an answer has"));
                     }
                     self.came.drain(self.kept..self.kept + used);
                 }
@@ -105,7 +107,7 @@
                     if tag == b'C' {
                         let rest = self.came.split_off(self.kept);
                         self.kept = 0;
-                        return Ok(Heard::Row(std::mem::replace(&mut self.came, rest)));
+                        return Ok(Response::Row(std::mem::replace(&mut self.came, rest)));
                     }
                 }
                 Said::Ready => {
@@ -115,13 +117,13 @@
                     if self.came.is_empty() {
                         self.came = Vec::new();
                     }
-                    return Ok(Heard::Ready);
+                    return Ok(Response::Ready);
                 }
                 Said::Error(code) => {
                     self.came.drain(..self.kept + used);
                     self.kept = 0;
                     self.step = if self.step == Step::Opening { Step::Opening } else { Step::Done };
-                    return Ok(Heard::Error(code));
+                    return Ok(Response::Error(code));
                 }
             }
         }
@@ -135,7 +137,7 @@
     Error(String),
 }
 
-fn read(step: Step, tag: u8, body: &[u8]) -> Result<Said, Odd> {
+fn read(step: Step, tag: u8, body: &[u8]) -> Result<Said, ProtocolError> {
     Ok(match (step, tag) {
         // A parameter that can't be read, a load report among them, harms nobody.
         (_, b'S' | b'N') => Said::Aside,
@@ -144,12 +146,12 @@
         (Step::Opening | Step::Done, b'Z') if matches!(body, [b'I']) => Said::Ready,
         (Step::Asked, b'T') if described(body) => Said::Part(Step::Described),
         (Step::Described, b'D') if row(body) => Said::Part(Step::Row),
-        (Step::Row, b'C') if text(body).is_some_and(|t| !t.is_empty()) => Said::Part(Step::Done),
+        (Step::Row, b'C') if read_cstr(body).is_some_and(|t| !t.is_empty()) => Said::Part(Step::Done),
         (Step::Opening | Step::Asked | Step::Described | Step::Row, b'E') => {
             let code = error_field(body, b'C').filter(|c| c.len() == 5 && body.ends_with(b"\0"));
-            Said::Error(code.ok_or(Odd("an error without a code"))?.to_string())
+            Said::Error(code.ok_or(ProtocolError("an error without a code"))?.to_string())
         }
-        _ => return Err(Odd("not what comes next")),
+        _ => return Err(ProtocolError("not what comes next")),
     })
 }
 
--- a/pg/tests/peer.rs
+++ b/pg/tests/peer.rs
@@ -18,15 +18,15 @@
 #[test]
 fn the_library_understands_what_is_said_to_clients() {
     let mut out = Vec::new();
-    put_welcome(&mut out);
+    put_startup_response(&mut out);
     let said = messages(&out);
     assert!(matches!(said.first(), Some(Message::AuthenticationOk)));
     assert!(matches!(said.last(), Some(Message::ReadyForQuery(_))));
     let mut out = Vec::new();
-    put_empty(&mut out);
+    put_empty_query_response(&mut out);
     assert!(matches!(messages(&out)[..], [Message::EmptyQueryResponse, Message::ReadyForQuery(_)]));
     let mut out = Vec::new();
-    put_error(&mut out, false, TOO_MANY, "pushed back", Some("41"));
+    put_error(&mut out, false, TOO_MANY_CONNECTIONS, "pushed back", Some("41"));
     let [Message::ErrorResponse(error), Message::ReadyForQuery(_)] = &messages(&out)[..] else { panic!() };
     let fields: Vec<(u8, Vec<u8>)> =
         error.fields().map(|f| Ok((f.type_(), f.value_bytes().to_vec()))).collect().unwrap();
@@ -47,51 +47,51 @@
     frontend::startup_message([("user", "api"), ("database", "ledger")], &mut out).unwrap();
     let hello = out.len();
     for cut in 0..hello {
-        assert_eq!(startup(&out[..cut]), Ok(Start::More), "{cut}");
+        assert_eq!(read_startup(&out[..cut]), Ok(StartupMessage::Incomplete), "{cut}");
     }
     frontend::query("SELECT 1", &mut out).unwrap();
-    assert_eq!(startup(&out), Ok(Start::Begin { used: hello }));
+    assert_eq!(read_startup(&out), Ok(StartupMessage::Startup { used: hello }));
     let query = &out[hello..];
     for cut in 0..query.len() {
-        assert_eq!(frame(&query[..cut], MOST_QUERY), Ok(Cut::More), "{cut}");
+        assert_eq!(read_frame(&query[..cut], MAX_QUERY_LEN), Ok(Frame::Incomplete), "{cut}");
     }
-    let Ok(Cut::Whole { tag: b'Q', body, used }) = frame(query, MOST_QUERY) else { panic!() };
-    assert_eq!((text(body), used), (Some("SELECT 1"), query.len()));
+    let Ok(Frame::Complete { tag: b'Q', body, used }) = read_frame(query, MAX_QUERY_LEN) else { panic!() };
+    assert_eq!((read_cstr(body), used), (Some("SELECT 1"), query.len()));
     let mut out = BytesMut::new();
     frontend::ssl_request(&mut out);
-    assert_eq!(startup(&out), Ok(Start::Encrypt { used: 8 }));
+    assert_eq!(read_startup(&out), Ok(StartupMessage::EncryptionRequest { used: 8 }));
 }
 
 #[test]
 fn lengths_at_their_bounds_are_taken_and_past_them_refused_by_the_header_alone() {
     let header = |long: u32| [&b"Q"[..], &long.to_be_bytes()].concat();
-    assert_eq!(frame(&header(104), 100), Ok(Cut::More));
+    assert_eq!(read_frame(&header(104), 100), Ok(Frame::Incomplete));
     for long in [0, 3, 105, 60 << 20, u32::MAX] {
-        assert!(frame(&header(long), 100).is_err(), "{long}");
+        assert!(read_frame(&header(long), 100).is_err(), "{long}");
     }
-    assert!(frame(b"\0\0\0\0", 100).is_err());
-    assert_eq!(startup(&(MOST_STARTUP as u32).to_be_bytes()), Ok(Start::More));
-    for long in [0, 7, MOST_STARTUP as u32 + 1, u32::MAX] {
-        assert!(startup(&long.to_be_bytes()).is_err(), "{long}");
+    assert!(read_frame(b"\0\0\0\0", 100).is_err());
+    assert_eq!(read_startup(&(MAX_STARTUP_LEN as u32).to_be_bytes()), Ok(StartupMessage::Incomplete));
+    for long in [0, 7, MAX_STARTUP_LEN as u32 + 1, u32::MAX] {
+        assert!(read_startup(&long.to_be_bytes()).is_err(), "{long}");
     }
-    assert!(startup(b"\0\0\0\x09\0\x03\0\0x").is_err(), "words that don't end");
-    assert!(startup(b"GET / HTTP/1.1\r\n").is_err());
+    assert!(read_startup(b"\0\0\0\x09\0\x03\0\0x").is_err(), "words that don't end");
+    assert!(read_startup(b"GET / HTTP/1.1\r\n").is_err());
 }
 
 /// A machine's welcome, answer and readiness.
 fn said(value: &[u8]) -> (Vec<u8>, Vec<u8>, Vec<u8>) {
     let (mut welcome, mut row, mut ready) = (Vec::new(), Vec::new(), Vec::new());
-    put_welcome(&mut welcome);
+    put_startup_response(&mut welcome);
     put_row(&mut row, "blob", value, "SELECT 1");
     put_ready(&mut ready);
     (welcome, row, ready)
 }
 
-fn asked() -> Answer {
-    let mut answer = Answer::default();
-    answer.take(&said(b"").0);
-    assert_eq!(answer.heard(), Ok(Heard::Ready));
-    answer.asked();
+fn asked() -> ResponseReader {
+    let mut answer = ResponseReader::default();
+    answer.push(&said(b"").0);
+    assert_eq!(answer.next_response(), Ok(Response::Ready));
+    answer.query_sent();
     answer
 }
 
@@ -101,15 +101,15 @@
     let whole = [&row[..], &ready].concat();
     for cut in 0..whole.len() {
         let mut answer = asked();
-        answer.take(&whole[..cut]);
-        let mut heard = vec![answer.heard()];
-        answer.take(&whole[cut..]);
+        answer.push(&whole[..cut]);
+        let mut heard = vec![answer.next_response()];
+        answer.push(&whole[cut..]);
         for _ in 0..3 {
-            heard.push(answer.heard());
+            heard.push(answer.next_response());
         }
-        heard.retain(|h| *h != Ok(Heard::More));
-        assert_eq!(heard, [Ok(Heard::Row(row.clone())), Ok(Heard::Ready)], "{cut}");
-        assert!(answer.clean());
+        heard.retain(|h| *h != Ok(Response::Incomplete));
+        assert_eq!(heard, [Ok(Response::Row(row.clone())), Ok(Response::Ready)], "{cut}");
+        assert!(answer.is_reusable());
     }
 }
 
@@ -124,10 +124,10 @@
             let mut spoilt = whole.clone();
             spoilt[at] ^= 1 << bit;
             let mut answer = asked();
-            answer.take(&spoilt);
-            match answer.heard() {
-                Ok(Heard::Row(taken)) => assert_eq!(taken.len(), row.len(), "byte {at}, bit {bit}"),
-                Ok(Heard::More) => {}
+            answer.push(&spoilt);
+            match answer.next_response() {
+                Ok(Response::Row(taken)) => assert_eq!(taken.len(), row.len(), "byte {at}, bit {bit}"),
+                Ok(Response::Incomplete) => {}
                 Ok(other) => panic!("{other:?}: byte {at}, bit {bit}"),
                 Err(_) => odd += 1,
             }
@@ -143,40 +143,40 @@
     let at = huge.iter().position(|b| *b == b'D').unwrap();
     huge[at + 1..at + 5].copy_from_slice(&3_000_000_000u32.to_be_bytes());
     let mut answer = asked();
-    answer.take(&huge[..at + 5]);
-    assert!(answer.heard().is_err(), "3 GB are not waited for");
+    answer.push(&huge[..at + 5]);
+    assert!(answer.next_response().is_err(), "3 GB are not waited for");
     // At the bound of a row it is taken, past it not.
-    for (long, taken) in [(MOST_ROW, true), (MOST_ROW + 1, false)] {
+    for (long, taken) in [(MAX_ROW_LEN, true), (MAX_ROW_LEN + 1, false)] {
         let mut answer = asked();
-        answer.take(&said(&vec![7; long]).1);
-        assert_eq!(matches!(answer.heard(), Ok(Heard::Row(_))), taken, "{long}");
+        answer.push(&said(&vec![7; long]).1);
+        assert_eq!(matches!(answer.next_response(), Ok(Response::Row(_))), taken, "{long}");
     }
     // A second copy directly behind: the answer stands, and the connection is of no further use.
     let mut answer = asked();
-    answer.take(&[&row[..], &ready, &row, &ready].concat());
-    assert_eq!(answer.heard(), Ok(Heard::Row(row.clone())));
-    assert_eq!(answer.heard(), Ok(Heard::Ready));
-    assert!(!answer.clean() && answer.heard().is_err());
+    answer.push(&[&row[..], &ready, &row, &ready].concat());
+    assert_eq!(answer.next_response(), Ok(Response::Row(row.clone())));
+    assert_eq!(answer.next_response(), Ok(Response::Ready));
+    assert!(!answer.is_reusable() && answer.next_response().is_err());
     // An end without a row, a row that is absent, notices without end.
     let mut none = Vec::new();
     put_row(&mut none, "blob", b"", "SELECT 1");
     let at = none.iter().position(|b| *b == b'D').unwrap();
     none[at + 7..at + 11].copy_from_slice(&(-1i32).to_be_bytes());
     let mut answer = asked();
-    answer.take(&none);
-    assert!(answer.heard().is_err());
+    answer.push(&none);
+    assert!(answer.next_response().is_err());
     let mut answer = asked();
-    answer.take(&b"N\0\0\0\x04".repeat(100));
-    assert!(answer.heard().is_err());
+    answer.push(&b"N\0\0\0\x04".repeat(100));
+    assert!(answer.next_response().is_err());
 }
 
 #[test]
 fn an_error_is_told_by_its_code_and_readiness_follows() {
     let mut answer = asked();
     let mut out = Vec::new();
-    put_error(&mut out, false, INTERNAL, "broken", None);
-    answer.take(&out);
-    assert_eq!(answer.heard(), Ok(Heard::Error("XX000".into())));
-    assert_eq!(answer.heard(), Ok(Heard::Ready));
-    assert!(answer.clean());
+    put_error(&mut out, false, INTERNAL_ERROR, "broken", None);
+    answer.push(&out);
+    assert_eq!(answer.next_response(), Ok(Response::Error("XX000".into())));
+    assert_eq!(answer.next_response(), Ok(Response::Ready));
+    assert!(answer.is_reusable());
 }
--- a/rehearse/src/node_soak/clients.rs
+++ b/rehearse/src/node_soak/clients.rs
@@ -249,7 +249,7 @@
 
     /// Takes messages off what came, up to the end of an answer.
     fn next_message(&mut self) -> Option<Heard> {
-        while let Ok(pg::Cut::Whole { tag, body, used }) = pg::frame(&self.came, pg::MOST_ROW) {
+        while let Ok(pg::Frame::Complete { tag, body, used }) = pg::read_frame(&self.came, pg::MAX_ROW_LEN) {
             let body = body.to_vec();
             self.came.drain(..used);
             match tag {
@@ -257,7 +257,7 @@
                 b'D' => self.partial = Some(Answer::Value(body.get(6..).unwrap_or_default().to_vec())),
                 b'E' => {
                     let code = pg::error_field(&body, b'C').unwrap_or_default();
-                    let rejected = [pg::TOO_MANY, pg::NOT_NOW].contains(&code);
+                    let rejected = [pg::TOO_MANY_CONNECTIONS, pg::CANNOT_CONNECT_NOW].contains(&code);
                     self.partial = Some(if rejected { Answer::Rejected } else { Answer::Failed });
                 }
                 _ => {}
--- a/rehearse/src/node_soak/machines.rs
+++ b/rehearse/src/node_soak/machines.rs
@@ -107,8 +107,8 @@
             }
             Conduct::Pauses => self.wait_while(conduct),
             Conduct::Resets => return None,
-            Conduct::Refuses => words = error(pg::TOO_MANY),
-            Conduct::Errs => words = error(pg::INTERNAL),
+            Conduct::Refuses => words = error(pg::TOO_MANY_CONNECTIONS),
+            Conduct::Errs => words = error(pg::INTERNAL_ERROR),
             Conduct::Halves => {
                 line.io.write_all(&words[..words.len() / 2]).ok()?;
                 return None;
--- a/standin/src/scripted.rs
+++ b/standin/src/scripted.rs
@@ -93,8 +93,8 @@
     /// Reads the startup message.
     pub fn hello(&mut self) -> Option<()> {
         let used = loop {
-            match pg::startup(&self.came) {
-                Ok(pg::Start::Begin { used }) => break used,
+            match pg::read_startup(&self.came) {
+                Ok(pg::StartupMessage::Startup { used }) => break used,
                 _ => more(&mut self.io, &mut self.came)?,
             }
         };
@@ -104,14 +104,14 @@
 
     pub fn welcome(&mut self) -> Option<()> {
         let mut out = Vec::new();
-        pg::put_welcome(&mut out);
+        pg::put_startup_response(&mut out);
         self.io.write_all(&out).ok()
     }
 
     /// The next query's text.
     pub fn query(&mut self) -> Option<String> {
         let (_, body) = message(&mut self.io, &mut self.came)?;
-        Some(pg::text(&body)?.to_string())
+        Some(pg::read_cstr(&body)?.to_string())
     }
 
     pub fn answers(&mut self, value: &[u8]) -> Option<()> {
@@ -137,7 +137,7 @@
 /// One message, whole; none: the connection is over.
 fn message(io: &mut TcpStream, came: &mut Vec<u8>) -> Option<(u8, Vec<u8>)> {
     loop {
-        if let Ok(pg::Cut::Whole { tag, body, used }) = pg::frame(came, 1 << 20) {
+        if let Ok(pg::Frame::Complete { tag, body, used }) = pg::read_frame(came, 1 << 20) {
             let whole = (tag, body.to_vec());
             came.drain(..used);
             return Some(whole);
@@ -168,25 +168,27 @@
     fn serve(&self, mut io: TcpStream, opens: Opens, number: usize) -> Option<()> {
         let mut came = Vec::new();
         let used = loop {
-            match pg::startup(&came) {
-                Ok(pg::Start::Begin { used }) => break used,
+            match pg::read_startup(&came) {
+                Ok(pg::StartupMessage::Startup { used }) => break used,
                 _ => more(&mut io, &mut came)?,
             }
         };
         came.drain(..used);
         let mut out = Vec::new();
         match opens {
-            Opens::Welcomes => pg::put_welcome(&mut out),
+            Opens::Welcomes => pg::put_startup_response(&mut out),
             Opens::Closes => return None,
             Opens::Never => {
                 more(&mut io, &mut came);
                 return None;
             }
-            Opens::Full => pg::put_error(&mut out, true, pg::TOO_MANY, "too many connections", None),
+            Opens::Full => {
+                pg::put_error(&mut out, true, pg::TOO_MANY_CONNECTIONS, "too many connections", None)
+            }
         }
         io.write_all(&out).ok()?;
         while let Some((b'Q', body)) = message(&mut io, &mut came) {
-            self.got.lock().unwrap().push((number, pg::text(&body).unwrap().to_string()));
+            self.got.lock().unwrap().push((number, pg::read_cstr(&body).unwrap().to_string()));
             let does = {
                 let mut script = self.script.lock().unwrap();
                 if script.len() > 1 {
