--- a/pg/src/lib.rs
+++ b/pg/src/lib.rs
@@ -1,5 +1,5 @@
-//! PostgreSQL's wire protocol, version 3, as far as simple queries go, for both sides of a front node. No I/O;
-//! every declared length is judged from its header, before a byte of the body is waited for.
+//! The simple-query part of PostgreSQL's wire protocol, version 3.0, for both the client and the server side of a front
+//! node. It does no I/O. Every declared length is checked as soon as the header is there, before the body is awaited.
 //!
 //! ```
 //! use rockpick_pg::{read_frame, put_query, read_cstr, Frame};
@@ -12,76 +12,71 @@
 
 pub use response::{Response, ResponseReader, MAX_RESPONSE_LEN};
 
-/// Longest startup message; servers in use take as much.
+/// Longest startup message; PostgreSQL servers accept the same length.
 pub const MAX_STARTUP_LEN: usize = 10_000;
-/// Largest value that a client may send, in bytes: what the platform promises.
+/// Largest value that a client may send, in bytes, as the platform specifies.
 pub const MAX_VALUE_LEN: usize = 64 * 1024;
-/// Largest value that is taken from a machine: eight times the promise, as answers of 400 KB were met.
+/// Largest value that is accepted from a machine: eight times the specified maximum, as answers of 400 KB occurred.
 pub const MAX_ROW_LEN: usize = 8 * MAX_VALUE_LEN;
-/// Longest query: the largest value in hex, and room for the statement around it.
+/// Longest query: the largest value in hex, plus the statement around it.
 pub const MAX_QUERY_LEN: usize = 2 * MAX_VALUE_LEN + 4_096;
 
-const V3: u32 = 196_608;
-const SSL: u32 = 80_877_103;
-const GSS: u32 = 80_877_104;
-const CANCEL: u32 = 80_877_102;
+const VERSION_3_0: u32 = 196_608;
+const SSL_REQUEST: u32 = 80_877_103;
+const GSSENC_REQUEST: u32 = 80_877_104;
+const CANCEL_REQUEST: u32 = 80_877_102;
 
-/// SQLSTATE codes that are used here.
+/// SQLSTATE codes.
 pub const TOO_MANY_CONNECTIONS: &str = "53300";
 pub const CANNOT_CONNECT_NOW: &str = "57P03";
 pub const INTERNAL_ERROR: &str = "XX000";
 pub const SYNTAX_ERROR: &str = "42601";
 pub const PROTOCOL_VIOLATION: &str = "08P01";
 
-/// Bytes that are no message of this protocol.
+/// Bytes that violate the protocol, with a description of the violation.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ProtocolError(pub &'static str);
 
-/// What stands at the front of a stream.
+/// The first message of a byte stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Frame<'a> {
-    /// Not whole yet.
     Incomplete,
-    Complete {
-        tag: u8,
-        body: &'a [u8],
-        used: usize,
-    },
+    Complete { tag: u8, body: &'a [u8], used: usize },
 }
 
 fn read_u32(bytes: &[u8]) -> Option<u32> {
     bytes.first_chunk::<4>().map(|b| u32::from_be_bytes(*b))
 }
 
-/// Cuts one message off. A body over `most` bytes is refused by its header alone.
+/// Reads one message. A body over `max_body` bytes is refused as soon as its header is there.
 ///
 /// # Errors
-/// A length that none can have, or too large a one.
-pub fn read_frame(bytes: &[u8], most: usize) -> Result<Frame<'_>, ProtocolError> {
+/// An invalid tag, or a length that is invalid or too large.
+pub fn read_frame(bytes: &[u8], max_body: usize) -> Result<Frame<'_>, ProtocolError> {
     let Some((&tag, rest)) = bytes.split_first() else { return Ok(Frame::Incomplete) };
     if !tag.is_ascii_alphabetic() {
         return Err(ProtocolError("no message begins so"));
     }
-    let Some(long) = read_u32(rest) else { return Ok(Frame::Incomplete) };
-    let long = long as usize;
-    if long < 4 || long - 4 > most {
+    let Some(len) = read_u32(rest) else { return Ok(Frame::Incomplete) };
+    let len = len as usize;
+    if len < 4 || len - 4 > max_body {
         return Err(ProtocolError("a message of such a length is not taken"));
     }
-    match rest.get(4..long) {
-        Some(body) => Ok(Frame::Complete { tag, body, used: 1 + long }),
+    match rest.get(4..len) {
+        Some(body) => Ok(Frame::Complete { tag, body, used: 1 + len }),
         None => Ok(Frame::Incomplete),
     }
 }
 
-/// How a client begins.
+/// A client's first message.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StartupMessage {
     Incomplete,
-    /// Asks for an encryption that is not had: answered by one `N`.
+    /// SSLRequest or GSSENCRequest; encryption is not supported, so the answer is a single `N`.
     EncryptionRequest {
         used: usize,
     },
-    /// Wants another connection's query ended; owed a close.
+    /// Asks to cancel a query of another connection; the protocol's only answer is to close the connection.
     CancelRequest,
     Startup {
         used: usize,
@@ -91,24 +86,24 @@
 /// Reads a client's first message.
 ///
 /// # Errors
-/// What is no startup message of version 3.
+/// Bytes that are not a startup message of version 3.0.
 pub fn read_startup(bytes: &[u8]) -> Result<StartupMessage, ProtocolError> {
-    let Some(long) = read_u32(bytes) else { return Ok(StartupMessage::Incomplete) };
-    let long = long as usize;
-    if !(8..=MAX_STARTUP_LEN).contains(&long) {
+    let Some(len) = read_u32(bytes) else { return Ok(StartupMessage::Incomplete) };
+    let len = len as usize;
+    if !(8..=MAX_STARTUP_LEN).contains(&len) {
         return Err(ProtocolError("a startup message of such a length is not taken"));
     }
     let Some(code) = read_u32(&bytes[4..]) else { return Ok(StartupMessage::Incomplete) };
     match code {
-        SSL | GSS if long == 8 => Ok(StartupMessage::EncryptionRequest { used: 8 }),
-        CANCEL => Ok(StartupMessage::CancelRequest),
-        V3 => {
-            let Some(body) = bytes.get(8..long) else { return Ok(StartupMessage::Incomplete) };
-            // Names and values in pairs, each ended by a zero, and one more zero.
-            let whole = body.strip_suffix(b"\0").filter(|b| b.is_empty() || b.ends_with(b"\0"));
-            let zeros = whole.map(|b| b.iter().filter(|c| **c == 0).count());
+        SSL_REQUEST | GSSENC_REQUEST if len == 8 => Ok(StartupMessage::EncryptionRequest { used: 8 }),
+        CANCEL_REQUEST => Ok(StartupMessage::CancelRequest),
+        VERSION_3_0 => {
+            let Some(body) = bytes.get(8..len) else { return Ok(StartupMessage::Incomplete) };
+            // Pairs of name and value, each zero-terminated, followed by a final zero.
+            let pairs = body.strip_suffix(b"\0").filter(|b| b.is_empty() || b.ends_with(b"\0"));
+            let zeros = pairs.map(|b| b.iter().filter(|c| **c == 0).count());
             match zeros {
-                Some(zeros) if zeros % 2 == 0 => Ok(StartupMessage::Startup { used: long }),
+                Some(zeros) if zeros % 2 == 0 => Ok(StartupMessage::Startup { used: len }),
                 _ => Err(ProtocolError("startup words that don't come in pairs")),
             }
         }
@@ -116,81 +111,85 @@
     }
 }
 
-/// A body that is one text ended by a zero.
+/// Reads a body that is a single zero-terminated UTF-8 string.
 pub fn read_cstr(body: &[u8]) -> Option<&str> {
     let text = body.strip_suffix(b"\0")?;
     std::str::from_utf8(text).ok().filter(|t| !t.contains('\0'))
 }
 
-fn put(out: &mut Vec<u8>, tag: u8, fill: impl FnOnce(&mut Vec<u8>)) {
+fn put_message(out: &mut Vec<u8>, tag: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
     out.push(tag);
-    let at = out.len();
+    let start = out.len();
     out.extend([0; 4]);
-    fill(out);
-    let long = (out.len() - at) as u32;
-    out[at..at + 4].copy_from_slice(&long.to_be_bytes());
+    write_body(out);
+    put_len(out, start);
+}
+
+/// Fills in the length field at `start`, which counts itself and all bytes after it.
+fn put_len(out: &mut [u8], start: usize) {
+    let len = (out.len() - start) as u32;
+    out[start..start + 4].copy_from_slice(&len.to_be_bytes());
 }
 
-fn put_text(out: &mut Vec<u8>, text: &str) {
-    // A zero inside would end the field early.
+fn put_cstr(out: &mut Vec<u8>, text: &str) {
+    // An embedded zero would terminate the field early.
     out.extend(text.bytes().filter(|b| *b != 0));
     out.push(0);
 }
 
 pub fn put_startup(out: &mut Vec<u8>, user: &str, database: &str) {
-    let at = out.len();
+    let start = out.len();
     out.extend([0; 4]);
-    out.extend(V3.to_be_bytes());
-    for word in ["user", user, "database", database] {
-        put_text(out, word);
+    out.extend(VERSION_3_0.to_be_bytes());
+    for parameter in ["user", user, "database", database] {
+        put_cstr(out, parameter);
     }
     out.push(0);
-    let long = (out.len() - at) as u32;
-    out[at..at + 4].copy_from_slice(&long.to_be_bytes());
+    put_len(out, start);
 }
 
 pub fn put_query(out: &mut Vec<u8>, statement: &str) {
-    put(out, b'Q', |out| put_text(out, statement));
+    put_message(out, b'Q', |out| put_cstr(out, statement));
 }
 
-/// What a server says to a startup message: welcome without a password, a few parameters, ready.
+/// A server's response to a startup message: authentication ok without a password, parameters, ready for query.
 pub fn put_startup_response(out: &mut Vec<u8>) {
-    put(out, b'R', |out| out.extend(0u32.to_be_bytes()));
+    put_message(out, b'R', |out| out.extend(0u32.to_be_bytes()));
     for (name, value) in [
         ("server_version", "14.0"),
         ("server_encoding", "UTF8"),
         ("client_encoding", "UTF8"),
         ("standard_conforming_strings", "on"),
     ] {
-        put(out, b'S', |out| {
-            put_text(out, name);
-            put_text(out, value);
+        put_message(out, b'S', |out| {
+            put_cstr(out, name);
+            put_cstr(out, value);
         });
     }
-    put(out, b'K', |out| out.extend([0; 8]));
+    put_message(out, b'K', |out| out.extend([0; 8]));
     put_ready(out);
 }
 
 pub fn put_ready(out: &mut Vec<u8>) {
-    put(out, b'Z', |out| out.push(b'I'));
+    put_message(out, b'Z', |out| out.push(b'I'));
 }
 
 pub fn put_empty_query_response(out: &mut Vec<u8>) {
-    put(out, b'I', |_| {});
+    put_message(out, b'I', |_| {});
     put_ready(out);
 }
 
-/// An error; one that is `fatal` ends the connection, any other is followed by ready.
+/// An ErrorResponse. ReadyForQuery follows unless it is `fatal`, which ends the connection.
 pub fn put_error(out: &mut Vec<u8>, fatal: bool, code: &str, message: &str, detail: Option<&str>) {
     let severity = if fatal { "FATAL" } else { "ERROR" };
-    put(out, b'E', |out| {
+    put_message(out, b'E', |out| {
         for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message)] {
             out.push(field);
-            put_text(out, value);
+            put_cstr(out, value);
         }
         if let Some(detail) = detail {
             out.push(b'D');
-            put_text(out, detail);
+            put_cstr(out, detail);
         }
         out.push(0);
     });
@@ -199,7 +198,7 @@
     }
 }
 
-/// One field of an error's body.
+/// The value of a field of an ErrorResponse body.
 pub fn error_field(body: &[u8], field: u8) -> Option<&str> {
     let mut rest = body;
     while let Some((&tag, after)) = rest.split_first().filter(|(tag, _)| **tag != 0) {
@@ -212,21 +211,21 @@
     None
 }
 
-/// One row of one column, as a server answers a query (for peers in tests).
-pub fn put_row(out: &mut Vec<u8>, column: &str, value: &[u8], done: &str) {
-    put(out, b'T', |out| {
+/// A query result of one row and one column, as test servers send it.
+pub fn put_row(out: &mut Vec<u8>, column: &str, value: &[u8], command_tag: &str) {
+    put_message(out, b'T', |out| {
         out.extend(1u16.to_be_bytes());
-        put_text(out, column);
-        out.extend([0; 6]); // of no table
+        put_cstr(out, column);
+        out.extend([0; 6]); // no table, no column number
         out.extend(17u32.to_be_bytes()); // bytea
         out.extend((-1i16).to_be_bytes());
         out.extend((-1i32).to_be_bytes());
         out.extend(1u16.to_be_bytes()); // binary
     });
-    put(out, b'D', |out| {
+    put_message(out, b'D', |out| {
         out.extend(1u16.to_be_bytes());
         out.extend((value.len() as u32).to_be_bytes());
         out.extend(value);
     });
-    put(out, b'C', |out| put_text(out, done));
+    put_message(out, b'C', |out| put_cstr(out, command_tag));
 }
--- a/pg/src/response.rs
+++ b/pg/src/response.rs
@@ -1,128 +1,123 @@
-//! A machine's side of a connection, read message by message: its welcome, then answers to queries. An answer
-//! is believed only if it is whole and well formed; nothing of it is handed on before that.
+//! Reads what a machine sends on a connection: the startup response, then answers to queries. An answer is returned only
+//! once it is complete and well formed; no part of it is passed on before.
 use crate::{error_field, read_cstr, read_frame, Frame, ProtocolError, MAX_ROW_LEN};
 
-/// Most bytes of an answer that are gathered: a value, its row's description and its end.
+/// Most bytes of an answer that are buffered: a value, its row description and the command completion.
 pub const MAX_RESPONSE_LEN: usize = MAX_ROW_LEN + 4_096;
-/// Longest message besides the row.
-const MOST_OTHER: usize = 2_048;
-/// Notices and parameters let pass between two answers; more is noise.
-const MOST_ASIDES: u32 = 64;
+/// Longest message other than the data row.
+const MAX_OTHER_LEN: usize = 2_048;
+/// Most notices and parameter messages that are skipped between two answers; more is treated as a violation.
+const MAX_ASYNC_MESSAGES: u32 = 64;
 
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
-enum Step {
-    /// Its welcome is awaited.
+enum State {
+    /// Awaits the startup response.
     #[default]
-    Opening,
+    Startup,
     Idle,
-    /// A query is out: description, row and end are awaited, in this order.
-    Asked,
-    Described,
-    Row,
-    /// The answer stands; the connection is not ready yet.
-    Done,
+    /// A query was sent; row description, data row and command completion must follow in this order.
+    QuerySent,
+    RowDescribed,
+    RowReceived,
+    /// The answer is complete; ReadyForQuery is awaited.
+    Complete,
 }
 
-/// What has come.
+/// The next complete thing that a machine has sent.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Response {
-    /// Nothing whole yet.
     Incomplete,
-    /// Ready for a query.
     Ready,
-    /// A whole answer: description, row and end as they came.
+    /// A complete answer: the bytes of row description, data row and command completion, unchanged.
     Row(Vec<u8>),
-    /// An error with its code; it ends the connection, or readiness follows.
+    /// An error's SQLSTATE code. Either ReadyForQuery follows or the machine closes the connection.
     Error(String),
 }
 
-/// Reads what a machine sends.
 #[derive(Default)]
 pub struct ResponseReader {
-    came: Vec<u8>,
-    /// Of `came`: messages of the answer that are read already.
-    kept: usize,
-    step: Step,
-    asides: u32,
+    buffer: Vec<u8>,
+    /// Length of the answer's messages at the start of `buffer` that are already parsed.
+    parsed: usize,
+    state: State,
+    async_messages: u32,
 }
 
 impl ResponseReader {
-    /// A query has been written.
     pub fn query_sent(&mut self) {
-        self.step = Step::Asked;
-        self.asides = 0;
+        self.state = State::QuerySent;
+        self.async_messages = 0;
     }
 
-    /// Is the connection fit for another query: ready, and nothing behind the last answer?
+    /// Whether another query may be sent: the machine is ready, and nothing follows its last answer.
     pub fn is_reusable(&self) -> bool {
-        self.step == Step::Idle && self.came.is_empty()
+        self.state == State::Idle && self.buffer.is_empty()
     }
 
-    /// Has the machine been heard to be ready since it was dialled?
+    /// Whether the machine has been ready for a query since the connection was opened.
     pub fn is_open(&self) -> bool {
-        self.step != Step::Opening
+        self.state != State::Startup
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
-        self.came.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes held.
     pub fn buffered_len(&self) -> usize {
-        self.came.len()
+        self.buffer.len()
     }
 
-    /// The header of the message that is read next, for the log: its tag and declared length.
+    /// Tag and declared length of the next message, for the log.
     pub fn header(&self) -> Option<(u8, u32)> {
-        let next = &self.came[self.kept..];
+        let next = &self.buffer[self.parsed..];
         Some((*next.first()?, crate::read_u32(&next[1..])?))
     }
 
-    /// The next thing that has come whole.
+    /// Takes the next complete response from the buffer.
     ///
     /// # Errors
-    /// What no machine may say here: the connection is of no further use.
+    /// A message that is not allowed in the current state; the connection can't be used any further.
     pub fn next_response(&mut self) -> Result<Response, ProtocolError> {
         loop {
-            // While nothing is owed, whatever comes is noise: the step decides below.
-            let most = if self.step == Step::Described { MAX_ROW_LEN + 6 } else { MOST_OTHER };
-            let (tag, used, said) = match read_frame(&self.came[self.kept..], most)? {
-                Frame::Incomplete if self.came.len() > MAX_RESPONSE_LEN => {
+            // Messages that no query asked for are rejected by `classify`, whatever their length.
+            let max_body = if self.state == State::RowDescribed { MAX_ROW_LEN + 6 } else { MAX_OTHER_LEN };
+            let (tag, used, message) = match read_frame(&self.buffer[self.parsed..], max_body)? {
+                Frame::Incomplete if self.buffer.len() > MAX_RESPONSE_LEN => {
                     return Err(ProtocolError("too long an answer"))
                 }
                 Frame::Incomplete => return Ok(Response::Incomplete),
-                Frame::Complete { tag, body, used } => (tag, used, read(self.step, tag, body)?),
+                Frame::Complete { tag, body, used } => (tag, used, classify(self.state, tag, body)?),
             };
-            match said {
-                Said::Aside => {
-                    self.asides += 1;
-                    if self.asides > MOST_ASIDES {
+            match message {
+                Message::Async => {
+                    self.async_messages += 1;
+                    if self.async_messages > MAX_ASYNC_MESSAGES {
                         return Err(ProtocolError("more notices than an answer has"));
                     }
-                    self.came.drain(self.kept..self.kept + used);
+                    self.buffer.drain(self.parsed..self.parsed + used);
                 }
-                Said::Part(step) => {
-                    self.kept += used;
-                    self.step = step;
+                Message::Part(state) => {
+                    self.parsed += used;
+                    self.state = state;
                     if tag == b'C' {
-                        let rest = self.came.split_off(self.kept);
-                        self.kept = 0;
-                        return Ok(Response::Row(std::mem::replace(&mut self.came, rest)));
+                        let rest = self.buffer.split_off(self.parsed);
+                        self.parsed = 0;
+                        return Ok(Response::Row(std::mem::replace(&mut self.buffer, rest)));
                     }
                 }
-                Said::Ready => {
-                    self.came.drain(..used);
-                    self.step = Step::Idle;
-                    self.asides = 0;
-                    if self.came.is_empty() {
-                        self.came = Vec::new();
+                Message::Ready => {
+                    self.buffer.drain(..used);
+                    self.state = State::Idle;
+                    self.async_messages = 0;
+                    if self.buffer.is_empty() {
+                        self.buffer = Vec::new();
                     }
                     return Ok(Response::Ready);
                 }
-                Said::Error(code) => {
-                    self.came.drain(..self.kept + used);
-                    self.kept = 0;
-                    self.step = if self.step == Step::Opening { Step::Opening } else { Step::Done };
+                Message::Error(code) => {
+                    self.buffer.drain(..self.parsed + used);
+                    self.parsed = 0;
+                    self.state = if self.state == State::Startup { State::Startup } else { State::Complete };
                     return Ok(Response::Error(code));
                 }
             }
@@ -130,39 +125,44 @@
     }
 }
 
-enum Said {
-    Aside,
-    Part(Step),
+/// What a message means in the current state.
+enum Message {
+    /// A notice or parameter, which changes nothing.
+    Async,
+    /// A part of the answer, and the state after it.
+    Part(State),
     Ready,
     Error(String),
 }
 
-fn read(step: Step, tag: u8, body: &[u8]) -> Result<Said, ProtocolError> {
-    Ok(match (step, tag) {
-        // A parameter that can't be read, a load report among them, harms nobody.
-        (_, b'S' | b'N') => Said::Aside,
-        (Step::Opening, b'R') if body == [0; 4] => Said::Aside,
-        (Step::Opening, b'K') => Said::Aside,
-        (Step::Opening | Step::Done, b'Z') if matches!(body, [b'I']) => Said::Ready,
-        (Step::Asked, b'T') if described(body) => Said::Part(Step::Described),
-        (Step::Described, b'D') if row(body) => Said::Part(Step::Row),
-        (Step::Row, b'C') if read_cstr(body).is_some_and(|t| !t.is_empty()) => Said::Part(Step::Done),
-        (Step::Opening | Step::Asked | Step::Described | Step::Row, b'E') => {
+fn classify(state: State, tag: u8, body: &[u8]) -> Result<Message, ProtocolError> {
+    Ok(match (state, tag) {
+        // Unknown parameters, such as load reports, are skipped.
+        (_, b'S' | b'N') => Message::Async,
+        (State::Startup, b'R') if body == [0; 4] => Message::Async,
+        (State::Startup, b'K') => Message::Async,
+        (State::Startup | State::Complete, b'Z') if matches!(body, [b'I']) => Message::Ready,
+        (State::QuerySent, b'T') if is_row_description(body) => Message::Part(State::RowDescribed),
+        (State::RowDescribed, b'D') if is_data_row(body) => Message::Part(State::RowReceived),
+        (State::RowReceived, b'C') if read_cstr(body).is_some_and(|t| !t.is_empty()) => {
+            Message::Part(State::Complete)
+        }
+        (State::Startup | State::QuerySent | State::RowDescribed | State::RowReceived, b'E') => {
             let code = error_field(body, b'C').filter(|c| c.len() == 5 && body.ends_with(b"\0"));
-            Said::Error(code.ok_or(ProtocolError("an error without a code"))?.to_string())
+            Message::Error(code.ok_or(ProtocolError("an error without a code"))?.to_string())
         }
         _ => return Err(ProtocolError("not what comes next")),
     })
 }
 
-/// One column: its name, then 18 bytes.
-fn described(body: &[u8]) -> bool {
+/// A RowDescription of one column: its name, then 18 bytes.
+fn is_row_description(body: &[u8]) -> bool {
     let name = body.strip_prefix(&[0, 1]).and_then(|rest| rest.iter().position(|b| *b == 0));
     name.is_some_and(|end| body.len() == 2 + end + 1 + 18)
 }
 
-/// One value, as long as it says, and not absent.
-fn row(body: &[u8]) -> bool {
-    let long = body.strip_prefix(&[0, 1]).and_then(|rest| rest.first_chunk::<4>());
-    long.is_some_and(|l| i32::from_be_bytes(*l) >= 0 && body.len() == 6 + u32::from_be_bytes(*l) as usize)
+/// A DataRow of one value that is not NULL and has the declared length.
+fn is_data_row(body: &[u8]) -> bool {
+    let len = body.strip_prefix(&[0, 1]).and_then(|rest| rest.first_chunk::<4>());
+    len.is_some_and(|l| i32::from_be_bytes(*l) >= 0 && body.len() == 6 + u32::from_be_bytes(*l) as usize)
 }
--- a/pg/tests/peer.rs
+++ b/pg/tests/peer.rs
@@ -1,4 +1,4 @@
-//! The framing against a well-kept library of the same protocol, and against cut and spoilt bytes.
+//! Tests the framing against the `postgres-protocol` crate, and with truncated and corrupted bytes.
 use bytes::BytesMut;
 use fallible_iterator::FallibleIterator;
 use postgres_protocol::message::backend::Message;
@@ -16,12 +16,12 @@
 }
 
 #[test]
-fn the_library_understands_what_is_said_to_clients() {
+fn the_library_parses_messages_to_clients() {
     let mut out = Vec::new();
     put_startup_response(&mut out);
-    let said = messages(&out);
-    assert!(matches!(said.first(), Some(Message::AuthenticationOk)));
-    assert!(matches!(said.last(), Some(Message::ReadyForQuery(_))));
+    let sent = messages(&out);
+    assert!(matches!(sent.first(), Some(Message::AuthenticationOk)));
+    assert!(matches!(sent.last(), Some(Message::ReadyForQuery(_))));
     let mut out = Vec::new();
     put_empty_query_response(&mut out);
     assert!(matches!(messages(&out)[..], [Message::EmptyQueryResponse, Message::ReadyForQuery(_)]));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_library_s_words_are_read_whole_and_cut_at_each_byte() {
+fn the_library_s_messages_are_parsed_when_complete_and_incomplete_at_each_shorter_length() {
     let mut out = BytesMut::new();
     frontend::startup_message([("user", "api"), ("database", "ledger")], &mut out).unwrap();
     let hello = out.len();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn lengths_at_their_bounds_are_taken_and_past_them_refused_by_the_header_alone() {
+fn lengths_up_to_their_bounds_are_accepted_and_beyond_them_refused_by_the_header_alone() {
     let header = |long: u32| [&b"Q"[..], &long.to_be_bytes()].concat();
     assert_eq!(read_frame(&header(104), 100), Ok(Frame::Incomplete));
     for long in [0, 3, 105, 60 << 20, u32::MAX] {
@@ -78,8 +78,8 @@
     assert!(read_startup(b"GET / HTTP/1.1\r\n").is_err());
 }
 
-/// A machine's welcome, answer and readiness.
-fn said(value: &[u8]) -> (Vec<u8>, Vec<u8>, Vec<u8>) {
+/// A machine's startup response, answer and ReadyForQuery.
+fn server_messages(value: &[u8]) -> (Vec<u8>, Vec<u8>, Vec<u8>) {
     let (mut welcome, mut row, mut ready) = (Vec::new(), Vec::new(), Vec::new());
     put_startup_response(&mut welcome);
     put_row(&mut row, "blob", value, "SELECT 1");
@@ -87,96 +87,96 @@
     (welcome, row, ready)
 }
 
-fn asked() -> ResponseReader {
-    let mut answer = ResponseReader::default();
-    answer.push(&said(b"").0);
-    assert_eq!(answer.next_response(), Ok(Response::Ready));
-    answer.query_sent();
-    answer
+fn reader_after_query() -> ResponseReader {
+    let mut reader = ResponseReader::default();
+    reader.push(&server_messages(b"").0);
+    assert_eq!(reader.next_response(), Ok(Response::Ready));
+    reader.query_sent();
+    reader
 }
 
 #[test]
 fn an_answer_cut_at_each_byte_is_the_same_answer() {
-    let (_, row, ready) = said(b"value");
+    let (_, row, ready) = server_messages(b"value");
     let whole = [&row[..], &ready].concat();
     for cut in 0..whole.len() {
-        let mut answer = asked();
-        answer.push(&whole[..cut]);
-        let mut heard = vec![answer.next_response()];
-        answer.push(&whole[cut..]);
+        let mut reader = reader_after_query();
+        reader.push(&whole[..cut]);
+        let mut heard = vec![reader.next_response()];
+        reader.push(&whole[cut..]);
         for _ in 0..3 {
-            heard.push(answer.next_response());
+            heard.push(reader.next_response());
         }
         heard.retain(|h| *h != Ok(Response::Incomplete));
         assert_eq!(heard, [Ok(Response::Row(row.clone())), Ok(Response::Ready)], "{cut}");
-        assert!(answer.is_reusable());
+        assert!(reader.is_reusable());
     }
 }
 
-/// A spoilt byte is an odd answer, one that does not end, or one as long as before: never one out of step.
+/// A flipped bit makes the answer invalid or incomplete, or leaves its length unchanged: the stream is never out of step.
 #[test]
-fn single_bytes_flipped_never_bring_an_answer_of_another_length() {
-    let (_, row, ready) = said(b"value");
+fn a_flipped_bit_never_yields_an_answer_of_another_length() {
+    let (_, row, ready) = server_messages(b"value");
     let whole = [&row[..], &ready].concat();
-    let mut odd = 0;
+    let mut invalid = 0;
     for at in 0..whole.len() {
         for bit in 0..8 {
-            let mut spoilt = whole.clone();
-            spoilt[at] ^= 1 << bit;
-            let mut answer = asked();
-            answer.push(&spoilt);
-            match answer.next_response() {
+            let mut corrupted = whole.clone();
+            corrupted[at] ^= 1 << bit;
+            let mut reader = reader_after_query();
+            reader.push(&corrupted);
+            match reader.next_response() {
                 Ok(Response::Row(taken)) => assert_eq!(taken.len(), row.len(), "byte {at}, bit {bit}"),
                 Ok(Response::Incomplete) => {}
                 Ok(other) => panic!("{other:?}: byte {at}, bit {bit}"),
-                Err(_) => odd += 1,
+                Err(_) => invalid += 1,
             }
         }
     }
-    assert!(odd > 100, "{odd}");
+    assert!(invalid > 100, "{invalid}");
 }
 
 #[test]
-fn what_no_machine_may_say_ends_the_connection() {
-    let (_, row, ready) = said(b"value");
+fn messages_that_a_machine_may_not_send_make_the_connection_unusable() {
+    let (_, row, ready) = server_messages(b"value");
     let mut huge = row.clone();
     let at = huge.iter().position(|b| *b == b'D').unwrap();
     huge[at + 1..at + 5].copy_from_slice(&3_000_000_000u32.to_be_bytes());
-    let mut answer = asked();
-    answer.push(&huge[..at + 5]);
-    assert!(answer.next_response().is_err(), "3 GB are not waited for");
-    // At the bound of a row it is taken, past it not.
+    let mut reader = reader_after_query();
+    reader.push(&huge[..at + 5]);
+    assert!(reader.next_response().is_err(), "3 GB are not waited for");
+    // A row of the maximum length is accepted, a longer one is not.
     for (long, taken) in [(MAX_ROW_LEN, true), (MAX_ROW_LEN + 1, false)] {
-        let mut answer = asked();
-        answer.push(&said(&vec![7; long]).1);
-        assert_eq!(matches!(answer.next_response(), Ok(Response::Row(_))), taken, "{long}");
+        let mut reader = reader_after_query();
+        reader.push(&server_messages(&vec![7; long]).1);
+        assert_eq!(matches!(reader.next_response(), Ok(Response::Row(_))), taken, "{long}");
     }
-    // A second copy directly behind: the answer stands, and the connection is of no further use.
-    let mut answer = asked();
-    answer.push(&[&row[..], &ready, &row, &ready].concat());
-    assert_eq!(answer.next_response(), Ok(Response::Row(row.clone())));
-    assert_eq!(answer.next_response(), Ok(Response::Ready));
-    assert!(!answer.is_reusable() && answer.next_response().is_err());
-    // An end without a row, a row that is absent, notices without end.
+    // A second copy right after the answer: the answer is valid, and the connection is no longer usable.
+    let mut reader = reader_after_query();
+    reader.push(&[&row[..], &ready, &row, &ready].concat());
+    assert_eq!(reader.next_response(), Ok(Response::Row(row.clone())));
+    assert_eq!(reader.next_response(), Ok(Response::Ready));
+    assert!(!reader.is_reusable() && reader.next_response().is_err());
+    // A NULL value, and more notices than allowed.
     let mut none = Vec::new();
     put_row(&mut none, "blob", b"", "SELECT 1");
     let at = none.iter().position(|b| *b == b'D').unwrap();
     none[at + 7..at + 11].copy_from_slice(&(-1i32).to_be_bytes());
-    let mut answer = asked();
-    answer.push(&none);
-    assert!(answer.next_response().is_err());
-    let mut answer = asked();
-    answer.push(&b"N\0\0\0\x04".repeat(100));
-    assert!(answer.next_response().is_err());
+    let mut reader = reader_after_query();
+    reader.push(&none);
+    assert!(reader.next_response().is_err());
+    let mut reader = reader_after_query();
+    reader.push(&b"N\0\0\0\x04".repeat(100));
+    assert!(reader.next_response().is_err());
 }
 
 #[test]
-fn an_error_is_told_by_its_code_and_readiness_follows() {
-    let mut answer = asked();
+fn an_error_is_reported_by_its_code_and_ready_follows() {
+    let mut reader = reader_after_query();
     let mut out = Vec::new();
     put_error(&mut out, false, INTERNAL_ERROR, "broken", None);
-    answer.push(&out);
-    assert_eq!(answer.next_response(), Ok(Response::Error("XX000".into())));
-    assert_eq!(answer.next_response(), Ok(Response::Ready));
-    assert!(answer.is_reusable());
+    reader.push(&out);
+    assert_eq!(reader.next_response(), Ok(Response::Error("XX000".into())));
+    assert_eq!(reader.next_response(), Ok(Response::Ready));
+    assert!(reader.is_reusable());
 }
