--- a/front-settings/src/lib.rs
+++ b/front-settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a front is told at start, as the simulator's pairs or the platform's JSON give it, made into the
-//! module's [`Post`]: once, for the adapter and the node alike. What is not asked for is skipped.
+//! Parses a front's settings, given as the simulator's key=value pairs or the platform's JSON, into the decision module's
+//! [`Post`], for both the adapter and the node. Unknown settings are ignored.
 //!
 //! ```
-//! let told = serde_json::json!({ "balancers": 3, "lanes": [{ "aimMs": 330.0, "idempotency": "free" }] });
-//! let settings = rockpick_front_settings::SettingsMap::from_json(&told);
+//! let json = serde_json::json!({ "balancers": 3, "lanes": [{ "aimMs": 330.0, "idempotency": "free" }] });
+//! let settings = rockpick_front_settings::SettingsMap::from_json(&json);
 //! let post = rockpick_front_settings::parse_post(7, &settings).unwrap();
 //! assert_eq!((post.fronts, post.methods[0].soft_deadline), (3, 330_000_000));
 //! ```
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Most methods told of: tables of the module have a row a method.
+/// Most methods in the settings: the decision module's tables have a row per method.
 pub const MAX_METHODS: u32 = 256;
 
 /// A field that could not be read.
@@ -21,37 +21,37 @@
     pub why: String,
 }
 
-pub fn number(word: &str) -> Option<f64> {
-    word.parse::<f64>().ok().filter(|x| x.is_finite())
+pub fn number(text: &str) -> Option<f64> {
+    text.parse::<f64>().ok().filter(|x| x.is_finite())
 }
 
-/// Milliseconds as told, whole nanoseconds inside; the simulator counts in microseconds.
-pub fn nanos(word: &str) -> Option<Ns> {
-    number(word).filter(|ms| ms.abs() < 9e12).map(|ms| (ms * 1e3).round() as i64 * 1000)
+/// Parses milliseconds into nanoseconds, rounded to the microsecond, the simulator's resolution.
+pub fn nanos(text: &str) -> Option<Ns> {
+    number(text).filter(|ms| ms.abs() < 9e12).map(|ms| (ms * 1e3).round() as i64 * 1000)
 }
 
-/// The settings by path: `lanes.0.aimMs`, and `lanes.count` for a list's length.
+/// Settings by path, such as `lanes.0.aimMs`; `lanes.count` is the length of the list `lanes`.
 pub struct SettingsMap(BTreeMap<String, String>);
 
 impl SettingsMap {
-    /// Reads pairs, split by single spaces.
+    /// Parses key=value pairs that are separated by single spaces.
     ///
     /// # Errors
-    /// A pair without a value.
+    /// A pair without a `=`.
     pub fn from_pairs(text: &str) -> Result<SettingsMap, FieldError> {
         let mut settings = BTreeMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty() && *pair != "-") {
-            let wrong = || FieldError { field: "conf".into(), why: format!("no '=' in '{pair}'") };
-            let (path, value) = pair.split_once('=').ok_or_else(wrong)?;
+            let error = || FieldError { field: "conf".into(), why: format!("no '=' in '{pair}'") };
+            let (path, value) = pair.split_once('=').ok_or_else(error)?;
             settings.insert(path.to_string(), value.to_string());
         }
         Ok(SettingsMap(settings))
     }
 
-    /// Nested JSON under the same names: a list of plain values is joined by commas, as in pairs.
-    pub fn from_json(told: &Value) -> SettingsMap {
+    /// Flattens nested JSON into the same paths; a list of plain values is joined by commas, as in the pairs.
+    pub fn from_json(json: &Value) -> SettingsMap {
         let mut settings = BTreeMap::new();
-        flatten(String::new(), told, &mut settings);
+        flatten(String::new(), json, &mut settings);
         SettingsMap(settings)
     }
 
@@ -59,11 +59,13 @@
         self.0.get(path).map_or("", String::as_str)
     }
 
-    pub fn parse<T>(&self, path: &str, none: T, read: impl Fn(&str) -> Option<T>) -> Result<T, FieldError> {
+    pub fn parse<T>(
+        &self, path: &str, default: T, read: impl Fn(&str) -> Option<T>,
+    ) -> Result<T, FieldError> {
         match self.text(path) {
-            "" | "-" => Ok(none),
-            word => read(word)
-                .ok_or_else(|| FieldError { field: path.into(), why: format!("cannot read '{word}'") }),
+            "" | "-" => Ok(default),
+            text => read(text)
+                .ok_or_else(|| FieldError { field: path.into(), why: format!("cannot read '{text}'") }),
         }
     }
 
@@ -72,7 +74,7 @@
     }
 
     pub fn integer(&self, path: &str) -> Result<u32, FieldError> {
-        self.parse(path, 0, |word| number(word).filter(|x| *x >= 0.0).map(|x| x as u32))
+        self.parse(path, 0, |text| number(text).filter(|x| *x >= 0.0).map(|x| x as u32))
     }
 
     pub fn duration(&self, path: &str) -> Result<Ns, FieldError> {
@@ -80,7 +82,7 @@
     }
 
     pub fn flag(&self, path: &str) -> Result<bool, FieldError> {
-        self.parse(path, false, |word| match word {
+        self.parse(path, false, |text| match text {
             "true" | "1" | "1.0" => Some(true),
             "false" | "0" | "0.0" => Some(false),
             _ => None,
@@ -88,18 +90,18 @@
     }
 
     pub fn numbers(&self, path: &str) -> Result<Vec<f64>, FieldError> {
-        self.parse(path, Vec::new(), |word| word.split(',').map(number).collect())
+        self.parse(path, Vec::new(), |text| text.split(',').map(number).collect())
     }
 
-    /// A list of plain words.
+    /// A comma-separated list of strings.
     pub fn strings(&self, path: &str) -> Vec<String> {
         self.text(path).split(',').filter(|w| !w.is_empty()).map(str::to_string).collect()
     }
 
-    /// One word of each row of a list of objects.
+    /// One field of each object in a list.
     ///
     /// # Errors
-    /// A length that is none.
+    /// A length that is not a number.
     pub fn column(&self, list: &str, name: &str) -> Result<Vec<String>, FieldError> {
         let rows = self.integer(&format!("{list}.count"))?.min(MAX_METHODS);
         Ok((0..rows).map(|row| self.text(&format!("{list}.{row}.{name}")).to_string()).collect())
@@ -108,7 +110,7 @@
 
 fn flatten(path: String, value: &Value, settings: &mut BTreeMap<String, String>) {
     let plain = |value: &Value| match value {
-        Value::String(word) => word.clone(),
+        Value::String(text) => text.clone(),
         Value::Null => String::new(),
         other => other.to_string(),
     };
@@ -128,10 +130,10 @@
     }
 }
 
-/// The module's post.
+/// Builds the decision module's [`Post`] from settings.
 ///
 /// # Errors
-/// The first field that can't be read.
+/// The first field that can't be parsed.
 pub fn parse_post(seed: u64, settings: &SettingsMap) -> Result<Post, FieldError> {
     let rows = settings.integer("lanes.count")?;
     if rows > MAX_METHODS {
@@ -145,13 +147,13 @@
         Ok(Method {
             soft_deadline: settings.duration(&at("aimMs"))?,
             utility: settings.float(&at("importance"))?,
-            repeat: settings.parse(&at("idempotency"), Repeat::NonIdempotent, |word| match word {
+            repeat: settings.parse(&at("idempotency"), Repeat::NonIdempotent, |text| match text {
                 "free" => Some(Repeat::Idempotent),
                 "guarded" => Some(Repeat::Tokened),
                 "single_shot" => Some(Repeat::NonIdempotent),
                 _ => None,
             })?,
-            group: settings.parse(&at("keyScope"), Group::Cell, |word| match word {
+            group: settings.parse(&at("keyScope"), Group::Cell, |text| match text {
                 "all" => Some(Group::All),
                 "zone" => Some(Group::Zone),
                 "cell" => Some(Group::Cell),
@@ -171,7 +173,7 @@
         handshake_price: settings.float("charges.handshake")?,
         methods: methods.collect::<Result<_, FieldError>>()?,
         rollout: Rollout {
-            control: settings.parse("extra.control", Control::FirstVoice, |word| match word {
+            control: settings.parse("extra.control", Control::FirstVoice, |text| match text {
                 "first_voice" => Some(Control::FirstVoice),
                 "by_count" => Some(Control::ByCount),
                 "automatic" => Some(Control::Automatic),
@@ -219,24 +221,24 @@
 
     #[test]
     fn pairs_and_json_make_the_same_post() {
-        let told = json!({ "balancers": 2, "discovery": "subscribe", "lanes": [
+        let json = json!({ "balancers": 2, "discovery": "subscribe", "lanes": [
             { "aimMs": 330.0, "importance": 2.0, "idempotency": "single_shot", "keyScope": "zone" }],
             "extra": { "exposureCaps": [0.14, 1.0], "oneWay": true }, "permissions": { "retryAfter": true, "maxRetryAfterMs": 2000 } });
         let pairs = "balancers=2 discovery=subscribe lanes.count=1 lanes.0.aimMs=330.0 lanes.0.importance=2.0 \
             lanes.0.idempotency=single_shot lanes.0.keyScope=zone extra.exposureCaps=0.14,1.0 extra.oneWay=true \
             permissions.retryAfter=true permissions.maxRetryAfterMs=2000 -";
-        let a = parse_post(7, &SettingsMap::from_json(&told)).unwrap();
+        let a = parse_post(7, &SettingsMap::from_json(&json)).unwrap();
         let b = parse_post(7, &SettingsMap::from_pairs(pairs).unwrap()).unwrap();
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
         assert_eq!((a.rollout.caps, a.rights.longest_wait), (vec![0.14, 1.0], 2_000_000_000));
     }
 
     #[test]
-    fn a_field_that_can_t_be_read_is_named() {
-        let wrong = |told: Value| parse_post(7, &SettingsMap::from_json(&told)).unwrap_err().field;
-        assert_eq!(wrong(json!({ "lanes": [{ "aimMs": "soon" }] })), "lanes.0.aimMs");
-        assert_eq!(wrong(json!({ "lanes": [{ "idempotency": "often" }] })), "lanes.0.idempotency");
-        assert_eq!(wrong(json!({ "lanes": { "count": 1e9 } })), "lanes.count");
+    fn a_field_that_can_t_be_parsed_is_named() {
+        let error_field = |json: Value| parse_post(7, &SettingsMap::from_json(&json)).unwrap_err().field;
+        assert_eq!(error_field(json!({ "lanes": [{ "aimMs": "soon" }] })), "lanes.0.aimMs");
+        assert_eq!(error_field(json!({ "lanes": [{ "idempotency": "often" }] })), "lanes.0.idempotency");
+        assert_eq!(error_field(json!({ "lanes": { "count": 1e9 } })), "lanes.count");
         assert!(SettingsMap::from_pairs("a=1 b").is_err());
     }
 
--- a/id-table/src/lib.rs
+++ b/id-table/src/lib.rs
@@ -6,39 +6,39 @@
 //! let rpc = ids.open(0xaa);
 //! ids.pick_sent(rpc);
 //! ids.finish(rpc);
-//! assert!(!ids.release(rpc), "a pick is still out");
+//! assert!(!ids.release(rpc), "a pick is outstanding");
 //! ids.pick_ended(rpc);
 //! assert!(ids.release(rpc));
-//! assert_eq!(ids.open(0xbb), rpc, "its slot is used again");
+//! assert_eq!(ids.open(0xbb), rpc, "the slot is reused");
 //! ```
 use std::collections::HashMap;
 
-/// One RPC's slot: its id, the picks that are out, whether its final answer is given.
+/// An open RPC: its id, the number of its outstanding picks, and whether its final answer was given.
 #[derive(Clone, Copy, Default)]
 struct Slot {
     id: u64,
-    out: u32,
-    done: bool,
+    outstanding: u32,
+    finished: bool,
 }
 
 #[derive(Default)]
 pub struct IdTable {
     machines: HashMap<String, usize>,
     names: Vec<String>,
-    /// Numbers of machines that were forgotten.
-    spare: Vec<usize>,
+    /// Indices of forgotten machines, to be used again.
+    free_machines: Vec<usize>,
     rpcs: HashMap<u64, usize>,
     slots: Vec<Slot>,
-    free: Vec<usize>,
+    free_slots: Vec<usize>,
 }
 
 impl IdTable {
-    /// The index of a machine; a name not met before gets the next one, or that of one forgotten.
+    /// The index of a machine. A new name gets a free or the next index.
     pub fn intern_machine(&mut self, name: &str) -> usize {
         if let Some(&index) = self.machines.get(name) {
             return index;
         }
-        let index = self.spare.pop().unwrap_or_else(|| {
+        let index = self.free_machines.pop().unwrap_or_else(|| {
             self.names.push(String::new());
             self.names.len() - 1
         });
@@ -47,14 +47,13 @@
         index
     }
 
-    /// Forgets a machine: its index goes to the next new name.
+    /// Frees a machine's index for the next new name.
     pub fn forget_machine(&mut self, machine: usize) {
         if self.machines.remove(&self.names[machine]).is_some() {
-            self.spare.push(machine);
+            self.free_machines.push(machine);
         }
     }
 
-    /// The index of a machine met before.
     pub fn machine_index(&self, name: &str) -> Option<usize> {
         self.machines.get(name).copied()
     }
@@ -63,18 +62,17 @@
         &self.names[machine]
     }
 
-    /// Machines met and not forgotten.
     pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
-    /// A slot for an RPC that was just taken. Its id must not be open already.
+    /// Allocates a slot for a new RPC. Its id must not be open already.
     pub fn open(&mut self, id: u64) -> usize {
-        let index = self.free.pop().unwrap_or_else(|| {
+        let index = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(Slot::default());
             self.slots.len() - 1
         });
-        self.slots[index] = Slot { id, out: 0, done: false };
+        self.slots[index] = Slot { id, outstanding: 0, finished: false };
         self.rpcs.insert(id, index);
         index
     }
@@ -87,49 +85,47 @@
         self.slots[rpc].id
     }
 
-    /// A pick was sent; returns its number.
     pub fn pick_sent(&mut self, rpc: usize) {
-        self.slots[rpc].out += 1;
+        self.slots[rpc].outstanding += 1;
     }
 
-    /// A pick has ended.
     pub fn pick_ended(&mut self, rpc: usize) {
         let slot = &mut self.slots[rpc];
-        slot.out = slot.out.saturating_sub(1);
+        slot.outstanding = slot.outstanding.saturating_sub(1);
     }
 
-    /// The final answer is given, or no longer owed.
+    /// Marks the RPC's final answer as given, or as no longer needed.
     pub fn finish(&mut self, rpc: usize) {
-        self.slots[rpc].done = true;
+        self.slots[rpc].finished = true;
     }
 
     pub fn finished(&self, rpc: usize) -> bool {
-        self.slots[rpc].done
+        self.slots[rpc].finished
     }
 
-    /// Frees the slot once nothing more can come for it; true when it did.
+    /// Frees the RPC's slot if it is finished and has no outstanding pick; returns whether it did.
     pub fn release(&mut self, rpc: usize) -> bool {
-        let Slot { id, out, done } = self.slots[rpc];
-        let freed = done && out == 0 && self.rpcs.remove(&id).is_some();
+        let Slot { id, outstanding, finished } = self.slots[rpc];
+        let freed = finished && outstanding == 0 && self.rpcs.remove(&id).is_some();
         if freed {
-            self.free.push(rpc);
+            self.free_slots.push(rpc);
         }
         freed
     }
 
-    /// RPCs whose slot is in use.
+    /// RPCs whose slot is in use: those without a final answer, and those with an outstanding pick.
     pub fn open_rpcs(&self) -> usize {
         self.rpcs.len()
     }
 }
 
-/// FNV-1a folded to 16 bits: the same at every front, as notes name machines by it.
+/// FNV-1a folded to 16 bits. It must be the same at every front, as notes between fronts identify machines by it.
 pub fn tag(name: &str) -> u32 {
     let hash = name.bytes().fold(0x811c_9dc5u32, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193));
     (hash >> 16) ^ (hash & 0xffff)
 }
 
-/// A key that is any text, as a number: FNV-1a, 64 bits.
+/// 64-bit FNV-1a hash of a key.
 pub fn key_hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
