--- a/node/src/clients.rs
+++ b/node/src/clients.rs
@@ -1,6 +1,6 @@
-//! Clients' connections: commands may come many at once (pipelined). They are taken as they come, up to a bound, and
-//! answered in their order. What can't be read is owed an error or a close, soon, and must not slow the others.
-use crate::connection_pool::RESERVE;
+//! Client connections. Commands may be pipelined: they are accepted as they arrive, up to a limit, and answered in
+//! order. Malformed input is answered by an error or a close, soon, and must not slow down the others.
+use crate::connection_pool::RESERVED_DESCRIPTORS;
 use crate::effects::Effects;
 use crate::Startup;
 use rockpick::Ns;
@@ -8,134 +8,133 @@
 use rockpick_pg::{self as pg, Frame, StartupMessage};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// One that has said nothing whole by then is closed: hundreds connect and stay silent.
-const SILENT: Ns = 2 * SEC + SEC / 4;
-/// Half a command must be whole within this.
-const HALF: Ns = 2 * SEC;
-/// A connection between two RPCs is kept for so long; clients open new ones at will.
-const IDLE: Ns = 20 * SEC;
-/// Bytes that have come are read in the next turn: until then a connection whose time is up is left alone.
-const SOON: Ns = 10 * MS;
-/// Once the door is closed, a connection that came last may still bring its first RPC for so long: clients send it with
-/// their first words.
-const FIRST_WORDS: Ns = SEC / 2;
-/// A connection that was welcomed or answered so recently may have its next request on the way: it gives way to no new one.
-pub const MIN_REST: Ns = SEC / 2;
-/// RPCs of one connection that are open at once; those behind them wait. So many answers of the largest value that the
-/// platform promises (64 KiB) are half of what a stream may leave unsent.
-const MOST_OPEN: usize = 32;
-/// Bytes kept of a client that waits for room, and of its open statements beside the last; more is not read until one of
-/// them is answered.
-const MOST_AHEAD: usize = 16 * 1024;
-/// Bytes of answers that wait, of one connection (for an answer before them, or for a slow reader) and of all (for an answer
-/// before them); beyond it an RPC is aborted in place of its answer. A stream that leaves 4 MiB unsent is closed.
-const MOST_HELD_BACK: (usize, usize) = (3 * 1024 * 1024, 8 * 1024 * 1024);
-/// Times of arrival that are kept for a client's unread bytes: of more, some count as come with those before them.
-const MOST_ARRIVALS: usize = 64;
-/// Commands of one connection in one turn, so that hundreds at once hold nobody.
-const MOST_AT_ONCE: usize = 8;
-/// Commands that could not be read, after which a connection is closed: one that sends them at full speed must come
-/// anew for more.
-const MOST_ODD: u32 = 16;
-/// Bytes kept of all clients together; one that sends more than its part while it is full is turned away.
-const MOST_KEPT: usize = 8 * 1024 * 1024;
-
-/// What is owed for a command.
+/// A connection without a complete command in this time is closed: hundreds connect and stay silent.
+const FIRST_COMMAND_TIMEOUT: Ns = 2 * SEC + SEC / 4;
+/// A command that has begun must be complete within this time.
+const PARTIAL_COMMAND_TIMEOUT: Ns = 2 * SEC;
+/// An idle connection is kept for this long; clients open new ones at will.
+const IDLE_TIMEOUT: Ns = 20 * SEC;
+/// Delay before a connection with unread bytes may expire: they are read in the next turn.
+const UNREAD_DELAY: Ns = 10 * MS;
+/// After the listener is closed, a connection without an RPC is kept open for this long: clients send the first one
+/// together with the startup message.
+const FIRST_RPC_GRACE: Ns = SEC / 2;
+/// A connection whose startup message or command was answered more recently than this may have a request on the way,
+/// and is not evicted.
+pub const MIN_IDLE: Ns = SEC / 2;
+/// Most open RPCs of one connection; further commands wait. This many answers of the largest value that the platform
+/// specifies (64 KiB) are half of what a stream may leave unsent.
+const MAX_OPEN_RPCS: usize = 32;
+/// Most unread bytes of a client that waits, and of the statements of its open RPCs, except for the last. Beyond it
+/// no more is read until one of them is answered.
+const MAX_READ_AHEAD: usize = 16 * 1024;
+/// Most bytes of replies that are held back, per connection (for an earlier reply or a slow reader) and in total (for
+/// earlier replies). Beyond it an RPC is aborted instead of answered. A stream that leaves 4 MiB unsent is closed.
+const MAX_HELD_REPLIES: (usize, usize) = (3 * 1024 * 1024, 8 * 1024 * 1024);
+/// Most arrival times that are stored for a client's unread bytes; at the limit, later bytes share the last one.
+const MAX_ARRIVALS: usize = 64;
+/// Most commands of a connection per turn, so that a client with hundreds of them does not delay the others.
+const MAX_COMMANDS_PER_TURN: usize = 8;
+/// Malformed commands after which a connection is closed: a client that sends them at full speed has to reconnect.
+const MAX_BAD_COMMANDS: u32 = 16;
+/// Most buffered bytes of all clients together. At the limit, a client with more than `MAX_READ_AHEAD` is closed.
+const MAX_BUFFERED: usize = 8 * 1024 * 1024;
+
+/// The reply to a command.
 enum Reply {
-    /// The RPC, and its statement's bytes.
+    /// An open RPC, and the length of its statement.
     Open(usize, usize),
-    /// It is there, and waits for those before it.
+    /// A reply that waits for those before it.
     Held(Vec<u8>),
 }
 
 #[derive(Default)]
 struct Client {
-    /// Its startup message has been answered.
     started: bool,
-    /// Replies that are not out, in the order of their commands.
-    owed: VecDeque<Reply>,
-    /// Nothing more is read: it is closed once its replies are out.
-    ends: bool,
-    came: Vec<u8>,
-    /// Where the bytes of a turn end in `came`, and when they came.
+    /// Replies that are not sent yet, in the order of their commands.
+    replies: VecDeque<Reply>,
+    /// Nothing more is read; the connection is closed once its replies are sent.
+    closing: bool,
+    buffer: Vec<u8>,
+    /// End positions in `buffer` of the bytes that arrived together, and the time of their arrival.
     arrivals: VecDeque<(usize, Ns)>,
-    /// When it connected, or was last answered, and whether it has sent a command that could be read.
+    /// When it connected or was last answered.
     since: Ns,
-    spoke: bool,
-    /// When its last bytes came.
-    heard: Ns,
-    odd: u32,
+    sent_command: bool,
+    last_received: Ns,
+    bad_commands: u32,
 }
 
 impl Client {
-    /// Has a command come whole, or what is none, that was not read yet?
-    fn holds_whole(&self) -> bool {
-        let next = || pg::read_frame(&self.came, pg::MAX_QUERY_LEN);
-        self.started && self.owed.is_empty() && matches!(next(), Ok(Frame::Complete { .. }) | Err(_))
+    /// Whether an unread command is complete, or malformed.
+    fn has_complete_command(&self) -> bool {
+        let next = || pg::read_frame(&self.buffer, pg::MAX_QUERY_LEN);
+        self.started && self.replies.is_empty() && matches!(next(), Ok(Frame::Complete { .. }) | Err(_))
     }
 
-    /// May it give way to a new connection? One that was never welcomed may at once: nothing was said on either side.
-    fn has_rested(&self, now: Ns) -> bool {
-        !self.started && self.came.is_empty() || now - self.since.max(self.heard) >= MIN_REST
+    /// Whether the connection may be closed for a new one. Before its startup message it may be closed at once, as
+    /// nothing was exchanged.
+    fn may_be_evicted(&self, now: Ns) -> bool {
+        !self.started && self.buffer.is_empty() || now - self.since.max(self.last_received) >= MIN_IDLE
     }
 
-    fn came(&mut self, bytes: &[u8], now: Ns) {
-        self.heard = now;
-        self.came.extend_from_slice(bytes);
-        let (end, room) = (self.came.len(), self.arrivals.len() < MOST_ARRIVALS);
+    fn receive(&mut self, bytes: &[u8], now: Ns) {
+        self.last_received = now;
+        self.buffer.extend_from_slice(bytes);
+        let (end, room) = (self.buffer.len(), self.arrivals.len() < MAX_ARRIVALS);
         match self.arrivals.back_mut() {
-            // What came late counts as early at the bound, so that no client is kept waiting beyond its time.
+            // At the limit, late bytes count as having arrived earlier, so that no client waits beyond its deadline.
             Some(last) if last.1 == now || !room => last.0 = end,
             _ => self.arrivals.push_back((end, now)),
         }
     }
 
-    /// Takes the first bytes away; returns when the last of them came.
-    fn used(&mut self, used: usize) -> Option<Ns> {
-        self.came.drain(..used);
+    /// Removes the first `used` bytes, and returns when the last of them arrived.
+    fn consume(&mut self, used: usize) -> Option<Ns> {
+        self.buffer.drain(..used);
         let at = self.arrivals.iter().find(|(end, _)| *end >= used).map(|(_, at)| *at);
         while self.arrivals.front().is_some_and(|(end, _)| *end <= used) {
             self.arrivals.pop_front();
         }
         self.arrivals.iter_mut().for_each(|(end, _)| *end -= used);
-        if self.came.is_empty() {
-            self.came = Vec::new();
+        if self.buffer.is_empty() {
+            self.buffer = Vec::new();
         }
         at
     }
 
-    fn held_back(&self) -> usize {
-        self.owed.iter().map(|reply| if let Reply::Held(bytes) = reply { bytes.len() } else { 0 }).sum()
+    fn held_bytes(&self) -> usize {
+        self.replies.iter().map(|reply| if let Reply::Held(bytes) = reply { bytes.len() } else { 0 }).sum()
     }
 
-    /// May another of its commands be taken, by the bounds of a connection?
-    fn takes(&self) -> bool {
+    /// Whether the connection's limits allow another command.
+    fn accepts_command(&self) -> bool {
         let open = |reply: &Reply| if let Reply::Open(_, bytes) = reply { *bytes } else { 0 };
-        self.owed.len() < MOST_OPEN && self.owed.iter().map(open).sum::<usize>() < MOST_AHEAD
+        self.replies.len() < MAX_OPEN_RPCS && self.replies.iter().map(open).sum::<usize>() < MAX_READ_AHEAD
     }
 }
 
 pub struct Clients {
     all: HashMap<Id, Client>,
-    /// Those that may be closed for a new one: silent ones before those between RPCs, longest first.
-    quiet: BTreeSet<(bool, Ns, Id)>,
-    most: usize,
-    kept: usize,
-    /// Bytes of replies that wait for those before them.
-    held_back: usize,
-    pub turned_away: u64,
-    /// Connections that were closed while nothing was owed on them.
-    pub closed: ClosedAtRest,
+    /// Candidates to be closed for a new connection: those that sent no command first, then the longest idle.
+    evictable: BTreeSet<(bool, Ns, Id)>,
+    max: usize,
+    buffered: usize,
+    /// Bytes of held-back replies of all clients.
+    held_bytes: usize,
+    pub refused: u64,
+    /// Connections that were closed while no reply was outstanding on them.
+    pub closed: IdleCloses,
 }
 
-/// Why resting connections were closed, and how many.
+/// Number of closed idle connections by cause.
 #[derive(Default)]
-pub struct ClosedAtRest {
-    /// For a new connection.
+pub struct IdleCloses {
+    /// Evicted for a new connection.
     pub for_room: u64,
-    /// Their time was up.
+    /// Timed out.
     pub idle: u64,
-    /// In a stop.
+    /// Closed in a shutdown.
     pub in_stop: u64,
 }
 
@@ -143,12 +142,12 @@
     pub fn new(sockets: usize) -> Clients {
         Clients {
             all: HashMap::new(),
-            quiet: BTreeSet::new(),
-            most: sockets - RESERVE - (sockets - RESERVE) / 2,
-            kept: 0,
-            held_back: 0,
-            turned_away: 0,
-            closed: ClosedAtRest::default(),
+            evictable: BTreeSet::new(),
+            max: sockets - RESERVED_DESCRIPTORS - (sockets - RESERVED_DESCRIPTORS) / 2,
+            buffered: 0,
+            held_bytes: 0,
+            refused: 0,
+            closed: IdleCloses::default(),
         }
     }
 
@@ -160,95 +159,98 @@
         self.all.len()
     }
 
-    fn hush(&mut self, id: Id) {
+    fn remove_evictable(&mut self, id: Id) {
         if let Some(client) = self.all.get(&id) {
-            self.quiet.remove(&(client.spoke, client.since, id));
+            self.evictable.remove(&(client.sent_command, client.since, id));
         }
     }
 }
 
-/// What a new connection is told for which there is no room.
+/// The refusal that is sent to a connection beyond the limit.
 pub fn too_many_connections() -> Vec<u8> {
     let mut out = Vec::new();
     pg::put_error(&mut out, true, pg::TOO_MANY_CONNECTIONS, "too many connections", None);
     out
 }
 
-/// What a client's bytes came to.
-pub enum Asked {
+/// The next input of a client for the caller to process.
+pub enum ClientInput {
     Nothing,
-    /// A whole statement, and when its last byte came.
+    /// A complete statement, and when its last byte arrived.
     Statement(String, Ns),
 }
 
 impl Effects {
-    pub fn client_came(&mut self, id: Id) {
+    pub fn client_connected(&mut self, id: Id) {
         let now = self.net.now();
-        if self.clients.all.len() >= self.clients.most && !self.make_room() {
-            self.clients.turned_away += 1;
+        if self.clients.all.len() >= self.clients.max && !self.evict_one() {
+            self.clients.refused += 1;
             self.net.send(id, &too_many_connections());
             return self.net.finish(id);
         }
         let client = Client { since: now, ..Client::default() };
         self.clients.all.insert(id, client);
-        self.clients.quiet.insert((false, now, id));
-        self.due(id, now + SILENT);
+        self.clients.evictable.insert((false, now, id));
+        self.set_deadline(id, now + FIRST_COMMAND_TIMEOUT);
     }
 
-    /// Closes the longest silent connection for a new one, else that which has been longest between two RPCs, else one that
-    /// has sent half a command; none that has not rested, or whose next RPC is here already.
-    fn make_room(&mut self) -> bool {
+    /// Closes a connection to make room for a new one: the one that has been longest without a command, else the
+    /// longest idle one, else one with an incomplete command. It closes none that was active within `MIN_IDLE` or has
+    /// unread bytes. Returns whether it closed one.
+    fn evict_one(&mut self) -> bool {
         let now = self.net.now();
         let (net, all) = (&mut self.net, &self.clients.all);
-        let rested = |id: &Id| all.get(id).filter(|client| client.has_rested(now));
-        let idle = |id: &Id| rested(id).is_some_and(|c| c.came.is_empty());
-        let half = |id: &Id| rested(id).is_some_and(|c| !c.came.is_empty() && !c.holds_whole());
-        let ids = || self.clients.quiet.iter().map(|(.., id)| *id);
+        let evictable = |id: &Id| all.get(id).filter(|client| client.may_be_evicted(now));
+        let idle = |id: &Id| evictable(id).is_some_and(|c| c.buffer.is_empty());
+        let partial =
+            |id: &Id| evictable(id).is_some_and(|c| !c.buffer.is_empty() && !c.has_complete_command());
+        let ids = || self.clients.evictable.iter().map(|(.., id)| *id);
         if let Some(old) = ids().find(|id| idle(id) && net.quiet(*id)) {
             self.clients.closed.for_room += 1;
-            self.close_resting(old);
+            self.close_idle(old);
             return true;
         }
-        let found = ids().find(|id| half(id) && net.quiet(*id));
+        let found = ids().find(|id| partial(id) && net.quiet(*id));
         if let Some(old) = found {
-            self.end_client(old, pg::CANNOT_CONNECT_NOW, "too many connections");
+            self.close_with_error(old, pg::CANNOT_CONNECT_NOW, "too many connections");
         }
         found.is_some()
     }
 
-    /// Forgets a connection; those of its RPCs that are open have no client any more.
+    /// Removes a connection; its open RPCs have no client any more.
     pub fn forget_client(&mut self, id: Id) {
-        self.clients.hush(id);
-        self.dues.clear(id);
+        self.clients.remove_evictable(id);
+        self.deadlines.clear(id);
         let Some(client) = self.clients.all.remove(&id) else { return };
-        self.clients.kept -= client.came.len();
-        for reply in client.owed {
+        self.clients.buffered -= client.buffer.len();
+        for reply in client.replies {
             match reply {
-                Reply::Open(rpc, _) => self.left.push_back(rpc),
-                Reply::Held(bytes) => self.clients.held_back -= bytes.len(),
+                Reply::Open(rpc, _) => self.disconnected.push_back(rpc),
+                Reply::Held(bytes) => self.clients.held_bytes -= bytes.len(),
             }
         }
     }
 
-    /// Closes a client's connection once all that it is owed is out.
+    /// Closes a client's connection once its replies are sent.
     pub fn close_client(&mut self, id: Id) {
         let Some(client) = self.clients.all.get_mut(&id) else { return };
-        client.ends = true;
-        if !client.owed.is_empty() {
-            // Nothing of it is read any more; that it goes away is still heard.
-            self.clients.kept -= std::mem::take(&mut client.came).len();
+        client.closing = true;
+        if !client.replies.is_empty() {
+            // Nothing more is read from it, but its close is still noticed.
+            self.clients.buffered -= std::mem::take(&mut client.buffer).len();
             client.arrivals = VecDeque::new();
-            self.clients.hush(id);
+            self.clients.remove_evictable(id);
             return self.net.pause(id, false);
         }
         self.forget_client(id);
         self.net.finish(id);
     }
 
-    /// Closes a connection on which nothing is owed and nothing is to be said. A request may come after the look for unread
-    /// bytes: the kernel then resets the connection in place of ending it, which tells the client that it was not read.
-    pub fn close_resting(&mut self, id: Id) {
-        // A reset would lose an answer that is still on its way to a slow reader.
+    /// Closes a connection on which no reply is outstanding. A request may still arrive after the check for unread
+    /// bytes; the kernel then resets the connection instead of ending it, which tells the client that its request was
+    /// not read.
+    pub fn close_idle(&mut self, id: Id) {
+        // A reset would discard an answer that a slow reader has not received yet.
         if self.net.backlog(id).is_some_and(|unsent| unsent > 0) {
             return self.close_client(id);
         }
@@ -256,9 +258,9 @@
         self.net.close(id);
     }
 
-    /// The last words to a client that makes no sense, behind what else it is owed.
-    fn end_client(&mut self, id: Id, code: &str, why: &str) {
-        self.tolls.odd += 1;
+    /// Sends a fatal error after the replies that are still outstanding, and closes the connection.
+    fn close_with_error(&mut self, id: Id, code: &str, why: &str) {
+        self.counters.bad_commands += 1;
         let mut out = Vec::new();
         pg::put_error(&mut out, true, code, why, None);
         if self.reply(id, out) {
@@ -266,12 +268,13 @@
         }
     }
 
-    /// Replies to a command that is no RPC, once those before it are answered; false: the connection is gone.
+    /// Replies to a command that is not an RPC, after the replies before it. Returns false if the connection is
+    /// closed.
     fn reply(&mut self, id: Id, out: Vec<u8>) -> bool {
         let Some(client) = self.clients.all.get_mut(&id) else { return false };
-        if !client.owed.is_empty() {
-            self.clients.held_back += out.len();
-            client.owed.push_back(Reply::Held(out));
+        if !client.replies.is_empty() {
+            self.clients.held_bytes += out.len();
+            client.replies.push_back(Reply::Held(out));
             return true;
         }
         let sent = self.net.send(id, &out);
@@ -281,62 +284,62 @@
         sent
     }
 
-    /// The time of a client's connection is up.
-    pub fn client_due(&mut self, id: Id) {
-        // What has come since this turn's bytes were read is heard first.
+    /// Handles the expiry of a client's connection.
+    pub fn client_timed_out(&mut self, id: Id) {
+        // Bytes that arrived since this turn read from the connection are handled first.
         if self.net.unread(id) {
-            return self.due(id, self.net.now() + SOON);
+            return self.set_deadline(id, self.net.now() + UNREAD_DELAY);
         }
         let Some(client) = self.clients.all.get(&id) else { return };
-        if !client.owed.is_empty() {
+        if !client.replies.is_empty() {
             return;
         }
-        if client.came.is_empty() {
+        if client.buffer.is_empty() {
             self.clients.closed.idle += 1;
-            self.close_resting(id);
+            self.close_idle(id);
         } else {
-            self.end_client(id, pg::CANNOT_CONNECT_NOW, "no whole command in time");
+            self.close_with_error(id, pg::CANNOT_CONNECT_NOW, "no whole command in time");
         }
     }
 
     pub fn client_bytes(&mut self, id: Id, bytes: &[u8]) {
         let now = self.net.now();
-        let Some(client) = self.clients.all.get_mut(&id).filter(|c| !c.ends) else { return };
-        client.came(bytes, now);
-        self.clients.kept += bytes.len();
-        // Against a flood: who sends little may go on, as it fills nothing.
-        if self.clients.kept > MOST_KEPT && client.came.len() > MOST_AHEAD {
-            self.end_client(id, pg::TOO_MANY_CONNECTIONS, "too much at once");
+        let Some(client) = self.clients.all.get_mut(&id).filter(|c| !c.closing) else { return };
+        client.receive(bytes, now);
+        self.clients.buffered += bytes.len();
+        // Limits a flood. Clients that send little don't fill the buffers and may go on.
+        if self.clients.buffered > MAX_BUFFERED && client.buffer.len() > MAX_READ_AHEAD {
+            self.close_with_error(id, pg::TOO_MANY_CONNECTIONS, "too much at once");
         }
     }
 
-    /// Reads on where a client's bytes have come to; a statement among them is the caller's to take. One behind an RPC that
-    /// is open waits while there is no `room` for it.
-    pub fn client_reads(&mut self, id: Id, room: impl Fn(&Startup, &str) -> bool) -> Asked {
-        for _ in 0..MOST_AT_ONCE {
+    /// Reads the client's next commands; statements are returned to the caller. A statement behind an open RPC waits
+    /// while there is no `room` for it.
+    pub fn read_commands(&mut self, id: Id, room: impl Fn(&Startup, &str) -> bool) -> ClientInput {
+        for _ in 0..MAX_COMMANDS_PER_TURN {
             let backlog = self.net.backlog(id).unwrap_or(0);
-            let Some(client) = self.clients.all.get_mut(&id).filter(|c| !c.ends) else {
-                return Asked::Nothing;
+            let Some(client) = self.clients.all.get_mut(&id).filter(|c| !c.closing) else {
+                return ClientInput::Nothing;
             };
-            // Answers that are not taken would fill the memory.
-            if backlog > 0 || !client.takes() {
-                return self.client_waits(id);
+            // Answers that a client does not read would fill the memory.
+            if backlog > 0 || !client.accepts_command() {
+                return self.pause_reading(id);
             }
             let mut out = Vec::new();
-            let mut odd = None;
-            let mut asked = None;
-            let mut last = None;
+            let mut rejection = None;
+            let mut statement = None;
+            let mut fatal = None;
             let used = if !client.started {
-                match pg::read_startup(&client.came) {
+                match pg::read_startup(&client.buffer) {
                     Ok(StartupMessage::Incomplete) => break,
                     Ok(StartupMessage::EncryptionRequest { used }) => {
                         out.push(b'N');
-                        client.odd += 4; // three times is no start
+                        client.bad_commands += 4; // at most three before the startup message
                         used
                     }
                     Ok(StartupMessage::CancelRequest) => {
                         self.close_client(id);
-                        return Asked::Nothing;
+                        return ClientInput::Nothing;
                     }
                     Ok(StartupMessage::Startup { used }) => {
                         pg::put_startup_response(&mut out);
@@ -344,166 +347,167 @@
                         used
                     }
                     Err(why) => {
-                        last = Some(why.0);
+                        fatal = Some(why.0);
                         0
                     }
                 }
             } else {
-                match pg::read_frame(&client.came, pg::MAX_QUERY_LEN) {
+                match pg::read_frame(&client.buffer, pg::MAX_QUERY_LEN) {
                     Ok(Frame::Incomplete) => break,
                     Ok(Frame::Complete { tag: b'Q', body, used }) => {
                         match pg::read_cstr(body) {
                             Some(text) if text.trim().is_empty() => pg::put_empty_query_response(&mut out),
-                            Some(text) if !client.owed.is_empty() && !room(&self.startup, text) => {
-                                return self.client_waits(id);
+                            Some(text) if !client.replies.is_empty() && !room(&self.startup, text) => {
+                                return self.pause_reading(id);
                             }
-                            Some(text) => asked = Some(text.to_string()),
-                            None => odd = Some("a query that is no text"),
+                            Some(text) => statement = Some(text.to_string()),
+                            None => rejection = Some("a query that is no text"),
                         }
                         used
                     }
                     Ok(Frame::Complete { tag: b'X', .. }) => {
                         self.close_client(id);
-                        return Asked::Nothing;
+                        return ClientInput::Nothing;
                     }
                     Ok(Frame::Complete { .. }) => {
-                        last = Some("only simple queries are taken");
+                        fatal = Some("only simple queries are taken");
                         0
                     }
                     Err(why) => {
-                        last = Some(why.0);
+                        fatal = Some(why.0);
                         0
                     }
                 }
             };
-            if let Some(why) = last {
-                self.end_client(id, pg::PROTOCOL_VIOLATION, why);
-                return Asked::Nothing;
+            if let Some(why) = fatal {
+                self.close_with_error(id, pg::PROTOCOL_VIOLATION, why);
+                return ClientInput::Nothing;
             }
-            let came = client.used(used);
-            self.clients.kept -= used;
-            let hopeless = client.odd >= MOST_ODD;
-            if let Some(text) = asked {
+            let received = client.consume(used);
+            self.clients.buffered -= used;
+            let too_many_bad = client.bad_commands >= MAX_BAD_COMMANDS;
+            if let Some(text) = statement {
                 self.net.pause(id, false);
-                return Asked::Statement(text, came.unwrap_or(self.net.now()));
+                return ClientInput::Statement(text, received.unwrap_or(self.net.now()));
             }
-            if let Some(why) = odd {
-                self.odd_command(id, why);
+            if let Some(why) = rejection {
+                self.reject_command(id, why);
                 continue;
             }
-            if hopeless {
-                self.end_client(id, pg::PROTOCOL_VIOLATION, "no start");
-                return Asked::Nothing;
+            if too_many_bad {
+                self.close_with_error(id, pg::PROTOCOL_VIOLATION, "no start");
+                return ClientInput::Nothing;
             }
             if !out.is_empty() && !self.reply(id, out) {
-                return Asked::Nothing;
+                return ClientInput::Nothing;
             }
         }
         self.net.pause(id, false);
-        self.client_rests(id);
-        Asked::Nothing
+        self.set_idle_deadline(id);
+        ClientInput::Nothing
     }
 
-    /// Its next command waits until one before it is answered, or what was sent is taken.
-    fn client_waits(&mut self, id: Id) -> Asked {
-        let ahead = self.clients.all.get(&id).is_some_and(|c| c.came.len() >= MOST_AHEAD);
-        self.net.pause(id, ahead);
-        Asked::Nothing
+    /// Leaves the next command unread until an earlier one is answered, or the unsent bytes are read.
+    fn pause_reading(&mut self, id: Id) -> ClientInput {
+        let full = self.clients.all.get(&id).is_some_and(|c| c.buffer.len() >= MAX_READ_AHEAD);
+        self.net.pause(id, full);
+        ClientInput::Nothing
     }
 
-    /// When a client that has no RPC open is closed; more of its commands may wait for the next turn.
-    fn client_rests(&mut self, id: Id) {
+    /// Sets the time at which a client without an open RPC expires. If its next command is complete, it is read in
+    /// the next turn.
+    fn set_idle_deadline(&mut self, id: Id) {
         let now = self.net.now();
-        let Some(client) = self.clients.all.get_mut(&id).filter(|c| c.owed.is_empty()) else { return };
-        if client.holds_whole() {
-            self.made.push(Event::Flushed { conn: id });
+        let Some(client) = self.clients.all.get_mut(&id).filter(|c| c.replies.is_empty()) else { return };
+        if client.has_complete_command() {
+            self.queued_events.push(Event::Flushed { conn: id });
         }
-        let at = match (client.spoke, client.came.is_empty()) {
-            (false, _) => client.since + SILENT,
-            (true, true) => now + IDLE,
-            (true, false) => now + HALF,
+        let at = match (client.sent_command, client.buffer.is_empty()) {
+            (false, _) => client.since + FIRST_COMMAND_TIMEOUT,
+            (true, true) => now + IDLE_TIMEOUT,
+            (true, false) => now + PARTIAL_COMMAND_TIMEOUT,
         };
-        self.due(id, at);
+        self.set_deadline(id, at);
     }
 
-    /// A command that can't be taken is told so, and the connection goes on, for a while.
-    pub fn odd_command(&mut self, id: Id, why: &str) {
+    /// Answers an invalid command by an error. The connection stays open up to a limit of such commands.
+    pub fn reject_command(&mut self, id: Id, why: &str) {
         let Some(client) = self.clients.all.get_mut(&id) else { return };
-        client.odd += 1;
-        if client.odd >= MOST_ODD {
-            return self.end_client(id, pg::PROTOCOL_VIOLATION, why);
+        client.bad_commands += 1;
+        if client.bad_commands >= MAX_BAD_COMMANDS {
+            return self.close_with_error(id, pg::PROTOCOL_VIOLATION, why);
         }
-        self.tolls.odd += 1;
+        self.counters.bad_commands += 1;
         let mut out = Vec::new();
         pg::put_error(&mut out, false, pg::SYNTAX_ERROR, why, None);
         self.reply(id, out);
     }
 
-    /// A client's RPC is taken, by a statement of so many bytes.
-    pub fn client_opens(&mut self, id: Id, rpc: usize, bytes: usize) {
-        self.clients.hush(id);
+    /// Records a client's new RPC, and the length of its statement.
+    pub fn rpc_opened(&mut self, id: Id, rpc: usize, bytes: usize) {
+        self.clients.remove_evictable(id);
         if let Some(client) = self.clients.all.get_mut(&id) {
-            client.owed.push_back(Reply::Open(rpc, bytes));
-            client.spoke = true;
+            client.replies.push_back(Reply::Open(rpc, bytes));
+            client.sent_command = true;
         }
-        self.dues.clear(id);
+        self.deadlines.clear(id);
     }
 
-    /// Its final answer goes out, with those behind it that waited for it, or waits for those before it. False: there is
-    /// no room for it to wait, and the RPC is aborted in its place.
-    pub fn answered(&mut self, id: Id, rpc: usize, bytes: &[u8]) -> bool {
+    /// Sends an RPC's final answer and the held-back replies behind it, or holds it back for the replies before it.
+    /// Returns false if there is no room to hold it back, in which case the client gets an abort instead.
+    pub fn send_answer(&mut self, id: Id, rpc: usize, bytes: &[u8]) -> bool {
         let (now, backlog) = (self.net.now(), self.net.backlog(id).unwrap_or(0));
         let Some(client) = self.clients.all.get_mut(&id) else { return true };
-        let this = |reply: &Reply| matches!(reply, Reply::Open(open, _) if *open == rpc);
-        let Some(at) = client.owed.iter().position(this) else { return true };
-        let waits = backlog + client.held_back();
+        let is_reply = |reply: &Reply| matches!(reply, Reply::Open(open, _) if *open == rpc);
+        let Some(at) = client.replies.iter().position(is_reply) else { return true };
+        let unsent = backlog + client.held_bytes();
         let room = at == 0 && backlog == 0
-            || waits + bytes.len() <= MOST_HELD_BACK.0
-                && self.clients.held_back + bytes.len() <= MOST_HELD_BACK.1;
+            || unsent + bytes.len() <= MAX_HELD_REPLIES.0
+                && self.clients.held_bytes + bytes.len() <= MAX_HELD_REPLIES.1;
         let mut reply = Vec::new();
         if room {
             reply.extend_from_slice(bytes);
         } else {
             pg::put_error(&mut reply, false, pg::INTERNAL_ERROR, "aborted", None);
         }
-        self.clients.held_back += reply.len();
-        client.owed[at] = Reply::Held(reply);
+        self.clients.held_bytes += reply.len();
+        client.replies[at] = Reply::Held(reply);
         let mut out = Vec::new();
-        while let Some(Reply::Held(next)) = client.owed.front() {
+        while let Some(Reply::Held(next)) = client.replies.front() {
             out.extend_from_slice(next);
-            client.owed.pop_front();
+            client.replies.pop_front();
         }
-        self.clients.held_back -= out.len();
-        let (rests, ends, more) = (client.owed.is_empty(), client.ends, !client.came.is_empty());
+        self.clients.held_bytes -= out.len();
+        let (idle, closing, more) = (client.replies.is_empty(), client.closing, !client.buffer.is_empty());
         client.since = now;
         if !self.net.send(id, &out) {
             self.forget_client(id);
-        } else if rests && ends {
+        } else if idle && closing {
             self.close_client(id);
-        } else if rests {
-            self.clients.quiet.insert((true, now, id));
-            self.due(id, now + IDLE);
+        } else if idle {
+            self.clients.evictable.insert((true, now, id));
+            self.set_deadline(id, now + IDLE_TIMEOUT);
         }
         if more {
-            self.made.push(Event::Flushed { conn: id });
+            self.queued_events.push(Event::Flushed { conn: id });
         }
         room
     }
 
-    /// In a stop: ends each connection between two RPCs, unless more of it is here, or its first RPC may be on its way.
-    pub fn close_clients(&mut self, door_closed: Ns) {
-        let first_over = self.net.now() - door_closed >= FIRST_WORDS;
+    /// In a shutdown, closes each idle connection, unless it has unread bytes or its first RPC may be on its way.
+    pub fn close_idle_clients(&mut self, listener_closed: Ns) {
+        let grace_over = self.net.now() - listener_closed >= FIRST_RPC_GRACE;
         let net = &mut self.net;
-        let rests = |(id, c): (&Id, &Client)| {
-            let none = c.owed.is_empty() && c.came.is_empty();
-            (none && (c.spoke || first_over) && !net.unread(*id)).then_some(*id)
+        let idle_id = |(id, c): (&Id, &Client)| {
+            let idle = c.replies.is_empty() && c.buffer.is_empty();
+            (idle && (c.sent_command || grace_over) && !net.unread(*id)).then_some(*id)
         };
-        let rest: Vec<Id> = self.clients.all.iter().filter_map(rests).collect();
-        self.clients.closed.in_stop += rest.len() as u64;
-        rest.into_iter().for_each(|id| self.close_resting(id));
+        let idle: Vec<Id> = self.clients.all.iter().filter_map(idle_id).collect();
+        self.clients.closed.in_stop += idle.len() as u64;
+        idle.into_iter().for_each(|id| self.close_idle(id));
     }
 }
 
-/// An answer must have left by then, to be with the client before it gives up: the way back, and a busy turn of
-/// this loop. Ways measured between clients and fronts took up to 2 ms.
-pub const MARGIN: Ns = 20 * MS;
+/// How long before the client's deadline an answer must be sent: for the network and a busy turn of the event loop.
+/// Network delays of up to 2 ms were measured between clients and fronts.
+pub const ANSWER_MARGIN: Ns = 20 * MS;
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to machines: kept, dialled, given up, within a bound. Which machine is never chosen here.
+//! Pool of connections to machines, with a limit on their number. It does not choose the machines.
 use crate::effects::{Effects, Pick};
 use rockpick::{Ns, Outcome, Repeat};
 use rockpick_net::{Id, MS, SEC};
@@ -7,92 +7,94 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-/// Descriptors that are neither clients' nor machines': loop, listener, signals, standard streams, desk and discovery
-/// (two each at a reload, a vote, a fetch), the log, the file of a reload, and the spare; and streams that are closing.
-pub const RESERVE: usize = OURS + rockpick_net::MOST_CLOSING;
-pub const OURS: usize = 28;
-/// A connection is used again so long after its answer, as a second copy of that may still come, and would be taken for the
-/// answer to the next query: 32 copies came 1.1 to 3.9 ms late in six small days of the operators' bench, so twice that. At
-/// 20 ms a busy node held 26 connections in place of 17, and machines pay for each.
-const REST: Ns = 8 * MS;
-/// An answer's connection must be ready again within this: machines say so with the answer.
-const TAIL: Ns = SEC;
-/// Bytes of answers that are not whole yet, of all machines together: at it the connection that brings more is given
-/// up, so that large values, a hundred at once, do not fill the memory.
-const MOST_HELD: usize = 8 * 1024 * 1024;
-/// Fleets know no more machines than this.
-const MOST_MACHINES: usize = 10_000;
-/// A machine that has gone is forgotten after this: disputes may still name it.
-const FORGOTTEN: Ns = 60 * SEC;
+/// Descriptors that are used neither for clients nor for machines: event loop, listener, signals, standard streams,
+/// rollout API and discovery (two each during a reload, a vote, a fetch), log, configuration file, and a spare; and
+/// streams that are closing.
+pub const RESERVED_DESCRIPTORS: usize = OWN_DESCRIPTORS + rockpick_net::MOST_CLOSING;
+pub const OWN_DESCRIPTORS: usize = 28;
+/// How long after its answer a connection is not used again: a duplicate of the answer may still arrive and would be
+/// taken for the answer to the next query. In six small days of the operators' benchmark 32 duplicates arrived 1.1 to
+/// 3.9 ms late, so this is twice as long. At 20 ms a busy node held 26 connections instead of 17, and each costs the
+/// machines.
+const REUSE_DELAY: Ns = 8 * MS;
+/// After an answer the machine must be ready within this time; machines send both together.
+const READY_TIMEOUT: Ns = SEC;
+/// Most bytes of incomplete answers of all machines. Beyond it the connection that brings more is closed, so that a
+/// hundred large values at once do not fill the memory.
+const MAX_BUFFERED: usize = 8 * 1024 * 1024;
+/// Fleets have at most this many machines.
+const MAX_MACHINES: usize = 10_000;
+/// A machine that is gone is forgotten after this time; until then disputes may name it.
+const FORGET_AFTER: Ns = 60 * SEC;
 
-/// A machine as discovery shows it.
+/// A machine as discovery reports it.
 #[derive(Default)]
-pub struct Place {
+pub struct MachineEntry {
     pub addr: Option<SocketAddr>,
     pub build: u32,
     pub started: Option<Ns>,
-    /// Counts its processes: connections of a former one are not used again.
+    /// Counts the machine's processes; connections to a former process are not used again.
     incarnation: u32,
     gone: Option<Ns>,
-    /// Picks that are out there.
-    out: u32,
+    /// Outstanding picks.
+    outstanding: u32,
     idle: Vec<Id>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Step {
+enum ConnState {
     Opening,
-    Asked,
-    /// Answered; not ready yet.
-    Tail,
-    /// Since when.
+    QuerySent,
+    /// The answer was received; ReadyForQuery was not.
+    AwaitingReady,
+    /// Idle since this time.
     Idle(Ns),
 }
 
-/// What a machine's bytes mean for a pick.
-pub enum Came {
-    /// The connection that it waited for is there.
-    Ready,
-    /// It has ended, with a row where it is ok.
-    Over(Outcome, Option<Vec<u8>>),
+/// What a machine's data means for a pick.
+pub enum PickEvent {
+    /// The connection that it waits for is ready.
+    ConnectionReady,
+    /// The pick has ended; the row is set if its outcome is ok.
+    Ended(Outcome, Option<Vec<u8>>),
 }
 
 struct Conn {
     machine: usize,
     incarnation: u32,
-    step: Step,
-    answer: ResponseReader,
-    /// The pick that it carries.
-    job: Option<(usize, usize)>,
-    /// Its part of what the pool holds.
-    held: usize,
+    state: ConnState,
+    reader: ResponseReader,
+    /// The RPC and the pick that use the connection.
+    pick: Option<(usize, usize)>,
+    /// Its part of the pool's `buffered` bytes.
+    buffered: usize,
 }
 
 pub struct Pool {
-    pub places: Vec<Place>,
+    pub machines: Vec<MachineEntry>,
     conns: HashMap<Id, Conn>,
-    /// Idle ones, longest idle first.
+    /// Idle connections, the longest idle first.
     idle: BTreeSet<(Ns, Id)>,
-    most: usize,
-    /// Bytes of answers that are not whole.
-    held: usize,
-    /// Picks for which no connection was left.
-    pub scarce: u64,
+    max: usize,
+    /// Bytes of incomplete answers.
+    buffered: usize,
+    /// Picks that failed for want of a connection.
+    pub exhausted: u64,
     pub dialled: u64,
-    pub spoilt: u64,
+    pub malformed: u64,
 }
 
 impl Pool {
     pub fn new(sockets: usize) -> Pool {
         Pool {
-            places: Vec::new(),
+            machines: Vec::new(),
             conns: HashMap::new(),
             idle: BTreeSet::new(),
-            most: (sockets - RESERVE) / 2,
-            held: 0,
-            scarce: 0,
+            max: (sockets - RESERVED_DESCRIPTORS) / 2,
+            buffered: 0,
+            exhausted: 0,
             dialled: 0,
-            spoilt: 0,
+            malformed: 0,
         }
     }
 
@@ -100,277 +102,294 @@
         self.conns.contains_key(&id)
     }
 
-    /// Connections, and those of them that are idle.
+    /// Number of connections, and of idle ones.
     pub fn count(&self) -> (usize, usize) {
         (self.conns.len(), self.idle.len())
     }
 
-    /// Takes a machine's connection that was idle for long enough, the last one first: the others may grow old.
-    fn rested(&mut self, machine: usize, now: Ns) -> Option<Id> {
-        let rested = |id: &Id| {
-            let step = self.conns.get(id).map(|c| c.step);
-            !matches!(step, Some(Step::Idle(since)) if now - since < REST)
+    /// Takes the machine's most recently used connection that has been idle for at least `REUSE_DELAY`, so that
+    /// surplus connections expire.
+    fn take_reusable(&mut self, machine: usize, now: Ns) -> Option<Id> {
+        let reusable = |id: &Id| {
+            let state = self.conns.get(id).map(|c| c.state);
+            !matches!(state, Some(ConnState::Idle(since)) if now - since < REUSE_DELAY)
         };
-        let idle = &mut self.places[machine].idle;
-        let at = idle.iter().rposition(rested)?;
+        let idle = &mut self.machines[machine].idle;
+        let at = idle.iter().rposition(reusable)?;
         Some(idle.remove(at))
     }
 
-    pub fn came_back(&mut self, machine: usize) {
-        let place = &mut self.places[machine];
-        place.out = place.out.saturating_sub(1);
+    pub fn pick_ended(&mut self, machine: usize) {
+        let entry = &mut self.machines[machine];
+        entry.outstanding = entry.outstanding.saturating_sub(1);
     }
 }
 
 impl Effects {
-    /// A machine's record: another address, build or start is another process, whose connections are new.
-    pub fn place(
+    /// Stores a machine's record. A different address, build or start time means another process, which needs new
+    /// connections.
+    pub fn update_machine(
         &mut self, machine: usize, addr: Option<SocketAddr>, build: u32, started: Option<Ns>, gone: bool,
     ) {
         let now = self.net.now();
-        if self.pool.places.len() <= machine {
-            self.pool.places.resize_with(machine + 1, Place::default);
+        if self.pool.machines.len() <= machine {
+            self.pool.machines.resize_with(machine + 1, MachineEntry::default);
         }
-        let place = &mut self.pool.places[machine];
-        let moved = (place.addr, place.build, place.started) != (addr.or(place.addr), build, started);
-        place.incarnation = place.incarnation.wrapping_add(u32::from(moved));
-        (place.addr, place.build, place.started) = (addr.or(place.addr), build, started);
-        place.gone = if gone { place.gone.or(Some(now)) } else { None };
-        if gone || moved {
-            for id in std::mem::take(&mut place.idle) {
+        let entry = &mut self.pool.machines[machine];
+        let replaced = (entry.addr, entry.build, entry.started) != (addr.or(entry.addr), build, started);
+        entry.incarnation = entry.incarnation.wrapping_add(u32::from(replaced));
+        (entry.addr, entry.build, entry.started) = (addr.or(entry.addr), build, started);
+        entry.gone = if gone { entry.gone.or(Some(now)) } else { None };
+        if gone || replaced {
+            for id in std::mem::take(&mut entry.idle) {
                 self.drop_machine_conn(id);
             }
         }
     }
 
-    /// A whole list names all that are there.
-    pub fn gone_but(&mut self, there: &[usize]) {
-        let there: BTreeSet<usize> = there.iter().copied().collect();
-        let absent = (0..self.pool.places.len()).filter(|m| !there.contains(m)).collect::<Vec<_>>();
+    /// Marks all machines as gone that a full roster does not list.
+    pub fn mark_absent_gone(&mut self, listed: &[usize]) {
+        let listed: BTreeSet<usize> = listed.iter().copied().collect();
+        let absent = (0..self.pool.machines.len()).filter(|m| !listed.contains(m)).collect::<Vec<_>>();
         for machine in absent {
-            let place = &self.pool.places[machine];
-            let (addr, build, started) = (place.addr, place.build, place.started);
-            self.place(machine, addr, build, started, true);
+            let entry = &self.pool.machines[machine];
+            let (addr, build, started) = (entry.addr, entry.build, entry.started);
+            self.update_machine(machine, addr, build, started, true);
         }
     }
 
-    /// May a machine of this name be listed? At the bound only those that are known.
-    pub fn listable(&self, name: &str) -> bool {
-        self.door.machine_index(name).is_some() || self.door.machine_count() < MOST_MACHINES
+    /// Whether a machine of this name may be stored: at the limit only known ones are.
+    pub fn may_list(&self, name: &str) -> bool {
+        self.ids.machine_index(name).is_some() || self.ids.machine_count() < MAX_MACHINES
     }
 
     pub fn forget_machines(&mut self) {
         let now = self.net.now();
-        for (machine, place) in self.pool.places.iter_mut().enumerate() {
-            if place.out == 0 && place.gone.is_some_and(|since| now - since >= FORGOTTEN) {
-                self.door.forget_machine(machine);
-                let incarnation = place.incarnation.wrapping_add(1);
-                *place = Place { incarnation, ..Place::default() };
+        for (machine, entry) in self.pool.machines.iter_mut().enumerate() {
+            if entry.outstanding == 0 && entry.gone.is_some_and(|since| now - since >= FORGET_AFTER) {
+                self.ids.forget_machine(machine);
+                let incarnation = entry.incarnation.wrapping_add(1);
+                *entry = MachineEntry { incarnation, ..MachineEntry::default() };
             }
         }
     }
 
     pub fn send_pick(&mut self, rpc: usize, machine: usize, time_out: Ns) {
         let now = self.net.now();
-        let done = self.door.finished(rpc);
+        let done = self.ids.finished(rpc);
         let Some(open) = self.open.get_mut(rpc).and_then(Option::as_mut) else { return };
         let number = open.picks.len();
         open.picks.push(Pick {
             machine,
             sent: now,
-            until: now + time_out,
-            out: true,
-            ran: false,
+            deadline: now + time_out,
+            outstanding: true,
+            may_have_run: false,
             conn: None,
         });
-        self.door.pick_sent(rpc);
-        self.tolls.picks += 1;
-        let place = &mut self.pool.places[machine];
-        place.out += 1;
-        let Some(to) = place.addr.filter(|_| time_out > 0 && !done) else {
-            let none = if time_out > 0 && !done { Outcome::Unreachable } else { Outcome::Void };
-            return self.owed.push_back((rpc, number, none));
+        self.ids.pick_sent(rpc);
+        self.counters.picks += 1;
+        let entry = &mut self.pool.machines[machine];
+        entry.outstanding += 1;
+        let Some(to) = entry.addr.filter(|_| time_out > 0 && !done) else {
+            let how = if time_out > 0 && !done { Outcome::Unreachable } else { Outcome::Void };
+            return self.pending_ends.push_back((rpc, number, how));
         };
-        while let Some(id) = self.pool.rested(machine, now) {
-            // Found closed, or holding bytes that nobody asked for: replaced, and no pick that ran.
-            let fit = self.net.quiet(id) && self.pool.conns.get(&id).is_some_and(|c| c.answer.is_reusable());
-            if fit && self.ask_machine(id, rpc, number) {
+        while let Some(id) = self.pool.take_reusable(machine, now) {
+            // A connection that is closed or has unexpected bytes is replaced; the pick has not run.
+            let usable =
+                self.net.quiet(id) && self.pool.conns.get(&id).is_some_and(|c| c.reader.is_reusable());
+            if usable && self.send_statement(id, rpc, number) {
                 return;
             }
             self.drop_machine_conn(id);
         }
-        if self.pool.conns.len() >= self.pool.most {
+        if self.pool.conns.len() >= self.pool.max {
             match self.pool.idle.first().copied() {
                 Some((_, id)) => self.drop_machine_conn(id),
                 None => {
-                    self.pool.scarce += 1;
-                    return self.owed.push_back((rpc, number, Outcome::Unreachable));
+                    self.pool.exhausted += 1;
+                    return self.pending_ends.push_back((rpc, number, Outcome::Unreachable));
                 }
             }
         }
-        let within = self.connect_within(rpc).min(time_out);
-        let Ok(id) = self.net.dial(to, within) else {
-            self.pool.scarce += 1;
-            return self.owed.push_back((rpc, number, Outcome::Unreachable));
+        let timeout = self.connect_timeout(rpc).min(time_out);
+        let Ok(id) = self.net.dial(to, timeout) else {
+            self.pool.exhausted += 1;
+            return self.pending_ends.push_back((rpc, number, Outcome::Unreachable));
         };
         self.pool.dialled += 1;
-        let incarnation = self.pool.places[machine].incarnation;
-        let job = Some((rpc, number));
+        let incarnation = self.pool.machines[machine].incarnation;
+        let pick = Some((rpc, number));
         let conn = Conn {
             machine,
             incarnation,
-            step: Step::Opening,
-            answer: ResponseReader::default(),
-            job,
-            held: 0,
+            state: ConnState::Opening,
+            reader: ResponseReader::default(),
+            pick,
+            buffered: 0,
         };
         self.pool.conns.insert(id, conn);
-        let mut hello = Vec::new();
-        pg::put_startup(&mut hello, "api", "ledger");
-        self.net.send(id, &hello);
-        self.due(id, now + within);
+        let mut startup = Vec::new();
+        pg::put_startup(&mut startup, "api", "ledger");
+        self.net.send(id, &startup);
+        self.set_deadline(id, now + timeout);
         if let Some(open) = self.open[rpc].as_mut() {
             open.picks[number].conn = Some(id);
         }
     }
 
-    /// How long a new connection for an RPC may take. The module's word that a repeat is harmless holds for now: it must
-    /// also leave in that time.
-    fn connect_within(&self, rpc: usize) -> Ns {
-        let most = self.startup.connect_within;
-        let Some(open) = self.open[rpc].as_ref() else { return most };
+    /// How long connecting for an RPC may take. If the module allows a repeat within the method's deduplication
+    /// window, the repeat must also be sent within that window.
+    fn connect_timeout(&self, rpc: usize) -> Ns {
+        let max = self.startup.connect_timeout;
+        let Some(open) = self.open[rpc].as_ref() else { return max };
         let method = &self.startup.post.methods[open.method];
-        let first = open.picks.iter().filter(|p| p.ran).map(|p| p.sent).min();
-        let known = first.filter(|_| method.repeat == Repeat::Tokened);
-        let left = |at: Ns| at + method.remembered - 2 * self.startup.post.step - self.net.now();
-        known.map_or(most, |at| left(at).min(most))
+        let first = open.picks.iter().filter(|p| p.may_have_run).map(|p| p.sent).min();
+        let first_run = first.filter(|_| method.repeat == Repeat::Tokened);
+        let window_left = |at: Ns| at + method.remembered - 2 * self.startup.post.step - self.net.now();
+        first_run.map_or(max, |at| window_left(at).min(max))
     }
 
-    /// Writes a pick's statement on a connection that is ready; false: the connection is gone, nothing ran.
-    fn ask_machine(&mut self, id: Id, rpc: usize, number: usize) -> bool {
+    /// Sends a pick's statement on a ready connection. Returns false if the connection is closed, in which case
+    /// nothing ran.
+    fn send_statement(&mut self, id: Id, rpc: usize, number: usize) -> bool {
         let now = self.net.now();
         let Some(open) = self.open[rpc].as_mut() else { return false };
-        let until = open.picks[number].until;
+        let deadline = open.picks[number].deadline;
         let mut query = Vec::with_capacity(open.text.len() + 16);
-        pg::put_query(&mut query, &statement::with_wait(&open.text, &open.wait, (until - now) / MS));
+        pg::put_query(
+            &mut query,
+            &statement::with_deadline(&open.text, &open.deadline_range, (deadline - now) / MS),
+        );
         if !self.net.send(id, &query) {
             return false;
         }
         open.picks[number].conn = Some(id);
         if let Some(conn) = self.pool.conns.get_mut(&id) {
-            if let Step::Idle(since) = conn.step {
+            if let ConnState::Idle(since) = conn.state {
                 self.pool.idle.remove(&(since, id));
             }
-            (conn.step, conn.job) = (Step::Asked, Some((rpc, number)));
-            conn.answer.query_sent();
+            (conn.state, conn.pick) = (ConnState::QuerySent, Some((rpc, number)));
+            conn.reader.query_sent();
         }
-        self.due(id, until);
+        self.set_deadline(id, deadline);
         true
     }
 
-    /// Closes a connection to a machine; what becomes of its pick is the caller's.
+    /// Closes a connection to a machine. Its pick is left to the caller.
     pub fn drop_machine_conn(&mut self, id: Id) {
         let Some(conn) = self.pool.conns.remove(&id) else { return };
-        self.pool.held -= conn.held;
-        if let Step::Idle(since) = conn.step {
+        self.pool.buffered -= conn.buffered;
+        if let ConnState::Idle(since) = conn.state {
             self.pool.idle.remove(&(since, id));
-            self.pool.places[conn.machine].idle.retain(|i| *i != id);
+            self.pool.machines[conn.machine].idle.retain(|i| *i != id);
         }
-        self.dues.clear(id);
+        self.deadlines.clear(id);
         self.net.close(id);
     }
 
-    /// A pick's connection is there; it is asked for if the pick still stands. True: its statement is on its way.
-    pub fn ask_opened(&mut self, id: Id, rpc: usize, number: usize, stands: bool) -> bool {
-        let sent = stands && self.ask_machine(id, rpc, number);
-        if !stands {
-            self.park_machine(id);
+    /// Uses a connection that has just become ready: sends the pick's statement if the pick is still `valid`, else
+    /// keeps the connection for others. Returns whether the statement was sent.
+    pub fn use_opened(&mut self, id: Id, rpc: usize, number: usize, valid: bool) -> bool {
+        let sent = valid && self.send_statement(id, rpc, number);
+        if !valid {
+            self.park_connection(id);
         } else if !sent {
             self.drop_machine_conn(id);
         }
         sent
     }
 
-    /// Bytes of a machine: what they mean for picks.
-    pub fn machine_bytes(&mut self, id: Id, bytes: &[u8]) -> Vec<(usize, usize, Came)> {
+    /// Processes data of a machine, and returns what it means for picks.
+    pub fn machine_bytes(&mut self, id: Id, bytes: &[u8]) -> Vec<(usize, usize, PickEvent)> {
         let mut ends = Vec::new();
         let now = self.net.now();
         if let Some(conn) = self.pool.conns.get_mut(&id) {
-            conn.answer.push(bytes);
-            if let Step::Idle(since) = conn.step {
+            conn.reader.push(bytes);
+            if let ConnState::Idle(since) = conn.state {
                 let late_us = (now - since) / 1_000;
-                if let Some(left_out) = self.often.may(now) {
-                    tracing::warn!(event = "more than an answer", late_us, bytes = bytes.len(), left_out);
+                if let Some(left_out) = self.log_limit.may(now) {
+                    tracing::warn!(
+                        event = "unexpected data on an idle machine connection",
+                        late_us,
+                        bytes = bytes.len(),
+                        left_out
+                    );
                 }
             }
         }
         while let Some(conn) = self.pool.conns.get_mut(&id) {
-            let step = conn.step;
-            let heard = conn.answer.next_response();
-            self.pool.held = self.pool.held - conn.held + conn.answer.buffered_len();
-            conn.held = conn.answer.buffered_len();
-            let heard = match heard {
-                Ok(Response::Incomplete) if self.pool.held > MOST_HELD => {
+            let state = conn.state;
+            let response = conn.reader.next_response();
+            self.pool.buffered = self.pool.buffered - conn.buffered + conn.reader.buffered_len();
+            conn.buffered = conn.reader.buffered_len();
+            let response = match response {
+                Ok(Response::Incomplete) if self.pool.buffered > MAX_BUFFERED => {
                     Err(pg::ProtocolError("no room for more of an answer"))
                 }
-                heard => heard,
+                response => response,
             };
-            match heard {
+            match response {
                 Ok(Response::Incomplete) => {
-                    // Words behind an answer, not whole: of no further use, and the answer stands.
-                    if matches!(step, Step::Idle(_)) && !conn.answer.is_reusable() {
+                    // There are bytes behind an answer: the connection can't be used any further, and the answer is
+                    // valid.
+                    if matches!(state, ConnState::Idle(_)) && !conn.reader.is_reusable() {
                         self.drop_machine_conn(id);
                     }
                     break;
                 }
                 Ok(Response::Row(row)) => {
-                    conn.step = Step::Tail;
-                    ends.extend(conn.job.take().map(|(rpc, n)| (rpc, n, Came::Over(Outcome::Ok, Some(row)))));
-                    self.due(id, now + TAIL);
+                    conn.state = ConnState::AwaitingReady;
+                    ends.extend(
+                        conn.pick.take().map(|(rpc, n)| (rpc, n, PickEvent::Ended(Outcome::Ok, Some(row)))),
+                    );
+                    self.set_deadline(id, now + READY_TIMEOUT);
                 }
                 Ok(Response::Error(code)) => {
                     let full = code == pg::TOO_MANY_CONNECTIONS;
-                    conn.step = Step::Tail;
-                    let how = match step {
+                    conn.state = ConnState::AwaitingReady;
+                    let how = match state {
                         _ if full => Outcome::Full,
-                        Step::Opening => Outcome::Unreachable,
+                        ConnState::Opening => Outcome::Unreachable,
                         _ => Outcome::Error,
                     };
-                    ends.extend(conn.job.take().map(|(rpc, n)| (rpc, n, Came::Over(how, None))));
-                    if step == Step::Opening {
+                    ends.extend(conn.pick.take().map(|(rpc, n)| (rpc, n, PickEvent::Ended(how, None))));
+                    if state == ConnState::Opening {
                         self.drop_machine_conn(id);
                         break;
                     }
-                    self.due(id, now + TAIL);
+                    self.set_deadline(id, now + READY_TIMEOUT);
                 }
                 Ok(Response::Ready) => {
-                    if step == Step::Opening {
-                        let place = &self.pool.places[conn.machine];
-                        let there = conn.incarnation == place.incarnation && place.gone.is_none();
-                        if let Some((rpc, n)) = conn.job {
-                            let wanted = self.open[rpc].as_ref().is_some_and(|o| o.picks[n].until > now);
-                            if wanted && there && !self.door.finished(rpc) {
-                                ends.push((rpc, n, Came::Ready));
+                    if state == ConnState::Opening {
+                        let entry = &self.pool.machines[conn.machine];
+                        let same_process = conn.incarnation == entry.incarnation && entry.gone.is_none();
+                        if let Some((rpc, n)) = conn.pick {
+                            let in_time = self.open[rpc].as_ref().is_some_and(|o| o.picks[n].deadline > now);
+                            if in_time && same_process && !self.ids.finished(rpc) {
+                                ends.push((rpc, n, PickEvent::ConnectionReady));
                                 break;
                             }
-                            // Over, or another process has this name by now: what was picked is no more.
-                            ends.push((rpc, n, Came::Over(Outcome::Void, None)));
+                            // The RPC is finished, or another process has taken the machine's name: the pick is void.
+                            ends.push((rpc, n, PickEvent::Ended(Outcome::Void, None)));
                         }
                     }
-                    if !self.park_machine(id) {
+                    if !self.park_connection(id) {
                         break;
                     }
                 }
-                Err(odd) => {
-                    // What was asked may have run; what was not cannot have.
-                    let how = if step == Step::Opening { Outcome::Unreachable } else { Outcome::Broken };
-                    let job = conn.job.take();
-                    let (tag, long) = conn.answer.header().unwrap_or_default();
-                    self.pool.spoilt += 1;
-                    if let Some(left_out) = self.often.may(now) {
-                        tracing::warn!(event = "odd machine", why = odd.0, tag = %char::from(tag), long, step = ?step, asked = job.is_some(), left_out);
+                Err(error) => {
+                    // A statement that was sent may have run; one that was not can't have.
+                    let how =
+                        if state == ConnState::Opening { Outcome::Unreachable } else { Outcome::Broken };
+                    let pick = conn.pick.take();
+                    let (tag, len) = conn.reader.header().unwrap_or_default();
+                    self.pool.malformed += 1;
+                    if let Some(left_out) = self.log_limit.may(now) {
+                        tracing::warn!(event = "malformed answer from a machine", why = error.0, tag = %char::from(tag), long = len, step = ?state, asked = pick.is_some(), left_out);
                     }
-                    ends.extend(job.map(|(rpc, n)| (rpc, n, Came::Over(how, None))));
+                    ends.extend(pick.map(|(rpc, n)| (rpc, n, PickEvent::Ended(how, None))));
                     self.drop_machine_conn(id);
                     break;
                 }
@@ -379,39 +398,41 @@
         ends
     }
 
-    /// Keeps a connection that is ready, or closes it; true when it is kept.
-    fn park_machine(&mut self, id: Id) -> bool {
+    /// Keeps a ready connection for reuse, or closes it; returns whether it was kept.
+    fn park_connection(&mut self, id: Id) -> bool {
         let now = self.net.now();
         let Some(conn) = self.pool.conns.get_mut(&id) else { return false };
-        let place = &mut self.pool.places[conn.machine];
-        if !conn.answer.is_reusable() || conn.incarnation != place.incarnation || place.gone.is_some() {
+        let entry = &mut self.pool.machines[conn.machine];
+        if !conn.reader.is_reusable() || conn.incarnation != entry.incarnation || entry.gone.is_some() {
             self.drop_machine_conn(id);
             return false;
         }
-        (conn.step, conn.job) = (Step::Idle(now), None);
-        place.idle.push(id);
+        (conn.state, conn.pick) = (ConnState::Idle(now), None);
+        entry.idle.push(id);
         self.pool.idle.insert((now, id));
-        // Well before the machine closes it: a pick written to a closed one would be a reset.
-        self.due(id, now + self.startup.idle / 3 * 2);
+        // Close it well before the machine does: a statement sent on a closed connection would be answered by a
+        // reset.
+        self.set_deadline(id, now + self.startup.machine_idle_timeout / 3 * 2);
         true
     }
 
-    /// A machine's connection has gone by itself.
-    pub fn machine_gone(&mut self, id: Id, unsent: bool) -> Option<(usize, usize, Outcome)> {
-        self.machine_over(id, unsent, Outcome::Broken)
+    /// Handles the close of a machine's connection by its peer.
+    pub fn machine_closed(&mut self, id: Id, unsent: bool) -> Option<(usize, usize, Outcome)> {
+        self.end_machine_conn(id, unsent, Outcome::Broken)
     }
 
-    /// The time of a machine's connection is up: to come up, to answer, to be ready, or to be kept.
-    pub fn machine_due(&mut self, id: Id) -> Option<(usize, usize, Outcome)> {
+    /// Handles the expiry of a machine's connection, whatever it waits for.
+    pub fn machine_timed_out(&mut self, id: Id) -> Option<(usize, usize, Outcome)> {
         let unsent = self.net.backlog(id).is_some_and(|n| n > 0);
-        self.machine_over(id, unsent, Outcome::TimedOut)
+        self.end_machine_conn(id, unsent, Outcome::TimedOut)
     }
 
-    /// Ends a connection; its pick, which never ran unless its statement was written whole, else came to `how`.
-    fn machine_over(&mut self, id: Id, unsent: bool, how: Outcome) -> Option<(usize, usize, Outcome)> {
+    /// Closes a machine's connection and ends its pick: as unreachable, since it never ran, if its statement was not
+    /// sent completely, else by `how`.
+    fn end_machine_conn(&mut self, id: Id, unsent: bool, how: Outcome) -> Option<(usize, usize, Outcome)> {
         let conn = self.pool.conns.get_mut(&id)?;
-        let (never, job) = (unsent || conn.step == Step::Opening, conn.job.take());
+        let (never_ran, pick) = (unsent || conn.state == ConnState::Opening, conn.pick.take());
         self.drop_machine_conn(id);
-        job.map(|(rpc, n)| (rpc, n, if never { Outcome::Unreachable } else { how }))
+        pick.map(|(rpc, n)| (rpc, n, if never_ran { Outcome::Unreachable } else { how }))
     }
 }
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -1,59 +1,62 @@
-//! Links to the platform: discovery's watch and list, the desk's news and votes. At a reload the new ones are made
-//! while the old ones still serve.
-use crate::effects::{Effects, DESK};
+//! Links to the platform: discovery's watch and list, and the rollout API's notifications and votes. At a reload new
+//! links are established while the old ones still serve.
+use crate::effects::{Effects, ROLLOUT_API_TIMER};
 use rand::Rng;
 use rockpick::{Member, Ns, Outcome, Reply, Roll, Standing, State, Verdict};
 use rockpick_net::http;
 use rockpick_net::{take_line, Call, End, Id, MS, SEC};
-use rockpick_platform::desk::{self, Line, Stood};
-use rockpick_platform::roster::{self, Telling};
+use rockpick_platform::rollout_api::{self, BuildStatus, Line};
+use rockpick_platform::roster::{self, RosterUpdate};
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A link that gives no sign for so long is taken for dead: the desk's come every second, and a first word may wait its turn.
-const SILENCE: Ns = 3 * SEC + SEC / 2;
-/// The same for a watch that has spoken: its signs come every two seconds, and what it misses counts 6 s after it fell
-/// silent, in which another one must be had, at the second try.
-const WATCH_SILENCE: Ns = 2 * SEC + SEC / 2;
-const CONNECT: Ns = SEC;
-/// Longest line of a watch: ten thousand machines.
-const MOST_LINE: usize = 2 * 1024 * 1024;
-/// Watches, and connections for news, at once: one that serves and one that is being made.
-const MOST_LINKS: usize = 2;
-/// Waits before the desk is dialled again: doubled from the first to the last, each drawn from half to whole.
-const AGAIN: (Ns, Ns) = (100 * MS, 2 * SEC);
+/// A link without any data for this long is considered dead. The rollout API sends something every second, but its
+/// first reply may be delayed by a queue.
+const LINK_TIMEOUT: Ns = 3 * SEC + SEC / 2;
+/// The same for a watch that has sent data: its heartbeats come every two seconds. Changes that it misses count 6 s
+/// after it fell silent; by then another one must serve, at the second attempt at the latest.
+const WATCH_TIMEOUT: Ns = 2 * SEC + SEC / 2;
+const CONNECT_TIMEOUT: Ns = SEC;
+/// Longest line of a watch: an update with ten thousand machines.
+const MAX_WATCH_LINE: usize = 2 * 1024 * 1024;
+/// Most watches, and most subscriptions, at a time: one that serves and one that is being established.
+const MAX_LINKS: usize = 2;
+/// First and longest delay before the rollout API is dialled again. The delay doubles each time, and the wait is
+/// drawn at random between half of it and all of it.
+const REDIAL_DELAY: (Ns, Ns) = (100 * MS, 2 * SEC);
 
 struct Watch {
     call: Id,
-    asked: Ns,
-    came: Vec<u8>,
-    /// Lines of a telling that is not whole yet.
-    begun: Vec<u8>,
-    /// It has said anything at all, if only that it lives; it has told something.
-    spoke: bool,
-    serves: bool,
+    requested_at: Ns,
+    buffer: Vec<u8>,
+    /// Lines of an incomplete update.
+    partial: Vec<u8>,
+    /// Whether it has sent any data, even a heartbeat only.
+    has_data: bool,
+    active: bool,
 }
 
 impl Watch {
-    /// Takes a line: a telling that is whole with it, if one is; tellings may come indented, over many lines.
+    /// Processes a line, and returns the update that it completes, if any. An update may be indented and span many
+    /// lines.
     ///
     /// # Errors
-    /// The watch makes no sense.
-    fn telling(&mut self, line: &[u8]) -> Result<Option<Value>, ()> {
+    /// Malformed data.
+    fn parse_line(&mut self, line: &[u8]) -> Result<Option<Value>, ()> {
         let blank = line.trim_ascii().is_empty();
-        if blank || self.begun.is_empty() && !line.trim_ascii_start().starts_with(b"{") {
-            // A sign of life comes between two tellings, never within one.
-            return if blank && self.begun.is_empty() { Ok(None) } else { Err(()) };
+        if blank || self.partial.is_empty() && !line.trim_ascii_start().starts_with(b"{") {
+            // Heartbeats come between updates, never within one.
+            return if blank && self.partial.is_empty() { Ok(None) } else { Err(()) };
         }
-        self.begun.extend_from_slice(line);
-        // Read where it may be whole alone: at each of its lines it would take the square of its length.
+        self.partial.extend_from_slice(line);
+        // Parse only after a line that may end the update; parsing after each line would take quadratic time.
         if !line.trim_ascii_end().ends_with(b"}") {
             return Ok(None);
         }
-        match serde_json::from_slice(&self.begun) {
-            Ok(told) => {
-                self.begun = Vec::new();
-                Ok(Some(told))
+        match serde_json::from_slice(&self.partial) {
+            Ok(update) => {
+                self.partial = Vec::new();
+                Ok(Some(update))
             }
             Err(err) if err.is_eof() => Ok(None),
             Err(_) => Err(()),
@@ -62,113 +65,120 @@
 }
 
 pub struct Discovery {
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
     watches: Vec<Watch>,
-    /// The last watch never spoke: the list is asked for beside the next.
-    mute: bool,
+    /// The last watch timed out without any data: the list is requested along with the next one.
+    last_watch_silent: bool,
     fetch: Option<Id>,
     pub seq: u64,
-    pub tellings: u64,
+    pub updates: u64,
 }
 
 impl Discovery {
     pub fn new(at: SocketAddr) -> Discovery {
-        Discovery { at, watches: Vec::new(), mute: false, fetch: None, seq: 0, tellings: 0 }
+        Discovery { addr: at, watches: Vec::new(), last_watch_silent: false, fetch: None, seq: 0, updates: 0 }
     }
 
     pub fn owns(&self, id: Id) -> bool {
         self.fetch == Some(id) || self.watches.iter().any(|w| w.call == id)
     }
 
-    pub fn watching(&self) -> bool {
-        self.watches.iter().any(|w| w.serves)
+    pub fn is_watching(&self) -> bool {
+        self.watches.iter().any(|w| w.active)
     }
 }
 
-struct News {
+struct Subscription {
     conn: Id,
-    came: Vec<u8>,
-    serves: bool,
+    buffer: Vec<u8>,
+    active: bool,
 }
 
 struct Vote {
     conn: Id,
     line: String,
-    came: Vec<u8>,
-    up: bool,
+    buffer: Vec<u8>,
+    connected: bool,
 }
 
-pub struct Desk {
-    pub at: Option<SocketAddr>,
-    news: Vec<News>,
+pub struct RolloutApi {
+    pub addr: Option<SocketAddr>,
+    subscriptions: Vec<Subscription>,
     vote: Option<Vote>,
-    wait: Ns,
-    /// A timer for dialling is set.
-    waiting: bool,
+    redial_delay: Ns,
+    redial_scheduled: bool,
     pub dialled: u64,
-    pub heard: u64,
+    pub lines_received: u64,
 }
 
-impl Desk {
-    pub fn new(at: Option<SocketAddr>) -> Desk {
-        Desk { at, news: Vec::new(), vote: None, wait: AGAIN.0, waiting: false, dialled: 0, heard: 0 }
+impl RolloutApi {
+    pub fn new(at: Option<SocketAddr>) -> RolloutApi {
+        RolloutApi {
+            addr: at,
+            subscriptions: Vec::new(),
+            vote: None,
+            redial_delay: REDIAL_DELAY.0,
+            redial_scheduled: false,
+            dialled: 0,
+            lines_received: 0,
+        }
     }
 
     pub fn owns(&self, id: Id) -> bool {
-        self.news.iter().any(|n| n.conn == id) || self.vote.as_ref().is_some_and(|v| v.conn == id)
+        self.subscriptions.iter().any(|n| n.conn == id) || self.vote.as_ref().is_some_and(|v| v.conn == id)
     }
 
-    pub fn served(&self) -> bool {
-        self.news.iter().any(|n| n.serves)
+    pub fn is_subscribed(&self) -> bool {
+        self.subscriptions.iter().any(|n| n.active)
     }
 }
 
-/// What a link has to tell the module.
-pub enum Tell {
+/// A link's news for the decision module.
+pub enum ModuleEvent {
     Members(Roll, Vec<Member>),
-    Told(Reply, Option<Standing>),
+    Status(Reply, Option<Standing>),
     Tallied { build: u32, method: usize, picks: u32, not_ok: u32 },
     Disputed { machine: usize, sent: Ns },
 }
 
-pub fn standing(now: Ns, stood: Stood) -> Standing {
-    let Stood { build, stage, phase, cap, age } = stood;
+pub fn to_standing(now: Ns, status: BuildStatus) -> Standing {
+    let BuildStatus { build, stage, phase, cap, age } = status;
     Standing { build, stage, phase, cap, since: now - age }
 }
 
 impl Effects {
-    fn ask_discovery(&mut self, target: &str, stream: bool) -> Id {
-        let to = self.discovery.at;
-        // A kept connection may be closing at the other end, and the question would be lost on it.
+    fn call_discovery(&mut self, target: &str, stream: bool) -> Id {
+        let to = self.discovery.addr;
+        // A kept connection may just be closed by the server, and the request would be lost on it.
         self.net.close_idle(to);
         let request = http::ask("GET", target, &to.to_string(), &[], b"");
-        let call = Call { to, request: &request, connect_within: CONNECT, stream, head_only: false };
-        let id = self.net.call(&mut self.made, call);
-        let at = self.net.now() + SILENCE;
-        self.due(id, at);
+        let call = Call { to, request: &request, connect_within: CONNECT_TIMEOUT, stream, head_only: false };
+        let id = self.net.call(&mut self.queued_events, call);
+        let at = self.net.now() + LINK_TIMEOUT;
+        self.set_deadline(id, at);
         id
     }
 
     pub fn watch_roster(&mut self, on: bool) {
-        let keep = if on { MOST_LINKS - 1 } else { 0 };
-        // One that never told anything goes before the one that serves.
+        let keep = if on { MAX_LINKS - 1 } else { 0 };
+        // Prefer to end a watch that does not serve yet.
         while self.discovery.watches.len() > keep {
-            let at = self.discovery.watches.iter().position(|w| !w.serves).unwrap_or(0);
+            let at = self.discovery.watches.iter().position(|w| !w.active).unwrap_or(0);
             let old = self.discovery.watches.remove(at);
             self.end_call(old.call);
         }
         if on {
             let target = format!("/v1/endpoints?watch=1&after={}", self.discovery.seq);
-            let call = self.ask_discovery(&target, true);
+            let call = self.call_discovery(&target, true);
             self.discovery.watches.push(Watch {
                 call,
-                asked: self.net.now(),
-                came: Vec::new(),
-                begun: Vec::new(),
-                spoke: false,
-                serves: false,
+                requested_at: self.net.now(),
+                buffer: Vec::new(),
+                partial: Vec::new(),
+                has_data: false,
+                active: false,
             });
-            if self.discovery.mute {
+            if self.discovery.last_watch_silent {
                 self.fetch_roster();
             }
         }
@@ -178,298 +188,313 @@
         if let Some(old) = self.discovery.fetch.take() {
             self.end_call(old);
         }
-        self.discovery.fetch = Some(self.ask_discovery("/v1/endpoints", false));
+        self.discovery.fetch = Some(self.call_discovery("/v1/endpoints", false));
     }
 
     fn end_call(&mut self, call: Id) {
-        self.dues.clear(call);
+        self.deadlines.clear(call);
         self.net.cancel(call);
     }
 
-    /// A piece of a watch.
-    pub fn watch_piece(&mut self, call: Id, status: u16, bytes: &[u8]) -> Vec<Tell> {
-        let mut tells = Vec::new();
+    /// Processes data of a watch.
+    pub fn watch_bytes(&mut self, call: Id, status: u16, bytes: &[u8]) -> Vec<ModuleEvent> {
+        let mut events = Vec::new();
         let now = self.net.now();
-        let Some(at) = self.discovery.watches.iter().position(|w| w.call == call) else { return tells };
-        self.due(call, now + WATCH_SILENCE);
-        self.discovery.mute = false;
+        let Some(at) = self.discovery.watches.iter().position(|w| w.call == call) else {
+            return events;
+        };
+        self.set_deadline(call, now + WATCH_TIMEOUT);
+        self.discovery.last_watch_silent = false;
         let watch = &mut self.discovery.watches[at];
-        watch.spoke = true;
-        watch.came.extend_from_slice(bytes);
-        let mut bad = status != 200 || watch.came.len() + watch.begun.len() > MOST_LINE;
-        let came = std::mem::take(&mut watch.came);
-        let whole = came.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
-        self.discovery.watches[at].came = came[whole..].to_vec();
-        for line in came[..whole].split_inclusive(|b| *b == b'\n') {
-            if bad {
+        watch.has_data = true;
+        watch.buffer.extend_from_slice(bytes);
+        let mut malformed = status != 200 || watch.buffer.len() + watch.partial.len() > MAX_WATCH_LINE;
+        let received = std::mem::take(&mut watch.buffer);
+        let complete = received.iter().rposition(|b| *b == b'\n').map_or(0, |end| end + 1);
+        self.discovery.watches[at].buffer = received[complete..].to_vec();
+        for line in received[..complete].split_inclusive(|b| *b == b'\n') {
+            if malformed {
                 break;
             }
-            let sign_of_life = line.trim_ascii().is_empty();
-            match self.discovery.watches[at].telling(line) {
-                // Nothing has changed since the list that it goes on from: that is known now.
-                Ok(None) if sign_of_life && !self.discovery.watches[at].serves => {
-                    self.watch_serves(at);
-                    tells.push(Tell::Members(Roll::Changes, Vec::new()));
+            let heartbeat = line.trim_ascii().is_empty();
+            match self.discovery.watches[at].parse_line(line) {
+                // A heartbeat first: nothing has changed since the list that the watch continues from, so that list
+                // is current.
+                Ok(None) if heartbeat && !self.discovery.watches[at].active => {
+                    self.watch_active(at);
+                    events.push(ModuleEvent::Members(Roll::Changes, Vec::new()));
                 }
                 Ok(None) => {}
-                Ok(Some(told)) => match roster::read(&told, &mut self.startup.zones) {
-                    Some(telling) => {
-                        self.watch_serves(at);
-                        let roll = if telling.whole { Roll::Whole } else { Roll::Changes };
-                        tells.push(self.listed(roll, telling));
+                Ok(Some(json)) => match roster::parse_update(&json, &mut self.startup.zones) {
+                    Some(update) => {
+                        self.watch_active(at);
+                        let roll = if update.whole { Roll::Whole } else { Roll::Changes };
+                        events.push(self.apply_update(roll, update));
                     }
-                    None => bad = true,
+                    None => malformed = true,
                 },
-                Err(()) => bad = true,
+                Err(()) => malformed = true,
             }
         }
-        if bad {
-            if let Some(left_out) = self.often.may(now) {
-                tracing::warn!(event = "watch makes no sense", status, left_out);
+        if malformed {
+            if let Some(left_out) = self.log_limit.may(now) {
+                tracing::warn!(event = "malformed data on the discovery watch", status, left_out);
             }
-            tells.extend(self.watch_over(call));
-        } else if at > 0 && self.discovery.watches[at].serves {
-            // The newer one serves: the former is let go.
+            events.extend(self.end_watch(call));
+        } else if at > 0 && self.discovery.watches[at].active {
+            // The newer watch serves; older ones are ended.
             for old in self.discovery.watches.drain(..at).collect::<Vec<_>>() {
                 self.end_call(old.call);
             }
         }
-        tells
+        events
     }
 
-    fn watch_serves(&mut self, at: usize) {
+    fn watch_active(&mut self, at: usize) {
         let now = self.net.now();
         let watch = &mut self.discovery.watches[at];
-        if !std::mem::replace(&mut watch.serves, true) {
-            tracing::info!(event = "watch serves", after_ms = (now - watch.asked) / MS);
+        if !std::mem::replace(&mut watch.active, true) {
+            tracing::info!(event = "watch serves", after_ms = (now - watch.requested_at) / MS);
         }
     }
 
-    /// A call to discovery has ended, or its time is up.
-    pub fn discovery_over(&mut self, call: Id, end: Option<End>) -> Vec<Tell> {
+    /// Handles the end of a call to discovery; `end` is `None` if it timed out.
+    pub fn discovery_ended(&mut self, call: Id, end: Option<End>) -> Vec<ModuleEvent> {
         if self.discovery.fetch != Some(call) {
-            let mute = self.discovery.watches.iter().any(|w| w.call == call && !w.spoke);
-            self.discovery.mute |= mute && end.is_none();
-            return self.watch_over(call).into_iter().collect();
+            let silent = self.discovery.watches.iter().any(|w| w.call == call && !w.has_data);
+            self.discovery.last_watch_silent |= silent && end.is_none();
+            return self.end_watch(call).into_iter().collect();
         }
         self.discovery.fetch = None;
         self.end_call(call);
-        let told = match end {
+        let json = match end {
             Some(End::Answer(answer)) if answer.status == 200 => serde_json::from_slice(&answer.body).ok(),
             _ => None,
         };
-        let telling = told.as_ref().and_then(|t: &Value| roster::read(t, &mut self.startup.zones));
-        // One that was overtaken by a watch must not take its news back; a watch is still being made, and is heard of.
-        let telling = telling.filter(|t| t.whole && t.seq >= self.discovery.seq);
-        telling.map(|telling| self.listed(Roll::Whole, telling)).into_iter().collect()
+        let update = json.as_ref().and_then(|t: &Value| roster::parse_update(t, &mut self.startup.zones));
+        // A list that is older than a watch's updates must not undo them. In that case a watch is being established
+        // and will report the current state.
+        let update = update.filter(|t| t.whole && t.seq >= self.discovery.seq);
+        update.map(|update| self.apply_update(Roll::Whole, update)).into_iter().collect()
     }
 
-    fn watch_over(&mut self, call: Id) -> Option<Tell> {
+    fn end_watch(&mut self, call: Id) -> Option<ModuleEvent> {
         let at = self.discovery.watches.iter().position(|w| w.call == call)?;
         let newest = at + 1 == self.discovery.watches.len();
         let watch = self.discovery.watches.remove(at);
-        let after_ms = (self.net.now() - watch.asked) / MS;
-        if let Some(left_out) = self.often.may(self.net.now()) {
-            tracing::info!(event = "watch over", served = watch.serves, after_ms, left_out);
+        let after_ms = (self.net.now() - watch.requested_at) / MS;
+        if let Some(left_out) = self.log_limit.may(self.net.now()) {
+            tracing::info!(event = "watch over", served = watch.active, after_ms, left_out);
         }
         self.end_call(call);
-        // The loss of a former one, while a newer is being made, is no news.
-        newest.then(|| Tell::Members(Roll::Failed, Vec::new()))
+        // The end of an older watch does not matter while a newer one is being established.
+        newest.then(|| ModuleEvent::Members(Roll::Failed, Vec::new()))
     }
 
-    /// Takes a telling into the tables, and makes the module's lines of it.
-    pub fn listed(&mut self, roll: Roll, telling: Telling) -> Tell {
-        let Telling { seq, whole, records, odd } = telling;
-        self.discovery.tellings += 1;
-        if odd > 0 {
-            tracing::warn!(event = "records not read", odd, seq);
+    /// Applies an update to the tables, and converts it for the module.
+    pub fn apply_update(&mut self, roll: Roll, update: RosterUpdate) -> ModuleEvent {
+        let RosterUpdate { seq, whole, records, malformed } = update;
+        self.discovery.updates += 1;
+        if malformed > 0 {
+            tracing::warn!(event = "skipped malformed roster records", odd = malformed, seq);
         }
-        // A telling older than what is known, from a link that is behind, must not take news back.
+        // An update that is older than the known state, from a link that lags behind, must not undo newer changes.
         if !whole && seq < self.discovery.seq {
-            return Tell::Members(Roll::Changes, Vec::new());
+            return ModuleEvent::Members(Roll::Changes, Vec::new());
         }
         self.discovery.seq = seq;
         let mut members = Vec::with_capacity(records.len());
         for record in records {
-            if !self.listable(&record.name) {
+            if !self.may_list(&record.name) {
                 continue;
             }
-            let machine = self.door.intern_machine(&record.name);
-            // All machines read one clock; the loop has another, which begins with it.
-            let born = i128::from(record.born_ms) * i128::from(MS) - self.wall;
-            let started = (record.born_ms > 0).then_some(born as Ns);
+            let machine = self.ids.intern_machine(&record.name);
+            // Machines share the wall clock; convert it to the event loop's clock.
+            let since_start = i128::from(record.started_ms) * i128::from(MS) - self.wall_offset;
+            let started = (record.started_ms > 0).then_some(since_start as Ns);
             let gone = record.member.state == State::Gone;
-            self.place(machine, record.addr, record.member.build, started, gone);
+            self.update_machine(machine, record.addr, record.member.build, started, gone);
             members.push(Member { machine, started, ..record.member });
         }
         if whole {
             let there: Vec<usize> = members.iter().map(|m| m.machine).collect();
-            self.gone_but(&there);
+            self.mark_absent_gone(&there);
         }
-        Tell::Members(roll, members)
+        ModuleEvent::Members(roll, members)
     }
 
-    /// Sees to it that the desk's news are followed.
-    pub fn follow_desk(&mut self) {
-        self.desk.waiting = false;
-        let Some(at) = self.desk.at.filter(|_| self.desk.news.is_empty()) else { return };
-        self.dial_desk(at);
+    /// Subscribes to the rollout API's notifications, unless a subscription exists.
+    pub fn subscribe(&mut self) {
+        self.rollout_api.redial_scheduled = false;
+        let Some(at) = self.rollout_api.addr.filter(|_| self.rollout_api.subscriptions.is_empty()) else {
+            return;
+        };
+        self.dial_subscription(at);
     }
 
-    fn dial_desk(&mut self, at: SocketAddr) {
+    fn dial_subscription(&mut self, at: SocketAddr) {
         let now = self.net.now();
-        self.desk.dialled += 1;
-        match self.net.dial(at, CONNECT) {
+        self.rollout_api.dialled += 1;
+        match self.net.dial(at, CONNECT_TIMEOUT) {
             Ok(conn) => {
-                self.net.send(conn, desk::NOTIFY);
-                self.due(conn, now + SILENCE);
-                self.desk.news.push(News { conn, came: Vec::new(), serves: false });
+                self.net.send(conn, rollout_api::SUBSCRIBE);
+                self.set_deadline(conn, now + LINK_TIMEOUT);
+                self.rollout_api.subscriptions.push(Subscription { conn, buffer: Vec::new(), active: false });
             }
-            Err(_) => self.follow_later(),
+            Err(_) => self.schedule_redial(),
         }
     }
 
-    fn follow_later(&mut self) {
-        if self.desk.waiting || !self.desk.news.is_empty() {
+    fn schedule_redial(&mut self) {
+        if self.rollout_api.redial_scheduled || !self.rollout_api.subscriptions.is_empty() {
             return;
         }
-        let wait = self.chance.random_range(self.desk.wait / 2..=self.desk.wait);
-        self.desk.wait = (self.desk.wait * 2).min(AGAIN.1);
-        self.desk.waiting = true;
-        self.net.wake_at(self.net.now() + wait, DESK);
+        let wait = self.rng.random_range(self.rollout_api.redial_delay / 2..=self.rollout_api.redial_delay);
+        self.rollout_api.redial_delay = (self.rollout_api.redial_delay * 2).min(REDIAL_DELAY.1);
+        self.rollout_api.redial_scheduled = true;
+        self.net.wake_at(self.net.now() + wait, ROLLOUT_API_TIMER);
     }
 
-    /// Links at other addresses are made while the old ones serve.
-    pub fn moved(&mut self, discovery: SocketAddr, desk: Option<SocketAddr>) {
-        if std::mem::replace(&mut self.discovery.at, discovery) != discovery {
+    /// Establishes links to changed addresses while the old ones still serve.
+    pub fn move_links(&mut self, discovery: SocketAddr, rollout_api: Option<SocketAddr>) {
+        if std::mem::replace(&mut self.discovery.addr, discovery) != discovery {
             self.watch_roster(true);
         }
-        if std::mem::replace(&mut self.desk.at, desk) != desk {
-            while self.desk.news.len() >= MOST_LINKS {
-                let old = self.desk.news.remove(0);
-                self.close_desk(old.conn);
+        if std::mem::replace(&mut self.rollout_api.addr, rollout_api) != rollout_api {
+            while self.rollout_api.subscriptions.len() >= MAX_LINKS {
+                let old = self.rollout_api.subscriptions.remove(0);
+                self.close_rollout_api(old.conn);
             }
-            self.desk.wait = AGAIN.0;
-            if let Some(at) = desk {
-                self.dial_desk(at);
+            self.rollout_api.redial_delay = REDIAL_DELAY.0;
+            if let Some(at) = rollout_api {
+                self.dial_subscription(at);
             }
         }
     }
 
-    fn close_desk(&mut self, conn: Id) {
-        self.dues.clear(conn);
+    fn close_rollout_api(&mut self, conn: Id) {
+        self.deadlines.clear(conn);
         self.net.close(conn);
     }
 
     pub fn cast_vote(&mut self, build: u32, stage: u32, verdict: Verdict) {
-        if let Some(old) = self.desk.vote.take() {
-            self.close_desk(old.conn);
+        if let Some(old) = self.rollout_api.vote.take() {
+            self.close_rollout_api(old.conn);
         }
-        let within = self.startup.post.rollout.call_timeout.max(100 * MS);
+        let timeout = self.startup.post.rollout.call_timeout.max(100 * MS);
         tracing::info!(event = "vote", build, stage, verdict = ?verdict);
-        // A connection of its own: one that was kept may be closing, and a vote lost on it may count.
-        let dialled = self.desk.at.and_then(|at| self.net.dial(at, within).ok());
+        // Each vote has its own connection: a kept one may just be closed by the server, and a vote that is lost on
+        // it may have been counted.
+        let dialled = self.rollout_api.addr.and_then(|at| self.net.dial(at, timeout).ok());
         match dialled {
             Some(conn) => {
-                let at = self.net.now() + within;
-                self.due(conn, at);
-                let line = desk::vote(build, stage, verdict);
-                self.desk.vote = Some(Vote { conn, line, came: Vec::new(), up: false });
+                let at = self.net.now() + timeout;
+                self.set_deadline(conn, at);
+                let line = rollout_api::vote_line(build, stage, verdict);
+                self.rollout_api.vote = Some(Vote { conn, line, buffer: Vec::new(), connected: false });
             }
-            // No word of it left: the module casts it again after its time.
+            // Nothing was sent; the module casts the vote again later.
             None => tracing::warn!(event = "vote not sent", build),
         }
     }
 
-    pub fn desk_came(&mut self, conn: Id) {
-        if let Some(vote) = self.desk.vote.as_mut().filter(|v| v.conn == conn) {
-            vote.up = true;
+    pub fn rollout_api_connected(&mut self, conn: Id) {
+        if let Some(vote) = self.rollout_api.vote.as_mut().filter(|v| v.conn == conn) {
+            vote.connected = true;
             let line = vote.line.clone();
             self.net.send(conn, line.as_bytes());
         }
     }
 
-    pub fn desk_bytes(&mut self, conn: Id, bytes: &[u8]) -> Vec<Tell> {
+    pub fn rollout_api_bytes(&mut self, conn: Id, bytes: &[u8]) -> Vec<ModuleEvent> {
         let now = self.net.now();
-        let mut tells = Vec::new();
-        if let Some(vote) = self.desk.vote.as_mut().filter(|v| v.conn == conn) {
-            vote.came.extend_from_slice(bytes);
-            let line = take_line(&mut vote.came);
-            if line.is_none() && vote.came.len() < desk::MOST_LINE {
-                return tells;
+        let mut events = Vec::new();
+        if let Some(vote) = self.rollout_api.vote.as_mut().filter(|v| v.conn == conn) {
+            vote.buffer.extend_from_slice(bytes);
+            let line = take_line(&mut vote.buffer);
+            if line.is_none() && vote.buffer.len() < rollout_api::MAX_LINE_LEN {
+                return events;
             }
-            self.desk.vote = None;
-            self.close_desk(conn);
-            let said = line.as_deref().and_then(|l| l.strip_suffix(b"\r\n")).and_then(desk::read);
-            tells.push(match said {
-                Some(Line::Ok(stood)) => Tell::Told(Reply::Counted, stood.map(|s| standing(now, s))),
+            self.rollout_api.vote = None;
+            self.close_rollout_api(conn);
+            let reply =
+                line.as_deref().and_then(|l| l.strip_suffix(b"\r\n")).and_then(rollout_api::parse_line);
+            events.push(match reply {
+                Some(Line::Ok(status)) => {
+                    ModuleEvent::Status(Reply::Counted, status.map(|s| to_standing(now, s)))
+                }
                 Some(Line::Err(why)) => {
                     tracing::info!(event = "vote refused", why);
-                    Tell::Told(Reply::Refused, None)
+                    ModuleEvent::Status(Reply::Refused, None)
                 }
-                // Spoilt: it may count.
-                _ => Tell::Told(Reply::TimedOut, None),
+                // The reply is malformed, and the vote may have been counted.
+                _ => ModuleEvent::Status(Reply::TimedOut, None),
             });
-            return tells;
+            return events;
         }
-        let Some(at) = self.desk.news.iter().position(|n| n.conn == conn) else { return tells };
-        self.due(conn, now + SILENCE);
-        self.desk.news[at].came.extend_from_slice(bytes);
-        let mut bad = false;
-        while let Some(line) = take_line(&mut self.desk.news[at].came) {
+        let Some(at) = self.rollout_api.subscriptions.iter().position(|n| n.conn == conn) else {
+            return events;
+        };
+        self.set_deadline(conn, now + LINK_TIMEOUT);
+        self.rollout_api.subscriptions[at].buffer.extend_from_slice(bytes);
+        let mut malformed = false;
+        while let Some(line) = take_line(&mut self.rollout_api.subscriptions[at].buffer) {
             let line = line.strip_suffix(b"\r\n").unwrap_or(b"");
-            self.desk.heard += 1;
-            match desk::read(line) {
+            self.rollout_api.lines_received += 1;
+            match rollout_api::parse_line(line) {
                 Some(Line::Ok(_)) => {
-                    self.desk.news[at].serves = true;
-                    self.desk.wait = AGAIN.0;
+                    self.rollout_api.subscriptions[at].active = true;
+                    self.rollout_api.redial_delay = REDIAL_DELAY.0;
                 }
-                Some(Line::Progress(stood)) => {
-                    tells.push(Tell::Told(Reply::News, Some(standing(now, stood))))
+                Some(Line::Progress(status)) => {
+                    events.push(ModuleEvent::Status(Reply::News, Some(to_standing(now, status))))
                 }
                 Some(Line::Tally { build, method, picks, not_ok }) => {
                     let method = self.startup.method(method);
-                    tells.extend(method.map(|method| Tell::Tallied { build, method, picks, not_ok }));
+                    events.extend(method.map(|method| ModuleEvent::Tallied { build, method, picks, not_ok }));
                 }
                 Some(Line::Dispute { machine, age }) => {
-                    let machine = self.door.machine_index(machine);
-                    tells.extend(machine.map(|machine| Tell::Disputed { machine, sent: now - age }));
+                    let machine = self.ids.machine_index(machine);
+                    events.extend(machine.map(|machine| ModuleEvent::Disputed { machine, sent: now - age }));
                 }
-                Some(Line::Alive | Line::Else) => {}
+                Some(Line::Heartbeat | Line::Unknown) => {}
                 Some(Line::Err(_)) | None => {
-                    bad = true;
+                    malformed = true;
                     break;
                 }
             }
         }
-        if bad || self.desk.news[at].came.len() >= desk::MOST_LINE {
-            if let Some(left_out) = self.often.may(now) {
-                tracing::warn!(event = "desk makes no sense", left_out);
+        if malformed || self.rollout_api.subscriptions[at].buffer.len() >= rollout_api::MAX_LINE_LEN {
+            if let Some(left_out) = self.log_limit.may(now) {
+                tracing::warn!(event = "malformed data from the rollout API", left_out);
             }
-            self.desk_over(conn, false);
-        } else if at > 0 && self.desk.news[at].serves {
-            for old in self.desk.news.drain(..at).collect::<Vec<_>>() {
-                self.close_desk(old.conn);
+            self.rollout_api_closed(conn, false);
+        } else if at > 0 && self.rollout_api.subscriptions[at].active {
+            for old in self.rollout_api.subscriptions.drain(..at).collect::<Vec<_>>() {
+                self.close_rollout_api(old.conn);
             }
         }
-        tells
+        events
     }
 
-    /// A desk's connection has gone, or its time is up. What comes of a vote on it.
-    pub fn desk_over(&mut self, conn: Id, unsent: bool) -> Option<Tell> {
-        self.close_desk(conn);
-        if let Some(vote) = self.desk.vote.take_if(|v| v.conn == conn) {
-            let never = unsent || !vote.up;
-            return Some(Tell::Told(if never { Reply::Refused } else { Reply::TimedOut }, None));
+    /// Handles the close or expiry of a connection to the rollout API; returns the outcome of a vote on it.
+    pub fn rollout_api_closed(&mut self, conn: Id, unsent: bool) -> Option<ModuleEvent> {
+        self.close_rollout_api(conn);
+        if let Some(vote) = self.rollout_api.vote.take_if(|v| v.conn == conn) {
+            let never_sent = unsent || !vote.connected;
+            return Some(ModuleEvent::Status(
+                if never_sent { Reply::Refused } else { Reply::TimedOut },
+                None,
+            ));
         }
-        self.desk.news.retain(|n| n.conn != conn);
-        self.follow_later();
+        self.rollout_api.subscriptions.retain(|n| n.conn != conn);
+        self.schedule_redial();
         None
     }
 }
 
-/// Outcomes as the log names them, in their order.
-pub const ENDS: [(&str, Outcome); 8] = [
+/// Names of the outcomes in the log, in the order of the enum.
+pub const OUTCOME_NAMES: [(&str, Outcome); 8] = [
     ("ok", Outcome::Ok),
     ("error", Outcome::Error),
     ("full", Outcome::Full),
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -1,7 +1,7 @@
-//! What the module's actions do, and the tables that they need.
+//! Carries out the decision module's actions, with the tables that they need.
 use crate::clients::Clients;
 use crate::connection_pool::Pool;
-use crate::control_links::{Desk, Discovery};
+use crate::control_links::{Discovery, RolloutApi};
 use crate::Startup;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -12,120 +12,118 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
 
-/// Tags of the loop's timers; the module's own carry a bit of their own.
-pub const MODULE: u64 = 1 << 62;
-pub const DUE: u64 = 1;
-pub const TICK: u64 = 2;
-pub const DESK: u64 = 3;
-pub const STOP: u64 = 4;
-pub const RELOAD: u64 = 5;
-pub const PEERS: u64 = 7;
+/// Tags of the event loop's timers. The module's own timers are marked by `MODULE_TIMER`.
+pub const MODULE_TIMER: u64 = 1 << 62;
+pub const DEADLINE_TIMER: u64 = 1;
+pub const TICK_TIMER: u64 = 2;
+pub const ROLLOUT_API_TIMER: u64 = 3;
+pub const STOP_TIMER: u64 = 4;
+pub const RELOAD_TIMER: u64 = 5;
+pub const PEERS_TIMER: u64 = 7;
 
-/// Builds whose ends are counted apart.
-const MOST_BUILDS: usize = 4;
-/// Lines of one kind in the log, a second.
-const LOG_LINES: u32 = 10;
-/// An answer that comes so long after its client's time is told in the log.
-const LATE_LOGGED_FROM: Ns = 50 * MS;
+/// Most builds whose pick outcomes are counted separately.
+const MAX_BUILDS: usize = 4;
+/// Most lines per second in the log, of those that are limited.
+const LOG_LINES_PER_SECOND: u32 = 10;
+/// An answer that is late by at least this much is logged.
+const LATE_LOG_THRESHOLD: Ns = 50 * MS;
 
-/// An RPC whose slot is in use.
-pub struct Open {
+/// An RPC whose slot in the id table is in use.
+pub struct OpenRpc {
     pub id: u64,
-    /// Its client's connection.
+    /// The client's connection.
     pub conn: Id,
     pub method: usize,
     pub text: String,
-    pub wait: Range<usize>,
-    /// When the client gives up.
-    pub gives_up: Ns,
+    pub deadline_range: Range<usize>,
+    pub client_deadline: Ns,
     pub picks: Vec<Pick>,
 }
 
 pub struct Pick {
     pub machine: usize,
     pub sent: Ns,
-    /// The machine is waited for until then.
-    pub until: Ns,
-    pub out: bool,
-    /// It has ended, and may have run.
-    pub ran: bool,
+    pub deadline: Ns,
+    pub outstanding: bool,
+    /// Whether the pick has ended and the machine may have executed it.
+    pub may_have_run: bool,
     pub conn: Option<Id>,
 }
 
 #[derive(Default)]
-pub struct Tolls {
+pub struct Counters {
     pub taken: u64,
     pub ok: u64,
     pub pushed_back: u64,
     pub aborted: u64,
     pub left: u64,
     pub late: u64,
-    pub odd: u64,
+    pub bad_commands: u64,
     pub picks: u64,
-    /// Ends of picks, by outcome.
+    /// Ended picks by outcome.
     pub ends: [u64; 8],
-    /// The same by build, of the newest few.
+    /// Ended picks by build and outcome, of the newest builds.
     pub by_build: BTreeMap<u32, [u64; 8]>,
 }
 
 pub struct Effects {
     pub net: Net,
-    pub door: IdTable,
+    pub ids: IdTable,
     pub startup: Startup,
-    pub open: Vec<Option<Open>>,
+    pub open: Vec<Option<OpenRpc>>,
     pub clients: Clients,
     pub pool: Pool,
     pub discovery: Discovery,
-    pub desk: Desk,
-    pub dues: Dues,
-    /// Ends that came while the module was at work: told to it next.
-    pub owed: VecDeque<(usize, usize, Outcome)>,
-    /// Open RPCs whose client's connection is gone: told to the module next.
-    pub left: VecDeque<usize>,
-    /// Events for the next turn.
-    pub made: Vec<Event>,
-    pub chance: StdRng,
-    pub tolls: Tolls,
-    pub often: Often,
-    /// Keys that a build has answered here for the first time, where it keeps company.
-    pub bound: Vec<(u64, u32)>,
-    /// Nanoseconds from 1970 to the loop's beginning.
-    pub wall: i128,
+    pub rollout_api: RolloutApi,
+    pub deadlines: Dues,
+    /// Picks that ended while the module was processing an event; reported to it afterwards.
+    pub pending_ends: VecDeque<(usize, usize, Outcome)>,
+    /// Open RPCs whose client has disconnected; reported to the module afterwards.
+    pub disconnected: VecDeque<usize>,
+    pub queued_events: Vec<Event>,
+    pub rng: StdRng,
+    pub counters: Counters,
+    pub log_limit: Often,
+    /// Keys that a build has answered here for the first time, to be sent to the peers.
+    pub bound_keys: Vec<(u64, u32)>,
+    /// Unix time, in nanoseconds, at the origin of the event loop's clock.
+    pub wall_offset: i128,
 }
 
 impl Effects {
-    pub fn new(net: Net, startup: Startup, wall: i128) -> Effects {
+    pub fn new(net: Net, startup: Startup, wall_offset: i128) -> Effects {
         Effects {
             clients: Clients::new(startup.sockets),
             pool: Pool::new(startup.sockets),
             discovery: Discovery::new(startup.discovery),
-            desk: Desk::new(startup.desk),
-            chance: StdRng::seed_from_u64(startup.post.seed),
+            rollout_api: RolloutApi::new(startup.rollout_api),
+            rng: StdRng::seed_from_u64(startup.post.seed),
             net,
-            door: IdTable::default(),
+            ids: IdTable::default(),
             startup,
             open: Vec::new(),
-            dues: Dues::default(),
-            owed: VecDeque::new(),
-            left: VecDeque::new(),
-            made: Vec::new(),
-            tolls: Tolls::default(),
-            often: Often::new(LOG_LINES),
-            bound: Vec::new(),
-            wall,
+            deadlines: Dues::default(),
+            pending_ends: VecDeque::new(),
+            disconnected: VecDeque::new(),
+            queued_events: Vec::new(),
+            counters: Counters::default(),
+            log_limit: Often::new(LOG_LINES_PER_SECOND),
+            bound_keys: Vec::new(),
+            wall_offset,
         }
     }
 
-    /// The order of a turn's events. What the platform tells counts from when it wrote it, and what a machine has answered
-    /// may bind the next pick: both come before any RPC of this turn. A new client may have another give way, so what has
-    /// come from those who are here is heard before; what has come from the new one, where it is here as well, after. Time
-    /// that is up comes last: what this turn has read of a connection is no longer unread, and would go to nobody.
-    pub fn rank(&self, event: &Event) -> u8 {
+    /// The order in which a turn's events are handled. Rollout and discovery updates take effect from when the
+    /// platform wrote them, and machines' answers may bind the next pick, so both come before the RPCs of the turn.
+    /// Data of existing clients comes before new connections, as a new connection may evict an idle one; data of a
+    /// new connection comes after the connection itself. Expired deadlines come last: data that this turn has read
+    /// from a connection no longer counts as unread, and would be lost if the connection were closed first.
+    pub fn event_priority(&self, event: &Event) -> u8 {
         match event {
             Event::Piece { call, .. } | Event::Ended { call, .. } if self.discovery.owns(*call) => 0,
-            Event::Bytes { conn, .. } if self.desk.owns(*conn) => 0,
+            Event::Bytes { conn, .. } if self.rollout_api.owns(*conn) => 0,
             Event::Bytes { conn, .. } | Event::Gone { conn, .. } | Event::Came { conn }
-                if self.desk.owns(*conn) || self.pool.owns(*conn) =>
+                if self.rollout_api.owns(*conn) || self.pool.owns(*conn) =>
             {
                 1
             }
@@ -136,70 +134,70 @@
             }
             Event::Came { .. } => 3,
             Event::Bytes { .. } | Event::Gone { .. } | Event::Flushed { .. } => 4,
-            Event::Woke { tag: DUE } => 5,
+            Event::Woke { tag: DEADLINE_TIMER } => 5,
             _ => 1,
         }
     }
 
-    /// Something is to become of a connection at a time, unless it is moved or cleared before.
-    pub fn due(&mut self, id: Id, at: Ns) {
-        if let Some(at) = self.dues.set(id, at) {
-            self.net.wake_at(at, DUE);
+    /// Sets the time at which a connection expires, unless its deadline is changed or cleared before.
+    pub fn set_deadline(&mut self, id: Id, at: Ns) {
+        if let Some(at) = self.deadlines.set(id, at) {
+            self.net.wake_at(at, DEADLINE_TIMER);
         }
     }
 
-    /// A pick has ended. Hands the first ok answer to the client; returns the time that it took, and whether
-    /// the RPC has its final answer.
+    /// Records the end of a pick, and sends the first ok answer to the client. Returns how long the pick took and
+    /// whether the RPC has its final answer.
     pub fn pick_ended(
         &mut self, rpc: usize, pick: usize, how: Outcome, row: Option<&[u8]>,
     ) -> Option<(Ns, bool)> {
         let now = self.net.now();
         let open = self.open.get_mut(rpc)?.as_mut()?;
-        let p = open.picks.get_mut(pick).filter(|p| p.out)?;
-        (p.out, p.conn) = (false, None);
-        p.ran = how.may_have_run();
+        let p = open.picks.get_mut(pick).filter(|p| p.outstanding)?;
+        (p.outstanding, p.conn) = (false, None);
+        p.may_have_run = how.may_have_run();
         let took = now - p.sent;
-        self.pool.came_back(p.machine);
-        self.door.pick_ended(rpc);
-        self.tolls.ends[how as usize] += 1;
-        let build = self.pool.places[p.machine].build;
-        self.tolls.by_build.entry(build).or_default()[how as usize] += 1;
-        if self.tolls.by_build.len() > MOST_BUILDS {
-            self.tolls.by_build.pop_first();
+        self.pool.pick_ended(p.machine);
+        self.ids.pick_ended(rpc);
+        self.counters.ends[how as usize] += 1;
+        let build = self.pool.machines[p.machine].build;
+        self.counters.by_build.entry(build).or_default()[how as usize] += 1;
+        if self.counters.by_build.len() > MAX_BUILDS {
+            self.counters.by_build.pop_first();
         }
-        if let Some(row) = row.filter(|_| how == Outcome::Ok && !self.door.finished(rpc)) {
+        if let Some(row) = row.filter(|_| how == Outcome::Ok && !self.ids.finished(rpc)) {
             let mut out = Vec::with_capacity(row.len() + 6);
             out.extend_from_slice(row);
             pg::put_ready(&mut out);
-            if self.answer(rpc, &out) {
-                self.tolls.ok += 1;
+            if self.send_final_answer(rpc, &out) {
+                self.counters.ok += 1;
             }
         }
-        Some((took, self.door.finished(rpc)))
+        Some((took, self.ids.finished(rpc)))
     }
 
-    /// The final answer of an RPC, unless it has one; false where it came too late.
-    fn answer(&mut self, rpc: usize, bytes: &[u8]) -> bool {
-        let Some(open) = self.open[rpc].as_ref().filter(|_| !self.door.finished(rpc)) else { return false };
-        let late_by = self.net.clock() - open.gives_up;
-        if late_by >= LATE_LOGGED_FROM {
-            if let Some(left_out) = self.often.may(self.net.now()) {
+    /// Sends an RPC's final answer, unless it has one; false if it was too late.
+    fn send_final_answer(&mut self, rpc: usize, bytes: &[u8]) -> bool {
+        let Some(open) = self.open[rpc].as_ref().filter(|_| !self.ids.finished(rpc)) else { return false };
+        let late_by = self.net.clock() - open.client_deadline;
+        if late_by >= LATE_LOG_THRESHOLD {
+            if let Some(left_out) = self.log_limit.may(self.net.now()) {
                 let id = format!("{:016x}", open.id);
                 let (late_ms, picks) = (late_by / MS, open.picks.len());
                 tracing::warn!(event = "late answer", id, late_ms, picks, left_out);
             }
         }
         let (conn, late) = (open.conn, late_by >= 0);
-        self.door.finish(rpc);
-        // A client that has given up closes its connection; one that has not is owed its answer, however late: a
-        // close without one leaves it to guess what became of its RPC.
-        self.tolls.late += u64::from(late);
-        self.answered(conn, rpc, bytes) && !late
+        self.ids.finish(rpc);
+        // A client that has given up closes its connection. One that has not gets its answer however late it is: if
+        // the connection were closed without one, the client would have to guess the outcome of its RPC.
+        self.counters.late += u64::from(late);
+        self.send_answer(conn, rpc, bytes) && !late
     }
 
-    /// Frees an RPC's slot once nothing more can come of it.
-    pub fn sweep(&mut self, rpc: usize) {
-        if self.door.release(rpc) {
+    /// Frees an RPC's slot if it is finished and has no outstanding picks.
+    pub fn release_rpc(&mut self, rpc: usize) {
+        if self.ids.release(rpc) {
             self.open[rpc] = None;
         }
     }
@@ -216,11 +214,11 @@
 
     fn cancel(&mut self, rpc: usize, pick: u32) {
         let open = self.open.get(rpc).and_then(Option::as_ref);
-        let Some(p) = open.and_then(|o| o.picks.get(pick as usize)).filter(|p| p.out) else { return };
+        let Some(p) = open.and_then(|o| o.picks.get(pick as usize)).filter(|p| p.outstanding) else { return };
         if let Some(conn) = p.conn {
             self.drop_machine_conn(conn);
         }
-        self.owed.push_back((rpc, pick as usize, Outcome::Cancelled));
+        self.pending_ends.push_back((rpc, pick as usize, Outcome::Cancelled));
     }
 
     fn push_back(&mut self, rpc: usize, wait: Ns) {
@@ -233,27 +231,27 @@
             "pushed back",
             (wait > 0).then_some(ms.as_str()),
         );
-        if self.answer(rpc, &out) {
-            self.tolls.pushed_back += 1;
+        if self.send_final_answer(rpc, &out) {
+            self.counters.pushed_back += 1;
         }
     }
 
     fn abort(&mut self, rpc: usize) {
         let mut out = Vec::new();
         pg::put_error(&mut out, false, pg::INTERNAL_ERROR, "aborted", None);
-        if self.answer(rpc, &out) {
-            self.tolls.aborted += 1;
+        if self.send_final_answer(rpc, &out) {
+            self.counters.aborted += 1;
         }
     }
 
     fn wake_at(&mut self, at: Ns, tag: u64) {
-        self.net.wake_at(at, MODULE | tag);
+        self.net.wake_at(at, MODULE_TIMER | tag);
     }
 
-    /// The module asks for none, and has no ear for their ends.
+    /// The module requests no probes here and does not expect their results.
     fn probe(&mut self, _machine: usize) {}
 
-    /// The platform lets no notes pass between fronts.
+    /// The platform does not allow notes between fronts.
     fn tell(&mut self, _peer: Option<u32>, _note: &[u8]) {}
 
     fn watch(&mut self, on: bool) {
@@ -270,7 +268,7 @@
 
     fn bound(&mut self, key: u64, build: u32) {
         if self.startup.circle.is_some() {
-            self.bound.push((key, build));
+            self.bound_keys.push((key, build));
         }
     }
 
--- a/node/src/lateness.rs
+++ b/node/src/lateness.rs
@@ -1,58 +1,57 @@
-//! How far the loop falls behind its clock: turns that last long, and timers that come late. A request that was answered too
-//! late can be traced by these lines alone to a process that was held up.
+//! Measures how far the event loop lags: long turns and late timers. These log lines alone show whether a late answer
+//! was caused by a process that was held up.
 use rockpick::Ns;
 use rockpick_net::{Often, MS};
 
-/// A turn or a timer is logged from so much on: deadlines leave 20 ms for it.
-const LOGGED_FROM: Ns = 50 * MS;
-/// Lines in the log, a second.
-const LOG_LINES: u32 = 5;
+/// A turn or delay of at least this much is logged; deadlines leave 20 ms for it.
+const LOG_THRESHOLD: Ns = 50 * MS;
+/// Most lines of each kind per second in the log.
+const LOG_LINES_PER_SECOND: u32 = 5;
 
-/// The longest delays since they were last taken.
+/// The largest delays since they were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Longest {
+pub struct WorstDelays {
     pub turn: Ns,
     pub timer: Ns,
 }
 
 pub struct Lateness {
-    longest: Longest,
-    often: Often,
+    worst: WorstDelays,
+    log_limit: Often,
 }
 
 impl Default for Lateness {
     fn default() -> Lateness {
-        Lateness { longest: Longest::default(), often: Often::new(LOG_LINES) }
+        Lateness { worst: WorstDelays::default(), log_limit: Often::new(LOG_LINES_PER_SECOND) }
     }
 }
 
 impl Lateness {
-    /// A turn has handled so many events.
-    pub fn turn_over(&mut self, began: Ns, ended: Ns, events: usize) {
+    /// Records a turn that handled `events` events.
+    pub fn turn_ended(&mut self, began: Ns, ended: Ns, events: usize) {
         let lasted = ended - began;
-        self.longest.turn = self.longest.turn.max(lasted);
-        if lasted < LOGGED_FROM {
+        self.worst.turn = self.worst.turn.max(lasted);
+        if lasted < LOG_THRESHOLD {
             return;
         }
-        if let Some(left_out) = self.often.may(ended) {
+        if let Some(left_out) = self.log_limit.may(ended) {
             tracing::warn!(event = "long turn", lasted_ms = lasted / MS, events, left_out);
         }
     }
 
-    /// A timer that was due has come up.
-    pub fn timer_came(&mut self, due: Ns, now: Ns) {
+    pub fn timer_fired(&mut self, due: Ns, now: Ns) {
         let late = now - due;
-        self.longest.timer = self.longest.timer.max(late);
-        if late < LOGGED_FROM {
+        self.worst.timer = self.worst.timer.max(late);
+        if late < LOG_THRESHOLD {
             return;
         }
-        if let Some(left_out) = self.often.may(now) {
+        if let Some(left_out) = self.log_limit.may(now) {
             tracing::warn!(event = "late timer", late_ms = late / MS, left_out);
         }
     }
 
-    /// The longest delays since the last call.
-    pub fn take_longest(&mut self) -> Longest {
-        std::mem::take(&mut self.longest)
+    /// Returns the largest delays since the last call.
+    pub fn take_worst(&mut self) -> WorstDelays {
+        std::mem::take(&mut self.worst)
     }
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The live front node: the platform's protocol around the decision module. Clients and machines speak
-//! PostgreSQL's protocol, the desk lines, discovery HTTP. It reports every event to the module and carries out
-//! what the module says; it decides nothing itself. Design and operators' part: `docs/front-node.md`.
+//! The live front node: speaks the platform's protocols around the decision module. Clients and machines connect with
+//! PostgreSQL's protocol, the rollout API is a line protocol, and discovery is HTTP. The node reports every event to
+//! the module and carries out its actions; it makes no decisions itself. Design and operation: `docs/front-node.md`.
 mod clients;
 mod connection_pool;
 mod control_links;
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,8 +1,11 @@
-//! The loop: events in, calls to the module out.
-use crate::clients::{Asked, MARGIN};
-use crate::connection_pool::Came;
-use crate::control_links::{standing, Tell, ENDS};
-use crate::effects::{Effects, Open, DESK, DUE, MODULE, PEERS, RELOAD, STOP, TICK};
+//! The event loop: passes events to the decision module.
+use crate::clients::{ClientInput, ANSWER_MARGIN};
+use crate::connection_pool::PickEvent;
+use crate::control_links::{to_standing, ModuleEvent, OUTCOME_NAMES};
+use crate::effects::{
+    Effects, OpenRpc, DEADLINE_TIMER, MODULE_TIMER, PEERS_TIMER, RELOAD_TIMER, ROLLOUT_API_TIMER, STOP_TIMER,
+    TICK_TIMER,
+};
 use crate::lateness::Lateness;
 use crate::Startup;
 use rockpick::{Front, Ns, Outcome, Reply, Roll};
@@ -16,97 +19,102 @@
 const SIGHUP: i32 = 1;
 const SIGINT: i32 = 2;
 const SIGTERM: i32 = 15;
-/// The platform goes on sending new connections for up to 0.4 s after SIGTERM: they are served.
-const GOES_ON: Ns = 450 * MS;
-/// After the last answer, so that it is read before the process ends; and how often a stop looks who is done.
-const LAST: Ns = 100 * MS;
-/// From SIGTERM on the platform waits for the longest deadline, and for this at the least, and then for a little more.
-const LEAST_STOP: Ns = 3 * SEC;
-/// Of that little, what is made use of: a connection that never rests must not have the process killed.
-const BEYOND: Ns = 600 * MS;
-/// A method without a deadline is waited for no longer than this.
-const MOST_STOP: Ns = 30 * SEC;
-/// A configuration that can't be read may be being written: it is read again so soon, and so often.
-const READ_AGAIN: (Ns, u32) = (100 * MS, 20);
-/// Counts in the log, and forgetting.
-const TICK_EVERY: Ns = SEC;
+/// How long new connections are accepted after a signal to stop: the platform keeps sending them for up to 0.4 s
+/// after SIGTERM.
+const ACCEPT_AFTER_SIGNAL: Ns = 450 * MS;
+/// How long the process lives on after its last answer, so that the client can read it; also the interval at which a
+/// shutdown checks whether connections can be closed.
+const LINGER: Ns = 100 * MS;
+/// After SIGTERM the platform waits for the longest deadline, but at least this long, and then for a little more.
+const MIN_SHUTDOWN: Ns = 3 * SEC;
+/// How much of that additional time is used: a connection that never becomes idle must not get the process killed.
+const SHUTDOWN_MARGIN: Ns = 600 * MS;
+/// Longest shutdown, in case a method has no deadline.
+const MAX_SHUTDOWN: Ns = 30 * SEC;
+/// Delay between attempts to read an invalid configuration again, and their number: the file may just be being
+/// written.
+const RELOAD_RETRY: (Ns, u32) = (100 * MS, 20);
+/// Interval of the counts in the log and of forgetting machines that are gone.
+const TICK_INTERVAL: Ns = SEC;
 
 pub struct Node {
     effects: Effects,
     front: Front,
     pub at: SocketAddr,
-    /// Its address while nobody can connect to it yet.
+    /// The bound socket until `listen` is called; no client can connect to it.
     bound: Option<Bound>,
     listener: Option<Id>,
-    /// When a stop began; when its door was closed; since when it owes nothing.
+    /// Start of the shutdown, time at which the listener was closed, and time since which no work is left.
     stopping: Option<Ns>,
-    door_closed: Option<Ns>,
-    rested: Option<Ns>,
-    /// How often a configuration that can't be read is still to be read again.
-    again: u32,
-    /// When the next counts are due.
+    listener_closed: Option<Ns>,
+    idle_since: Option<Ns>,
+    /// Remaining attempts to read an invalid configuration again.
+    reload_retries: u32,
+    /// When the next tick is due.
     next_tick: Ns,
     lateness: Lateness,
-    /// The other fronts, where it was told to join them.
+    /// The other fronts, if the node was configured to join them.
     peers: Option<Peers>,
 }
 
-/// Runs a node until SIGTERM ends it; `ready` hears the address taken.
+/// Runs a node until SIGTERM ends it; `ready` is called with its address once it listens.
 ///
 /// # Errors
-/// An address that can't be listened on, no signals, a loop that fails.
+/// An address that can't be bound, signal handlers that can't be installed, or a failure of the event loop.
 pub fn run(startup: Startup, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
     let mut node = Node::prepare(startup)?;
     node.listen()?;
     ready(node.at);
-    tracing::info!(event = "node up", at = %node.at, sockets = node.effects.startup.sockets, machines = node.effects.door.machine_count());
-    node.work()
+    tracing::info!(event = "node up", at = %node.at, sockets = node.effects.startup.sockets, machines = node.effects.ids.machine_count());
+    node.run_loop()
 }
 
-/// Says of an error what the system says of it.
-fn say(err: std::io::Error) -> String {
+fn error_text(err: std::io::Error) -> String {
     err.to_string()
 }
 
 impl Node {
-    /// All of a start but that clients can connect.
+    /// Does everything to start a node except accepting connections.
     ///
     /// # Errors
-    /// An address that can't be had, no signals, a loop that fails.
+    /// An address that can't be bound, signal handlers that can't be installed, or a failure of the event loop.
     pub fn prepare(startup: Startup) -> Result<Node, String> {
-        let mut net = Net::new(0).map_err(say)?;
-        net.most_streams = startup.sockets - crate::connection_pool::OURS / 2;
+        let mut net = Net::new(0).map_err(error_text)?;
+        net.most_streams = startup.sockets - crate::connection_pool::OWN_DESCRIPTORS / 2;
         net.refusal = crate::clients::too_many_connections();
         for signal in [SIGHUP, SIGTERM, SIGINT] {
-            net.on_signal(signal).map_err(say)?;
+            net.on_signal(signal).map_err(error_text)?;
         }
-        let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as i128);
-        let wall = since_1970 - i128::from(net.clock());
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as i128);
+        let wall_offset = unix_time - i128::from(net.clock());
         let bound = Bound::to(startup.listen).map_err(|err| format!("{}: {err}", startup.listen))?;
-        let (post, known, stood) = (startup.post.clone(), startup.known.clone(), startup.stood);
-        let mut effects = Effects::new(net, startup, wall);
+        let (post, roster_json, initial_status) =
+            (startup.post.clone(), startup.initial_roster.clone(), startup.initial_status);
+        let mut effects = Effects::new(net, startup, wall_offset);
         let mut events = Vec::new();
-        effects.net.turn(&mut events, 0).map_err(say)?;
-        // The watch goes on from the list at start. Asked for all since the beginning, discovery has no word of a machine
-        // that came and left in between, and a list that still has it up would never be put right.
-        let at_start = roster::read(&known, &mut effects.startup.zones);
-        effects.discovery.seq = at_start.as_ref().map_or(0, |telling| telling.seq);
-        // Where lists are pushed the module asks for none; here a watch is what brings them.
+        effects.net.turn(&mut events, 0).map_err(error_text)?;
+        // The watch continues from the sequence number of the initial roster. If it began at 0, discovery would not
+        // report a machine that came and left in between, and an initial roster that lists it as up would never be
+        // corrected.
+        let initial_roster = roster::parse_update(&roster_json, &mut effects.startup.zones);
+        effects.discovery.seq = initial_roster.as_ref().map_or(0, |update| update.seq);
+        // If rosters are pushed, the module does not request a watch; this node receives them through one all the
+        // same.
         if !post.ask_roster {
             effects.watch_roster(true);
         }
         let mut front = Front::start(post, &mut effects);
         let peers = match effects.startup.circle.clone() {
             Some(circle) => {
-                let (name, told) = (effects.startup.name.clone(), effects.startup.post.fronts);
-                Some(Peers::begin(&mut effects.net, &name, told, &circle, PEERS)?)
+                let (name, fronts) = (effects.startup.name.clone(), effects.startup.post.fronts);
+                Some(Peers::begin(&mut effects.net, &name, fronts, &circle, PEERS_TIMER)?)
             }
             None => None,
         };
         if let Some(peers) = &peers {
             peers.tell_all(&mut front);
         }
-        let next_tick = effects.net.now() + TICK_EVERY;
+        let next_tick = effects.net.now() + TICK_INTERVAL;
         let mut node = Node {
             effects,
             front,
@@ -114,29 +122,29 @@
             bound: Some(bound),
             listener: None,
             stopping: None,
-            door_closed: None,
-            rested: None,
-            again: 0,
+            listener_closed: None,
+            idle_since: None,
+            reload_retries: 0,
             next_tick,
             lateness: Lateness::default(),
             peers,
         };
-        if let Some(telling) = at_start {
-            let told = node.effects.listed(Roll::Saved, telling);
-            node.tell(told);
+        if let Some(update) = initial_roster {
+            let event = node.effects.apply_update(Roll::Saved, update);
+            node.deliver(event);
         }
-        if let Some(stood) = stood {
-            let news = standing(node.effects.net.now(), stood);
-            node.tell(Tell::Told(Reply::News, Some(news)));
+        if let Some(initial_status) = initial_status {
+            let status = to_standing(node.effects.net.now(), initial_status);
+            node.deliver(ModuleEvent::Status(Reply::News, Some(status)));
         }
-        node.effects.follow_desk();
-        node.effects.net.wake_at(next_tick, TICK);
-        node.effects.made.append(&mut events);
+        node.effects.subscribe();
+        node.effects.net.wake_at(next_tick, TICK_TIMER);
+        node.effects.queued_events.append(&mut events);
         Ok(node)
     }
 
-    /// Lets clients connect. It comes last in a start: a client that connects to a process which is still
-    /// held up there would wait beyond its time, where one that is refused goes to another node.
+    /// Starts to accept connections. This is the last step of a start: if the process is delayed while it starts,
+    /// clients that had connected would wait beyond their deadlines, whereas refused ones go to another node.
     ///
     /// # Errors
     /// A socket that can't listen.
@@ -148,103 +156,104 @@
         Ok(())
     }
 
-    fn work(mut self) -> Result<(), String> {
+    fn run_loop(mut self) -> Result<(), String> {
         let mut events = Vec::new();
         loop {
-            events.append(&mut self.effects.made);
+            events.append(&mut self.effects.queued_events);
             self.effects.net.turn(&mut events, SEC).map_err(|err| err.to_string())?;
-            let many = events.len();
-            events.sort_by_cached_key(|event| self.effects.rank(event));
+            let count = events.len();
+            events.sort_by_cached_key(|event| self.effects.event_priority(event));
             for event in events.drain(..) {
-                self.event(event);
-                self.settle();
+                self.handle(event);
+                self.process_pending();
             }
-            self.lateness.turn_over(self.effects.net.now(), self.effects.net.clock(), many);
-            if self.ended() {
+            self.lateness.turn_ended(self.effects.net.now(), self.effects.net.clock(), count);
+            if self.shutdown_done() {
                 tracing::info!(event = "node down");
                 return Ok(());
             }
         }
     }
 
-    /// Tells the module of ends that came while it was at work.
-    fn settle(&mut self) {
-        while let Some((rpc, pick, how)) = self.effects.owed.pop_front() {
-            self.pick_over(rpc, pick, how, None);
+    /// Reports to the module what ended while it was processing an event.
+    fn process_pending(&mut self) {
+        while let Some((rpc, pick, how)) = self.effects.pending_ends.pop_front() {
+            self.end_pick(rpc, pick, how, None);
         }
-        while let Some(rpc) = self.effects.left.pop_front() {
+        while let Some(rpc) = self.effects.disconnected.pop_front() {
             self.client_left(rpc);
         }
-        self.share();
+        self.exchange_with_peers();
     }
 
-    /// What this front's RPCs have bound goes to the others, and what they know comes here.
-    fn share(&mut self) {
+    /// Publishes the key bindings of this front's RPCs to its peers, and passes their news to the module.
+    fn exchange_with_peers(&mut self) {
         let Some(peers) = &mut self.peers else { return };
-        self.effects.bound.drain(..).for_each(|(key, build)| peers.bind(key, build));
+        self.effects.bound_keys.drain(..).for_each(|(key, build)| peers.bind(key, build));
         let Some(news) = peers.news() else { return };
         news.tell(&mut self.front);
-        // Its own desk may be silent, or cut off: more careful at once.
+        // This node's own connection to the rollout API may be silent or down, so a withdrawal reported by a peer
+        // counts at once.
         if let Some(s) = news.withdrawn {
-            tracing::info!(event = "withdrawn, by another front", build = s.build);
-            self.tell(Tell::Told(Reply::News, Some(s)));
+            tracing::info!(event = "build withdrawn by another front", build = s.build);
+            self.deliver(ModuleEvent::Status(Reply::News, Some(s)));
         }
     }
 
-    fn pick_over(&mut self, rpc: usize, pick: usize, how: Outcome, row: Option<&[u8]>) {
+    fn end_pick(&mut self, rpc: usize, pick: usize, how: Outcome, row: Option<&[u8]>) {
         if let Some((took, last)) = self.effects.pick_ended(rpc, pick, how, row) {
             self.front.ended(&mut self.effects, rpc, pick, how, took, last);
-            self.effects.sweep(rpc);
+            self.effects.release_rpc(rpc);
         }
     }
 
     fn machine_bytes(&mut self, conn: Id, bytes: &[u8]) {
-        for (rpc, pick, came) in self.effects.machine_bytes(conn, bytes) {
-            match came {
-                Came::Over(how, row) => self.pick_over(rpc, pick, how, row.as_deref()),
-                Came::Ready => {
+        for (rpc, pick, event) in self.effects.machine_bytes(conn, bytes) {
+            match event {
+                PickEvent::Ended(how, row) => self.end_pick(rpc, pick, how, row.as_deref()),
+                PickEvent::ConnectionReady => {
                     let machine = self.effects.open[rpc].as_ref().map(|open| open.picks[pick].machine);
-                    let stands = machine.is_some_and(|machine| self.front.stands(rpc, machine));
-                    if self.effects.ask_opened(conn, rpc, pick, stands) {
-                        // What it has said beyond its welcome.
+                    let valid = machine.is_some_and(|machine| self.front.stands(rpc, machine));
+                    if self.effects.use_opened(conn, rpc, pick, valid) {
+                        // Processes what the machine sent after its startup response.
                         self.machine_bytes(conn, &[]);
                     } else {
-                        let how = if stands { Outcome::Unreachable } else { Outcome::Void };
-                        self.pick_over(rpc, pick, how, None);
+                        let how = if valid { Outcome::Unreachable } else { Outcome::Void };
+                        self.end_pick(rpc, pick, how, None);
                     }
                 }
             }
         }
     }
 
-    fn tell(&mut self, told: Tell) {
+    fn deliver(&mut self, event: ModuleEvent) {
         let (front, effects) = (&mut self.front, &mut self.effects);
-        match told {
-            Tell::Members(roll, members) => front.members(effects, roll, &members),
-            Tell::Told(reply, news) => {
+        match event {
+            ModuleEvent::Members(roll, members) => front.members(effects, roll, &members),
+            ModuleEvent::Status(reply, news) => {
                 let news = match &mut self.peers {
                     Some(peers) => news.map(|s| peers.stands(s)),
                     None => news,
                 };
                 if let Some(s) = news {
-                    tracing::info!(event = "standing", build = s.build, stage = s.stage, phase = ?s.phase, cap = s.cap, reply = ?reply);
+                    tracing::info!(event = "build status", build = s.build, stage = s.stage, phase = ?s.phase, cap = s.cap, reply = ?reply);
                 }
                 front.told(effects, reply, news);
             }
-            Tell::Tallied { build, method, picks, not_ok } => {
+            ModuleEvent::Tallied { build, method, picks, not_ok } => {
                 front.tallied(effects, build, method, picks, not_ok)
             }
-            Tell::Disputed { machine, sent } => front.disputed(effects, machine, sent),
+            ModuleEvent::Disputed { machine, sent } => front.disputed(effects, machine, sent),
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Came { conn } => {
-                if self.effects.desk.owns(conn) {
-                    self.effects.desk_came(conn);
+                if self.effects.rollout_api.owns(conn) {
+                    self.effects.rollout_api_connected(conn);
                 } else if !self.effects.pool.owns(conn) {
-                    self.effects.client_came(conn);
+                    self.effects.client_connected(conn);
                 }
             }
             Event::Bytes { conn, bytes } => {
@@ -254,28 +263,42 @@
                 } else if self.effects.pool.owns(conn) {
                     self.machine_bytes(conn, &bytes);
                 } else {
-                    self.effects.desk_bytes(conn, &bytes).into_iter().for_each(|told| self.tell(told));
+                    self.effects
+                        .rollout_api_bytes(conn, &bytes)
+                        .into_iter()
+                        .for_each(|event| self.deliver(event));
                 }
             }
             Event::Flushed { conn } => self.read_client(conn),
             Event::Gone { conn, unsent } => {
                 if self.effects.clients.owns(conn) {
                     self.effects.forget_client(conn);
-                } else if let Some((rpc, pick, how)) = self.effects.machine_gone(conn, unsent) {
-                    self.pick_over(rpc, pick, how, None);
-                } else if self.effects.desk.owns(conn) {
-                    self.effects.desk_over(conn, unsent).into_iter().for_each(|told| self.tell(told));
+                } else if let Some((rpc, pick, how)) = self.effects.machine_closed(conn, unsent) {
+                    self.end_pick(rpc, pick, how, None);
+                } else if self.effects.rollout_api.owns(conn) {
+                    self.effects
+                        .rollout_api_closed(conn, unsent)
+                        .into_iter()
+                        .for_each(|event| self.deliver(event));
                 }
             }
             Event::Piece { call, status, bytes } => {
-                self.effects.watch_piece(call, status, &bytes).into_iter().for_each(|told| self.tell(told));
+                self.effects
+                    .watch_bytes(call, status, &bytes)
+                    .into_iter()
+                    .for_each(|event| self.deliver(event));
             }
             Event::Ended { call, end } => {
-                self.effects.discovery_over(call, Some(end)).into_iter().for_each(|told| self.tell(told));
+                self.effects
+                    .discovery_ended(call, Some(end))
+                    .into_iter()
+                    .for_each(|event| self.deliver(event));
+            }
+            Event::Woke { tag } if tag & MODULE_TIMER != 0 => {
+                self.front.woke(&mut self.effects, tag & !MODULE_TIMER)
             }
-            Event::Woke { tag } if tag & MODULE != 0 => self.front.woke(&mut self.effects, tag & !MODULE),
-            Event::Woke { tag: DUE } => self.dues(),
-            Event::Woke { tag: PEERS } => {
+            Event::Woke { tag: DEADLINE_TIMER } => self.expire_deadlines(),
+            Event::Woke { tag: PEERS_TIMER } => {
                 if let Some(peers) = &mut self.peers {
                     peers.woke(&mut self.effects.net);
                 }
@@ -285,37 +308,37 @@
                     peers.datagram(&mut self.effects.net, from, &bytes);
                 }
             }
-            Event::Woke { tag: TICK } => self.tick(),
-            Event::Woke { tag: DESK } => self.effects.follow_desk(),
-            Event::Woke { tag: STOP } => self.close_door(),
+            Event::Woke { tag: TICK_TIMER } => self.tick(),
+            Event::Woke { tag: ROLLOUT_API_TIMER } => self.effects.subscribe(),
+            Event::Woke { tag: STOP_TIMER } => self.close_listener(),
             Event::Signal { number: SIGHUP } => {
-                self.again = READ_AGAIN.1;
+                self.reload_retries = RELOAD_RETRY.1;
                 self.reload();
             }
-            Event::Woke { tag: RELOAD } => self.reload(),
-            Event::Signal { number } => self.stop(number),
+            Event::Woke { tag: RELOAD_TIMER } => self.reload(),
+            Event::Signal { number } => self.begin_shutdown(number),
             _ => {}
         }
     }
 
-    fn dues(&mut self) {
+    fn expire_deadlines(&mut self) {
         let now = self.effects.net.now();
-        while let Some(id) = self.effects.dues.over(now) {
+        while let Some(id) = self.effects.deadlines.over(now) {
             if self.effects.clients.owns(id) {
-                self.effects.client_due(id);
+                self.effects.client_timed_out(id);
             } else if self.effects.pool.owns(id) {
-                if let Some((rpc, pick, how)) = self.effects.machine_due(id) {
-                    self.pick_over(rpc, pick, how, None);
+                if let Some((rpc, pick, how)) = self.effects.machine_timed_out(id) {
+                    self.end_pick(rpc, pick, how, None);
                 }
-            } else if self.effects.desk.owns(id) {
-                self.effects.desk_over(id, false).into_iter().for_each(|told| self.tell(told));
+            } else if self.effects.rollout_api.owns(id) {
+                self.effects.rollout_api_closed(id, false).into_iter().for_each(|event| self.deliver(event));
             } else {
-                self.effects.discovery_over(id, None).into_iter().for_each(|told| self.tell(told));
+                self.effects.discovery_ended(id, None).into_iter().for_each(|event| self.deliver(event));
             }
-            self.settle();
+            self.process_pending();
         }
-        if let Some(at) = self.effects.dues.woke(now) {
-            self.effects.net.wake_at(at, DUE);
+        if let Some(at) = self.effects.deadlines.woke(now) {
+            self.effects.net.wake_at(at, DEADLINE_TIMER);
         }
     }
 
@@ -323,67 +346,73 @@
         loop {
             let (front, now) = (&self.front, self.effects.net.now());
             let room = |startup: &Startup, text: &str| {
-                let method = statement::read(text).ok().and_then(|s| startup.method(s.method));
+                let method = statement::parse(text).ok().and_then(|s| startup.method(s.method));
                 method.is_none_or(|method| front.has_room(now, method))
             };
-            let Asked::Statement(text, came) = self.effects.client_reads(conn, room) else { return };
-            self.take(conn, text, came);
-            self.settle();
+            let ClientInput::Statement(text, received) = self.effects.read_commands(conn, room) else {
+                return;
+            };
+            self.accept_statement(conn, text, received);
+            self.process_pending();
         }
     }
 
-    /// A client's statement: an RPC, if it is one.
-    fn take(&mut self, conn: Id, text: String, came: Ns) {
-        let read = statement::read(&text).map_err(str::to_string).and_then(|s| {
+    /// Parses a client's statement and starts its RPC, or rejects it.
+    fn accept_statement(&mut self, conn: Id, text: String, received: Ns) {
+        let read = statement::parse(&text).map_err(str::to_string).and_then(|s| {
             let method = self.effects.startup.method(s.method).ok_or_else(|| "no such method".to_string())?;
-            if self.effects.door.rpc(s.id).is_some() {
+            if self.effects.ids.rpc(s.id).is_some() {
                 return Err("an RPC of this id is open".to_string());
             }
-            Ok((s.id, method, s.key_number(), s.wait_ms, s.wait.clone()))
+            Ok((s.id, method, s.key_id(), s.deadline_ms, s.deadline_range.clone()))
         });
-        let (id, method, key, wait_ms, wait) = match read {
+        let (id, method, key, deadline_ms, deadline_range) = match read {
             Ok(read) => read,
-            Err(why) => return self.effects.odd_command(conn, &format!("not taken: {why}")),
+            Err(why) => return self.effects.reject_command(conn, &format!("not taken: {why}")),
         };
-        // The client's time runs from then on, also while the statement waited for others of its connection.
-        let gives_up = came + ((wait_ms * MS as f64) as Ns).min(self.effects.startup.methods[method].1);
-        let rpc = self.effects.door.open(id);
+        // The deadline runs from the arrival of the statement, including the time that it waited behind others of its
+        // connection.
+        let client_deadline =
+            received + ((deadline_ms * MS as f64) as Ns).min(self.effects.startup.methods[method].1);
+        let rpc = self.effects.ids.open(id);
         if self.effects.open.len() <= rpc {
             self.effects.open.resize_with(rpc + 1, || None);
         }
         let bytes = text.len();
-        self.effects.open[rpc] = Some(Open { id, conn, method, text, wait, gives_up, picks: Vec::new() });
-        self.effects.tolls.taken += 1;
-        self.effects.client_opens(conn, rpc, bytes);
-        if gives_up <= self.effects.net.now() + MARGIN {
-            // No time for a pick and the way back: nothing was sent, so it may come again at will.
+        self.effects.open[rpc] =
+            Some(OpenRpc { id, conn, method, text, deadline_range, client_deadline, picks: Vec::new() });
+        self.effects.counters.taken += 1;
+        self.effects.rpc_opened(conn, rpc, bytes);
+        if client_deadline <= self.effects.net.now() + ANSWER_MARGIN {
+            // There is no time left for a pick and the way back. Nothing was sent, so the client may safely repeat
+            // the RPC.
             rockpick::Ctl::push_back(&mut self.effects, rpc, 0);
         } else {
-            self.front.taken(&mut self.effects, rpc, method, Some(key), gives_up - MARGIN);
-            self.settle();
+            self.front.taken(&mut self.effects, rpc, method, Some(key), client_deadline - ANSWER_MARGIN);
+            self.process_pending();
         }
-        self.effects.sweep(rpc);
+        self.effects.release_rpc(rpc);
     }
 
     fn client_left(&mut self, rpc: usize) {
-        if !self.effects.door.finished(rpc) {
-            self.effects.tolls.left += 1;
-            self.effects.door.finish(rpc);
+        if !self.effects.ids.finished(rpc) {
+            self.effects.counters.left += 1;
+            self.effects.ids.finish(rpc);
             self.front.left(rpc);
         }
-        self.effects.sweep(rpc);
+        self.effects.release_rpc(rpc);
     }
 
     fn tick(&mut self) {
         let now = self.effects.net.now();
-        self.lateness.timer_came(self.next_tick, now);
-        self.next_tick = now + TICK_EVERY;
-        self.effects.net.wake_at(self.next_tick, TICK);
+        self.lateness.timer_fired(self.next_tick, now);
+        self.next_tick = now + TICK_INTERVAL;
+        self.effects.net.wake_at(self.next_tick, TICK_TIMER);
         self.effects.forget_machines();
-        let longest = self.lateness.take_longest();
-        let t = &self.effects.tolls;
+        let worst = self.lateness.take_worst();
+        let t = &self.effects.counters;
         let by_build = format!("{:?}", t.by_build);
-        let ends = ENDS.map(|(name, how)| format!("{name} {}", t.ends[how as usize])).join(", ");
+        let ends = OUTCOME_NAMES.map(|(name, how)| format!("{name} {}", t.ends[how as usize])).join(", ");
         let (conns, idle) = self.effects.pool.count();
         let closed = &self.effects.clients.closed;
         if let Some(peers) = &self.peers {
@@ -397,33 +426,33 @@
             aborted = t.aborted,
             left = t.left,
             late = t.late,
-            odd = t.odd,
+            odd = t.bad_commands,
             picks = t.picks,
             ends,
             by_build,
-            open = self.effects.door.open_rpcs(),
-            longest_turn_ms = longest.turn / MS,
-            latest_timer_ms = longest.timer / MS,
+            open = self.effects.ids.open_rpcs(),
+            longest_turn_ms = worst.turn / MS,
+            latest_timer_ms = worst.timer / MS,
             clients = self.effects.clients.count(),
-            turned_away = self.effects.clients.turned_away,
+            turned_away = self.effects.clients.refused,
             closed_for_room = closed.for_room,
             closed_idle = closed.idle,
             closed_in_stop = closed.in_stop,
             conns,
             idle,
             dialled = self.effects.pool.dialled,
-            scarce = self.effects.pool.scarce,
-            spoilt = self.effects.pool.spoilt,
+            scarce = self.effects.pool.exhausted,
+            spoilt = self.effects.pool.malformed,
             streams = self.effects.net.streams(),
-            watching = self.effects.discovery.watching(),
-            tellings = self.effects.discovery.tellings,
-            desk = self.effects.desk.served(),
-            heard = self.effects.desk.heard
+            watching = self.effects.discovery.is_watching(),
+            tellings = self.effects.discovery.updates,
+            desk = self.effects.rollout_api.is_subscribed(),
+            heard = self.effects.rollout_api.lines_received
         );
     }
 
-    /// Reads the file anew; one that can't be read changes nothing, and is read again a few times: the signal may have come
-    /// while it was written.
+    /// Reads the configuration again. An invalid file changes nothing and is read again a few times, as the signal
+    /// may arrive while it is being written.
     fn reload(&mut self) {
         let file = self.effects.startup.file.clone();
         let var = |name: &str| match name {
@@ -432,41 +461,42 @@
         };
         match Startup::read(var) {
             Ok(fresh) => {
-                tracing::info!(event = "reload", discovery = %fresh.discovery, desk = ?fresh.desk);
-                self.again = 0;
-                self.effects.moved(fresh.discovery, fresh.desk);
+                tracing::info!(event = "reload", discovery = %fresh.discovery, desk = ?fresh.rollout_api);
+                self.reload_retries = 0;
+                self.effects.move_links(fresh.discovery, fresh.rollout_api);
             }
             Err(why) => {
-                tracing::error!(event = "reload", why, again = self.again);
-                if let Some(left) = self.again.checked_sub(1) {
-                    self.again = left;
-                    self.effects.net.wake_at(self.effects.net.now() + READ_AGAIN.0, RELOAD);
+                tracing::error!(event = "reload failed", why, again = self.reload_retries);
+                if let Some(left) = self.reload_retries.checked_sub(1) {
+                    self.reload_retries = left;
+                    self.effects.net.wake_at(self.effects.net.now() + RELOAD_RETRY.0, RELOAD_TIMER);
                 }
             }
         }
     }
 
-    fn stop(&mut self, number: i32) {
+    fn begin_shutdown(&mut self, number: i32) {
         if self.stopping.is_some() {
             return;
         }
         tracing::info!(event = "stopping", number);
         let now = self.effects.net.now();
         self.stopping = Some(now);
-        self.effects.net.wake_at(now + GOES_ON, STOP);
+        self.effects.net.wake_at(now + ACCEPT_AFTER_SIGNAL, STOP_TIMER);
         if let Some(peers) = &mut self.peers {
             peers.leave(&mut self.effects.net);
         }
     }
 
-    /// Takes what has come to the listener, and closes it; from now on connections end between two RPCs.
-    fn close_door(&mut self) {
+    /// Accepts what is already waiting at the listener, and closes it. From now on connections are closed between two
+    /// RPCs.
+    fn close_listener(&mut self) {
         let now = self.effects.net.now();
-        self.effects.net.wake_at(now + LAST, STOP);
-        if self.door_closed.is_some() {
+        self.effects.net.wake_at(now + LINGER, STOP_TIMER);
+        if self.listener_closed.is_some() {
             return;
         }
-        self.door_closed = Some(now);
+        self.listener_closed = Some(now);
         let Some(listener) = self.listener.take() else { return };
         let mut events = Vec::new();
         loop {
@@ -477,25 +507,25 @@
             }
         }
         self.effects.net.close(listener);
-        self.effects.made.append(&mut events);
-        // Nobody comes any more for whom descriptors are to be kept.
+        self.effects.queued_events.append(&mut events);
+        // No more connections are accepted, so no descriptors need to be reserved for them.
         self.effects.net.most_closing = self.effects.net.most_streams;
     }
 
-    /// In a stop: is everything answered, and on its way to whoever reads slowly?
-    fn ended(&mut self) -> bool {
-        let Some((began, door_closed)) = self.stopping.zip(self.door_closed) else { return false };
+    /// Whether a shutdown is complete: everything is answered, and slow readers have received it.
+    fn shutdown_done(&mut self) -> bool {
+        let Some((began, listener_closed)) = self.stopping.zip(self.listener_closed) else { return false };
         let now = self.effects.net.now();
-        self.effects.close_clients(door_closed);
-        let owes = self.effects.clients.count() > 0
+        self.effects.close_idle_clients(listener_closed);
+        let unfinished = self.effects.clients.count() > 0
             || self.effects.net.last_words() > 0
-            || !self.effects.made.is_empty();
+            || !self.effects.queued_events.is_empty();
         let longest = self.effects.startup.methods.iter().map(|(_, longest)| *longest).max().unwrap_or(0);
-        if owes && now - began < longest.clamp(LEAST_STOP, MOST_STOP) + BEYOND {
-            self.rested = None;
+        if unfinished && now - began < longest.clamp(MIN_SHUTDOWN, MAX_SHUTDOWN) + SHUTDOWN_MARGIN {
+            self.idle_since = None;
             return false;
         }
-        now - *self.rested.get_or_insert(now) >= LAST
+        now - *self.idle_since.get_or_insert(now) >= LINGER
     }
 }
 
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -1,37 +1,37 @@
-//! What a node is told at its start, and again at a reload.
+//! A node's configuration, as read at its start and again at a reload.
 use rockpick::{Ns, Post};
 use rockpick_front_settings::{parse_post, FieldError, SettingsMap};
 use rockpick_net::MS;
-use rockpick_platform::desk::{self, Stood};
+use rockpick_platform::rollout_api::{self, BuildStatus};
 use rockpick_platform::roster;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Largest configuration that is read: a list of some ten thousand machines.
-const MOST_FILE: u64 = 8 * 1024 * 1024;
-/// Fewest descriptors that a node can work with, and most that it makes use of.
-const SOCKETS: (usize, usize) = (64, 4_096);
+/// Largest configuration file that is read; a list of some ten thousand machines fits in.
+const MAX_FILE_LEN: u64 = 8 * 1024 * 1024;
+/// Least and most descriptors that a node uses.
+const SOCKET_LIMITS: (usize, usize) = (64, 4_096);
 
 pub struct Startup {
     pub file: Option<PathBuf>,
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    pub desk: Option<SocketAddr>,
-    pub stood: Option<Stood>,
-    pub known: Value,
+    pub rollout_api: Option<SocketAddr>,
+    pub initial_status: Option<BuildStatus>,
+    pub initial_roster: Value,
     pub sockets: usize,
     pub post: Post,
-    /// Names of methods, and the longest that a client waits for each.
+    /// Name of each method, and the longest deadline of its clients.
     pub methods: Vec<(String, Ns)>,
     pub zones: Vec<String>,
-    /// Longest that a connection to a machine may take: never beyond the grace of a drain, as a pick that was decided before
-    /// a drain was told leaves when its connection is there.
-    pub connect_within: Ns,
-    /// Machines close a connection that was idle for this.
-    pub idle: Ns,
-    /// The company that it keeps; a platform that forbids it, or tells nothing of it, gets none.
+    /// Longest time to connect to a machine. It never exceeds the drain grace: a pick that was decided before a drain
+    /// became known is sent when its connection is up, and must not be sent after the grace.
+    pub connect_timeout: Ns,
+    /// Machines close a connection that was idle for this long.
+    pub machine_idle_timeout: Ns,
+    /// The peers to join. There are none on a platform that forbids or does not configure them.
     pub circle: Option<rockpick_peers::Circle>,
 }
 
@@ -40,64 +40,67 @@
         self.methods.iter().position(|(known, _)| known == name)
     }
 
-    /// Reads the variables and the file that one of them names.
+    /// Reads the environment variables, and the file that `PROXY_CONFIG` names.
     ///
     /// # Errors
-    /// The field that can't be read, and why.
+    /// The first field that can't be read, and why.
     pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Startup, String> {
         let file = var("PROXY_CONFIG").filter(|f| !f.is_empty()).map(PathBuf::from);
-        let told = file.as_deref().map_or(Ok(Value::Null), load)?;
-        let said = |field: &str, name: &str| match &told[field] {
+        let config = file.as_deref().map_or(Ok(Value::Null), load)?;
+        let text_field = |field: &str, name: &str| match &config[field] {
             Value::String(word) => Ok(word.clone()),
             Value::Null => var(name).ok_or(format!("{field}: neither in the configuration nor in {name}")),
-            other => Err(format!("{field}: {other} is no text")),
+            other => Err(format!("{field}: {other} is not a string")),
         };
         let address = |field: &str, word: &str| -> Result<SocketAddr, String> {
-            word.parse().map_err(|_| format!("{field}: {word:?} is no address"))
+            word.parse().map_err(|_| format!("{field}: {word:?} is not an address"))
         };
-        let seed = match &told["seed"] {
+        let seed = match &config["seed"] {
             Value::Null => 1,
-            Value::Number(n) => n.as_u64().ok_or("seed: no number that is taken")?,
-            Value::String(hex) => u64::from_str_radix(hex, 16).map_err(|_| "seed: no hex number")?,
-            _ => return Err("seed: no number".into()),
+            Value::Number(n) => n.as_u64().ok_or("seed: not an unsigned 64-bit integer")?,
+            Value::String(hex) => {
+                u64::from_str_radix(hex, 16).map_err(|_| "seed: not a hexadecimal number")?
+            }
+            _ => return Err("seed: not a number".into()),
         };
-        let settings = SettingsMap::from_json(&told["settings"]);
-        let of = |wrong: FieldError| format!("settings.{}: {}", wrong.field, wrong.why);
-        let longest = settings.column("lanes", "deadlineMs").map_err(of)?;
-        let names = settings.column("lanes", "name").map_err(of)?;
-        let most =
+        let settings = SettingsMap::from_json(&config["settings"]);
+        let settings_error = |error: FieldError| format!("settings.{}: {}", error.field, error.why);
+        let deadlines = settings.column("lanes", "deadlineMs").map_err(settings_error)?;
+        let names = settings.column("lanes", "name").map_err(settings_error)?;
+        let max_deadline =
             |word: &String| rockpick_front_settings::nanos(word).filter(|ns| *ns > 0).unwrap_or(Ns::MAX / 4);
-        let sockets = match &told["limits"]["sockets"] {
-            Value::Null => SOCKETS.1,
+        let sockets = match &config["limits"]["sockets"] {
+            Value::Null => SOCKET_LIMITS.1,
             n => n.as_u64().ok_or("limits.sockets: no number")? as usize,
         };
-        let desk = match &told["platform"]["address"] {
+        let rollout_api = match &config["platform"]["address"] {
             Value::Null => None,
             Value::String(word) => Some(address("platform.address", word)?),
             _ => return Err("platform.address: no text".into()),
         };
         let dial = settings
             .parse("permissions.dialTimeoutMs", 250 * MS, rockpick_front_settings::nanos)
-            .map_err(of)?;
-        let grace =
-            settings.parse("invariants.drainGraceMs", Ns::MAX, rockpick_front_settings::nanos).map_err(of)?;
-        let mut post = parse_post(seed, &settings).map_err(of)?;
-        post.guard.told_within = roster::TOLD_WITHIN;
+            .map_err(settings_error)?;
+        let grace = settings
+            .parse("invariants.drainGraceMs", Ns::MAX, rockpick_front_settings::nanos)
+            .map_err(settings_error)?;
+        let mut post = parse_post(seed, &settings).map_err(settings_error)?;
+        post.guard.told_within = roster::CHANGE_KNOWN_WITHIN;
         Ok(Startup {
-            name: said("name", "PROXY_NAME")?,
-            listen: address("listen", &said("listen", "PROXY_LISTEN")?)?,
-            discovery: address("discovery", &said("discovery", "PROXY_DISCOVERY")?)?,
-            desk,
-            stood: desk::news(&told["platform"]["news"]),
-            known: told["known"].clone(),
-            sockets: sockets.clamp(SOCKETS.0, SOCKETS.1),
+            name: text_field("name", "PROXY_NAME")?,
+            listen: address("listen", &text_field("listen", "PROXY_LISTEN")?)?,
+            discovery: address("discovery", &text_field("discovery", "PROXY_DISCOVERY")?)?,
+            rollout_api,
+            initial_status: rollout_api::initial_status(&config["platform"]["news"]),
+            initial_roster: config["known"].clone(),
+            sockets: sockets.clamp(SOCKET_LIMITS.0, SOCKET_LIMITS.1),
             post,
-            methods: names.into_iter().zip(longest.iter().map(most)).collect(),
+            methods: names.into_iter().zip(deadlines.iter().map(max_deadline)).collect(),
             zones: settings.strings("zones"),
-            connect_within: if grace > 0 { dial.min(grace) } else { dial },
-            idle: settings
+            connect_timeout: if grace > 0 { dial.min(grace) } else { dial },
+            machine_idle_timeout: settings
                 .parse("permissions.idleCloseMs", 10_000 * MS, rockpick_front_settings::nanos)
-                .map_err(of)?,
+                .map_err(settings_error)?,
             file,
             circle: None,
         })
@@ -105,11 +108,11 @@
 }
 
 fn load(file: &Path) -> Result<Value, String> {
-    let named = |why: String| format!("{}: {why}", file.display());
-    let long = std::fs::metadata(file).map_err(|err| named(err.to_string()))?.len();
-    if long > MOST_FILE {
-        return Err(named(format!("{long} bytes, at most {MOST_FILE} are read")));
+    let in_file = |why: String| format!("{}: {why}", file.display());
+    let len = std::fs::metadata(file).map_err(|err| in_file(err.to_string()))?.len();
+    if len > MAX_FILE_LEN {
+        return Err(in_file(format!("{len} bytes, at most {MAX_FILE_LEN} are read")));
     }
-    let text = std::fs::read(file).map_err(|err| named(err.to_string()))?;
-    serde_json::from_slice(&text).map_err(|err| named(err.to_string()))
+    let text = std::fs::read(file).map_err(|err| in_file(err.to_string()))?;
+    serde_json::from_slice(&text).map_err(|err| in_file(err.to_string()))
 }
