--- a/cli/tests/answers.rs
+++ b/cli/tests/answers.rs
@@ -1,4 +1,4 @@
-//! The whole way of a command, from accept to final answer, cut at each step; answers are counted by its client.
+//! Interrupts a command at each step from accept to final answer, and counts the answers that its client gets.
 mod peers;
 #[path = "peers/platform.rs"]
 mod platform;
@@ -13,22 +13,22 @@
 use std::sync::Arc;
 
 const VALUE: &[u8] = b"value";
-const WAIT_MS: u32 = 1_900;
+const DEADLINE_MS: u32 = 1_900;
 
-/// How far the command has come when it is cut.
+/// How far the command has come when it is interrupted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     Connected,
     HalfStartup,
     Welcomed,
     HalfQuery,
-    /// Whole, behind an answer on the same connection.
+    /// Complete, on a connection that has served another command.
     Again,
-    /// Taken; the machine's connection is not up.
+    /// Accepted; the connection to the machine is not ready.
     Dialling,
-    /// The machine has it.
+    /// The machine has received it.
     Sent,
-    /// A part of the machine's answer is here.
+    /// A part of the machine's answer has arrived.
     HalfAnswer,
 }
 
@@ -44,25 +44,31 @@
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Cut {
+enum Interruption {
     Stop,
     Reload,
-    /// Stop and reload, one upon the other.
+    /// Several stop and reload signals in a row.
     Series,
-    /// The machine is told to drain.
     Drain,
-    /// The machine closes what it has.
+    /// The machine closes its connections.
     MachineCloses,
-    /// The process is held up.
+    /// The process is paused.
     Pause,
-    /// The client's second try goes to another node.
+    /// The process is killed, and the client retries at another node.
     Kill,
 }
 
-const CUTS: [Cut; 7] =
-    [Cut::Stop, Cut::Reload, Cut::Series, Cut::Drain, Cut::MachineCloses, Cut::Pause, Cut::Kill];
+const INTERRUPTIONS: [Interruption; 7] = [
+    Interruption::Stop,
+    Interruption::Reload,
+    Interruption::Series,
+    Interruption::Drain,
+    Interruption::MachineCloses,
+    Interruption::Pause,
+    Interruption::Kill,
+];
 
-/// A machine that stands still at a step until its gate is open, then goes on, or closes.
+/// A machine that blocks at a step until its gate is open, then goes on or closes the connection.
 struct Gated {
     at: SocketAddr,
     gate: Gate,
@@ -70,15 +76,15 @@
     reached: Arc<AtomicUsize>,
 }
 
-fn gated(step: Step) -> Gated {
+fn gated_machine(step: Step) -> Gated {
     let (gate, closes, reached) =
         (Gate::default(), Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
-    let (held, closing, count) = (gate.clone(), closes.clone(), reached.clone());
+    let (machine_gate, closing, count) = (gate.clone(), closes.clone(), reached.clone());
     let at = served(move |_, mut line| {
-        let stands = |now: Step| {
+        let block_at = |now: Step| {
             if step == now {
                 count.fetch_add(1, Ordering::SeqCst);
-                held.pass();
+                machine_gate.pass();
                 if closing.load(Ordering::SeqCst) > 0 {
                     return None;
                 }
@@ -86,15 +92,15 @@
             Some(())
         };
         line.hello()?;
-        stands(Step::Dialling)?;
+        block_at(Step::Dialling)?;
         line.welcome()?;
         loop {
             line.query()?;
-            stands(Step::Sent)?;
+            block_at(Step::Sent)?;
             let answer = row(VALUE);
             let (first, rest) = answer.split_at(answer.len() / 2);
             line.io.write_all(first).ok()?;
-            stands(Step::HalfAnswer)?;
+            block_at(Step::HalfAnswer)?;
             line.io.write_all(rest).ok()?;
         }
     });
@@ -104,7 +110,7 @@
 fn bytes_of(step: Step) -> (Vec<u8>, Vec<u8>) {
     let (mut startup, mut query) = (Vec::new(), Vec::new());
     pg::put_startup(&mut startup, "api", "ledger");
-    pg::put_query(&mut query, &lookup(7, WAIT_MS));
+    pg::put_query(&mut query, &lookup(7, DEADLINE_MS));
     let before = match step {
         Step::Connected => 0,
         Step::HalfStartup => startup.len() / 2,
@@ -117,105 +123,107 @@
     (all, after)
 }
 
-/// Final answers that a client hears until its connection ends, or the next command is answered.
-fn answers(client: &mut Client) -> Vec<Said> {
+/// All further answers that a client gets until its connection ends.
+fn further_answers(client: &mut Client) -> Vec<Said> {
     let _ = client.io.shutdown(Shutdown::Write);
     std::iter::from_fn(|| Some(client.hear()).filter(|said| *said != Said::Closed)).collect()
 }
 
-fn cut_off(step: Step, cut: Cut) {
-    let case = format!("{cut:?} at {step:?}");
-    let machine = gated(step);
+fn interrupt(step: Step, interruption: Interruption) {
+    let case = format!("{interruption:?} at {step:?}");
+    let machine = gated_machine(step);
     let platform = Platform::begin();
-    let told = configuration(&platform, &[("a", machine.at, 1, "active")]);
-    let (node, other) = (Node::begin(&told), Node::begin(&told));
+    let config = configuration(&platform, &[("a", machine.at, 1, "active")]);
+    let (node, other) = (Node::begin(&config), Node::begin(&config));
     followed(&platform);
     let mut client = node.stranger();
     let (before, after) = bytes_of(step);
     client.io.write_all(&before).unwrap();
     if step != Step::Connected && step != Step::HalfStartup {
-        while client.message().expect("a welcome").0 != b'Z' {}
+        while client.message().expect("a startup response").0 != b'Z' {}
     }
     if step == Step::Again {
-        assert_eq!(client.rpc(&lookup(6, WAIT_MS)), Said::Value(VALUE.to_vec()));
+        assert_eq!(client.rpc(&lookup(6, DEADLINE_MS)), Said::Value(VALUE.to_vec()));
     }
     if after.is_empty() {
         until("the machine is at the step", || machine.reached.load(Ordering::SeqCst) > 0);
     }
-    match cut {
-        Cut::Stop => node.signal(Signal::TERM),
-        Cut::Reload => node.signal(Signal::HUP),
-        Cut::Series => {
+    match interruption {
+        Interruption::Stop => node.signal(Signal::TERM),
+        Interruption::Reload => node.signal(Signal::HUP),
+        Interruption::Series => {
             for signal in [Signal::HUP, Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM] {
                 node.signal(signal);
             }
         }
-        Cut::Drain => platform.list(false, &[("a", machine.at, 1, "leaving")]),
-        Cut::MachineCloses => machine.closes.store(1, Ordering::SeqCst),
-        Cut::Pause => node.signal(Signal::STOP),
-        Cut::Kill => node.signal(Signal::KILL),
+        Interruption::Drain => platform.list(false, &[("a", machine.at, 1, "leaving")]),
+        Interruption::MachineCloses => machine.closes.store(1, Ordering::SeqCst),
+        Interruption::Pause => node.signal(Signal::STOP),
+        Interruption::Kill => node.signal(Signal::KILL),
     }
     let sent = client.io.write_all(&after);
-    if cut == Cut::Pause {
+    if interruption == Interruption::Pause {
         node.signal(Signal::CONT);
     }
     machine.gate.open();
-    if cut == Cut::Kill {
-        // Whatever became of the first try, the second is a new command.
+    if interruption == Interruption::Kill {
+        // Whatever became of the first attempt, the second is a new command.
         let mut client = other.client();
-        assert!(matches!(client.rpc(&lookup(8, WAIT_MS)), Said::Value(_)), "{case}");
+        assert!(matches!(client.rpc(&lookup(8, DEADLINE_MS)), Said::Value(_)), "{case}");
         return;
     }
     sent.unwrap();
     if step == Step::Connected || step == Step::HalfStartup {
-        while client.message().unwrap_or_else(|| panic!("{case}: no welcome")).0 != b'Z' {}
+        while client.message().unwrap_or_else(|| panic!("{case}: no startup response")).0 != b'Z' {}
     }
     let heard = client.hear();
     assert!(heard != Said::Closed, "{case}: closed without an answer");
     assert!(
-        matches!(heard, Said::Value(_)) || cut == Cut::Drain || cut == Cut::MachineCloses,
+        matches!(heard, Said::Value(_))
+            || interruption == Interruption::Drain
+            || interruption == Interruption::MachineCloses,
         "{case}: {heard:?}"
     );
-    assert_eq!(answers(&mut client), [], "{case}: more than one answer");
+    assert_eq!(further_answers(&mut client), [], "{case}: more than one answer");
 }
 
-/// Guards against a command that is read and gets no answer, or two, wherever on its way something else happens.
+/// Guards against a command that is read and gets no answer, or two, whenever something else happens meanwhile.
 #[test]
-fn a_command_cut_at_any_step_has_one_answer() {
+fn a_command_interrupted_at_any_step_gets_one_answer() {
     std::thread::scope(|scope| {
-        for cut in CUTS {
-            scope.spawn(move || STEPS.into_iter().for_each(|step| cut_off(step, cut)));
+        for interruption in INTERRUPTIONS {
+            scope.spawn(move || STEPS.into_iter().for_each(|step| interrupt(step, interruption)));
         }
     });
 }
 
-/// Guards against clients that are turned away in a crowd and lose the words that say so.
+/// Guards against clients that are refused when many connect, and do not receive the refusal.
 #[test]
-fn each_of_a_crowd_at_once_has_an_answer() {
-    const CROWD: u64 = 200;
+fn each_of_many_simultaneous_clients_gets_an_answer() {
+    const CLIENTS: u64 = 200;
     let machine = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", machine.at, 1, "active")]);
-    told["limits"]["sockets"] = 64.into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", machine.at, 1, "active")]);
+    config["limits"]["sockets"] = 64.into();
+    let node = Node::begin(&config);
     followed(&platform);
-    // The process is held up, so that all are there at once.
+    // The process is paused, so that all connections arrive at once.
     node.signal(Signal::STOP);
-    let mut crowd: Vec<Client> = (0..CROWD)
+    let mut clients: Vec<Client> = (0..CLIENTS)
         .map(|id| {
             let mut client = node.stranger();
-            let mut words = Vec::new();
-            pg::put_startup(&mut words, "api", "ledger");
-            pg::put_query(&mut words, &lookup(id + 1, WAIT_MS));
-            client.io.write_all(&words).unwrap();
+            let mut messages = Vec::new();
+            pg::put_startup(&mut messages, "api", "ledger");
+            pg::put_query(&mut messages, &lookup(id + 1, DEADLINE_MS));
+            client.io.write_all(&messages).unwrap();
             client
         })
         .collect();
     node.signal(Signal::CONT);
-    let unanswered = crowd.iter_mut().filter_map(|client| {
-        // The welcome, or an error in its place; then the answer.
-        let welcome = client.hear();
-        let answer = if welcome == Said::Closed { client.hear() } else { welcome };
+    let unanswered = clients.iter_mut().filter_map(|client| {
+        // The startup response, or an error in its place; then the answer.
+        let startup = client.hear();
+        let answer = if startup == Said::Closed { client.hear() } else { startup };
         (answer == Said::Closed).then_some(())
     });
     assert_eq!(unanswered.count(), 0);
--- a/cli/tests/hardening.rs
+++ b/cli/tests/hardening.rs
@@ -1,4 +1,4 @@
-//! Findings of the hardening review, each as a test of the running programs. The numbers are the review's.
+//! Regression tests of the hardening review's findings, on the running programs. The numbers are the review's.
 mod peers;
 
 use peers::*;
@@ -18,59 +18,59 @@
     charter
 }
 
-fn teller(machines: &[(&str, SocketAddr, u32, &str)]) -> Teller {
-    let teller = Teller::begin(charter());
-    teller.stage(1, 0, "released", 1.0);
-    teller.roster("whole", machines);
-    teller
+fn controller_with_machines(machines: &[(&str, SocketAddr, u32, &str)]) -> Teller {
+    let controller = Teller::begin(charter());
+    controller.stage(1, 0, "released", 1.0);
+    controller.roster("whole", machines);
+    controller
 }
 
-fn in_force(front: &Proc, version: u64) {
-    until("the settings at the front", || get(front.at, "/status")["settings_version"] == version);
+fn wait_for_settings(front: &Proc, version: u64) {
+    until("the front uses the settings", || get(front.at, "/status")["settings_version"] == version);
 }
 
-fn ended_well(proc: &mut Proc) {
-    until("its end", || proc.child.try_wait().unwrap().is_some());
+fn wait_for_success(proc: &mut Proc) {
+    until("the process ends", || proc.child.try_wait().unwrap().is_some());
     assert!(proc.child.wait().unwrap().success());
 }
 
-fn nobody() -> SocketAddr {
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// 1: a front that was down while the settings changed goes by the new ones.
+/// 1: a front that was down while the settings changed uses the new ones.
 #[test]
-fn settings_changed_while_a_front_was_away_reach_it() {
+fn settings_changed_while_a_front_was_down_reach_it() {
     let dir = tempfile::tempdir().unwrap();
     let state = dir.path().to_string_lossy().into_owned();
     let controller = start(&["controller"]);
     assert_eq!(put(controller.at, &charter()).status, 200);
     let one = front(controller.at, &["--state", &state]);
-    in_force(&one, 1);
-    until("its snapshot", || dir.path().join("f0.json").exists());
+    wait_for_settings(&one, 1);
+    until("the snapshot is written", || dir.path().join("f0.json").exists());
     drop(one);
     assert_eq!(put(controller.at, &charter()).status, 200);
-    in_force(&front(controller.at, &["--state", &state]), 2);
+    wait_for_settings(&front(controller.at, &["--state", &state]), 2);
 }
 
-/// 2, 17: an answer that makes no sense is asked for again, though nothing more is told.
+/// 2, 17: settings are requested again after an invalid answer, without another notification.
 #[test]
-fn settings_asked_for_in_vain_are_asked_for_again() {
-    // Told a minute apart: the watch is not given up for its silence, and begun anew, meanwhile.
+fn settings_are_requested_again_after_an_invalid_answer() {
+    // The controller sends data a minute apart, so that the watch is not considered dead and restarted meanwhile.
     let mut charter = charter();
     charter.rollout.told_every_ms = 60_000;
-    let teller = Teller::begin(charter.clone());
-    let front = front(teller.at, &[]);
-    in_force(&front, 1);
-    let version = teller.gives(charter, 2);
-    in_force(&front, version);
+    let controller = Teller::begin(charter.clone());
+    let front = front(controller.at, &[]);
+    wait_for_settings(&front, 1);
+    let version = controller.gives(charter, 2);
+    wait_for_settings(&front, version);
 }
 
-/// 4: numbers out of all bounds end neither the front (within 4 GB) nor what else the line says.
+/// 4: numbers out of range neither crash the front (limited to 4 GB) nor affect the rest of the line.
 #[test]
-fn a_roster_line_that_makes_no_sense_harms_itself_alone() {
+fn a_malformed_roster_line_affects_no_others() {
     let machine = Scripted::begin(Does::Answers);
-    let teller = teller(&[]);
+    let controller = controller_with_machines(&[]);
     let line = |name: &str, field: &str, value: Value| {
         let mut line = json!({ "name": name, "addr": machine.at.to_string(), "zone": 0, "cell": 0, "build": 1,
             "run": 1, "weight": 1.0, "state": "up", "age_ms": 1e9 });
@@ -84,10 +84,10 @@
         line("d\r\nX: y", "cell", json!(0)),
     ];
     let members: Vec<Value> = bad.into_iter().chain([line("good", "cell", json!(1))]).collect();
-    teller.tell(json!({ "roster": { "kind": "whole", "serial": 1, "members": members } }));
-    teller.tell(json!({ "stage": { "build": 4_294_967_295u32, "stage": 0, "phase": "released", "cap": 1.0, "age_ms": 1 } }));
-    teller.tell(json!({ "tally": [[1, 0, u64::MAX, 0], [1, 0, u64::MAX, u64::MAX]] }));
-    let at = teller.at.to_string();
+    controller.tell(json!({ "roster": { "kind": "whole", "serial": 1, "members": members } }));
+    controller.tell(json!({ "stage": { "build": 4_294_967_295u32, "stage": 0, "phase": "released", "cap": 1.0, "age_ms": 1 } }));
+    controller.tell(json!({ "tally": [[1, 0, u64::MAX, 0], [1, 0, u64::MAX, u64::MAX]] }));
+    let at = controller.at.to_string();
     let front = start_under("ulimit -v 4000000;", &["front", "--name", "f0", "--controller", &at]);
     listed(&front, 1);
     for _ in 0..20 {
@@ -96,38 +96,38 @@
     assert_eq!(get(front.at, "/status")["stage"]["build"], 1);
 }
 
-/// 5: a disk that does not answer, played by a pipe that nobody reads where the snapshot is written.
+/// 5: a hung disk, simulated by a pipe without a reader at the path of the snapshot.
 #[test]
-fn a_disk_that_does_not_answer_holds_no_stop() {
+fn a_hung_disk_does_not_delay_a_shutdown() {
     let dir = tempfile::tempdir().unwrap();
     fifo(&dir.path().join("f0.new"));
     let machine = Scripted::begin(Does::Answers);
-    let teller = teller(&[("m", machine.at, 1, "up")]);
-    let mut front = front(teller.at, &["--state", &dir.path().to_string_lossy()]);
+    let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
+    let mut front = front(controller.at, &["--state", &dir.path().to_string_lossy()]);
     listed(&front, 1);
     assert_eq!(rpc(front.at, "lookup", "").0, 200);
     signal(&front, Signal::TERM);
-    ended_well(&mut front);
+    wait_for_success(&mut front);
 }
 
-/// 6: standard error goes to a reader that stands still; more is logged than a pipe holds.
+/// 6: standard error is a pipe that nobody reads, and more is logged than it can hold.
 #[test]
-fn a_log_that_nobody_reads_holds_no_rpc() {
+fn a_log_that_nobody_reads_delays_no_rpc() {
     let machine = Scripted::begin(Does::Answers);
-    let teller = teller(&[("m", machine.at, 1, "up")]);
-    let at = teller.at.to_string();
+    let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
+    let at = controller.at.to_string();
     let mut front = start_with("", &["front", "--name", "f0", "--controller", &at], Stdio::piped());
     listed(&front, 1);
     let names: Vec<String> = (0..3_000).map(|i| format!("a-machine-that-goes-{i}")).collect();
     let lines: Vec<_> = names.iter().map(|n| (n.as_str(), machine.at, 1, "draining")).collect();
-    teller.roster("changes", &lines);
+    controller.roster("changes", &lines);
     listed(&front, 3_001);
     assert_eq!(rpc(front.at, "lookup", "").0, 200);
     signal(&front, Signal::TERM);
-    ended_well(&mut front);
+    wait_for_success(&mut front);
 }
 
-/// 7: whoever read standard output has gone.
+/// 7: the reader of standard output is closed.
 #[test]
 fn a_closed_standard_output_is_an_error_and_no_panic() {
     for args in [&["settings", "example"][..], &["rehearse", "--trouble", "list"]] {
@@ -135,62 +135,62 @@
         drop(reader);
         let mut command = Command::new(env!("CARGO_BIN_EXE_rockpick"));
         let out = command.args(args).stdout(writer).stderr(Stdio::piped()).output().unwrap();
-        let said = String::from_utf8_lossy(&out.stderr);
-        assert!(out.status.code() == Some(2) && said.contains("standard output"), "{said}");
-        assert!(!said.contains("panicked"), "{said}");
+        let output = String::from_utf8_lossy(&out.stderr);
+        assert!(out.status.code() == Some(2) && output.contains("standard output"), "{output}");
+        assert!(!output.contains("panicked"), "{output}");
     }
 }
 
-/// 13: the wall clock was set years ahead while a front was down: no machine ages by that.
+/// 13: the wall clock was set years ahead while a front was down; machines must not age by that.
 #[test]
 fn a_wall_clock_set_ahead_makes_no_cold_machine_warm() {
     let dir = tempfile::tempdir().unwrap();
     let (state, file) = (dir.path().to_string_lossy().into_owned(), dir.path().join("f0.json"));
-    let teller = Teller::begin(charter());
-    teller.stage(1, 0, "released", 1.0);
-    teller.tell(
+    let controller = Teller::begin(charter());
+    controller.stage(1, 0, "released", 1.0);
+    controller.tell(
         json!({ "roster": { "kind": "whole", "serial": 1, "members": [{ "name": "m", "addr": "127.0.0.1:1",
         "zone": 0, "cell": 0, "build": 1, "run": 1, "weight": 1.0, "state": "up", "age_ms": 5.0 }] } }),
     );
-    let one = front(teller.at, &["--state", &state]);
+    let one = front(controller.at, &["--state", &state]);
     listed(&one, 1);
-    let kept = || -> Value {
+    let snapshot = || -> Value {
         std::fs::read(&file).map_or(Value::Null, |t| serde_json::from_slice(&open(t).unwrap()).unwrap())
     };
-    until("its snapshot", || kept()["members"][0]["name"] == "m");
+    until("the snapshot is written", || snapshot()["members"][0]["name"] == "m");
     drop(one);
-    let mut old = kept();
+    let mut old = snapshot();
     old["saved_ms"] = json!(1);
     std::fs::write(&file, old.to_string()).unwrap();
-    let mut two = front(nobody(), &["--state", &state]);
+    let mut two = front(unused_address(), &["--state", &state]);
     listed(&two, 1);
     signal(&two, Signal::TERM);
-    ended_well(&mut two);
-    let age = kept()["members"][0]["age_ms"].as_f64().unwrap();
+    wait_for_success(&mut two);
+    let age = snapshot()["members"][0]["age_ms"].as_f64().unwrap();
     assert!(age < 600_000.0, "{age}");
 }
 
-/// 14: RPCs of former settings are answered by their own deadline, however short the new ones are.
+/// 14: RPCs of former settings are answered by their own deadlines, even if the new ones are shorter.
 #[test]
-fn a_stop_waits_for_rpcs_of_former_settings() {
+fn a_shutdown_waits_for_rpcs_of_former_settings() {
     let machine = Scripted::begin(Does::Never);
-    let teller = teller(&[("m", machine.at, 1, "up")]);
-    let mut front = front(teller.at, &[]);
+    let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
+    let mut front = front(controller.at, &[]);
     listed(&front, 1);
     let at = front.at;
     let open = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 2500\r\n"));
     machine.got.recv_timeout(PATIENCE).unwrap();
     let mut short = charter();
     short.methods.iter_mut().for_each(|m| (m.soft_deadline_ms, m.deadline_ms) = (50, 100));
-    let version = teller.gives(short, 0);
-    in_force(&front, version);
+    let version = controller.gives(short, 0);
+    wait_for_settings(&front, version);
     signal(&front, Signal::TERM);
     signal(&front, Signal::TERM); // a second one changes nothing
     assert_eq!(open.join().unwrap().0, 504);
-    ended_well(&mut front);
+    wait_for_success(&mut front);
 }
 
-/// A client with a small window that has sent an RPC whose answer is long, and not read yet.
+/// A client with a small receive window that has sent an RPC with a long answer, and has not read it yet.
 fn slow_reader(front: &Proc) -> TcpStream {
     use rustix::net::{connect, socket, sockopt, AddressFamily, SocketType};
     let fd = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
@@ -198,48 +198,48 @@
     connect(&fd, &front.at).unwrap();
     let mut io = TcpStream::from(fd);
     io.write_all(b"POST /rpc/lookup HTTP/1.1\r\nHost: f\r\nContent-Length: 0\r\n\r\n").unwrap();
-    until("its answer at the front", || get(front.at, "/status")["ok"] == 1);
+    until("the front has the answer", || get(front.at, "/status")["ok"] == 1);
     io
 }
 
-/// 14: what a slow reader has not taken yet is still sent; one that reads nothing holds no stop.
+/// 14: answers to a slow reader are still sent in a shutdown, and a client that reads nothing does not block it.
 #[test]
-fn a_stop_sends_answers_out_and_waits_for_no_reader_for_ever() {
+fn a_shutdown_sends_pending_answers_and_does_not_wait_for_ever() {
     for reads in [true, false] {
         let machine = Scripted::begin(Does::AtLength);
-        let teller = teller(&[("m", machine.at, 1, "up")]);
-        let mut front = front(teller.at, &[]);
+        let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
+        let mut front = front(controller.at, &[]);
         listed(&front, 1);
         let mut io = slow_reader(&front);
         signal(&front, Signal::TERM);
-        until("the door is closed", || TcpStream::connect(front.at).is_err());
+        until("the listener is closed", || TcpStream::connect(front.at).is_err());
         if reads {
-            let mut said = Vec::new();
+            let mut received = Vec::new();
             io.set_read_timeout(Some(PATIENCE)).unwrap();
-            let end = io.read_to_end(&mut said);
-            assert!(said.len() > LONG && end.is_ok(), "{} bytes, {end:?}", said.len());
+            let end = io.read_to_end(&mut received);
+            assert!(received.len() > LONG && end.is_ok(), "{} bytes, {end:?}", received.len());
         }
-        ended_well(&mut front);
+        wait_for_success(&mut front);
     }
 }
 
-/// 15: what could not be kept is not answered with the words of success, and is kept once the disk can.
+/// 15: a change that could not be saved is not answered as a success, and is saved once the disk works again.
 #[test]
-fn a_change_that_is_not_on_disk_is_told_of_and_kept_later() {
+fn a_change_that_is_not_on_disk_is_reported_and_saved_later() {
     let dir = tempfile::tempdir().unwrap();
-    let in_the_way = dir.path().join("controller.new");
-    std::fs::create_dir(&in_the_way).unwrap();
+    let obstacle = dir.path().join("controller.new");
+    std::fs::create_dir(&obstacle).unwrap();
     let controller = start(&["controller", "--state", &dir.path().to_string_lossy()]);
     let answer = put(controller.at, &charter());
-    let said: Value = serde_json::from_slice(&answer.body).unwrap();
-    assert_eq!((answer.status, said["errors"][0]["field"].as_str()), (500, Some("state")), "{said}");
-    std::fs::remove_dir(&in_the_way).unwrap();
+    let output: Value = serde_json::from_slice(&answer.body).unwrap();
+    assert_eq!((answer.status, output["errors"][0]["field"].as_str()), (500, Some("state")), "{output}");
+    std::fs::remove_dir(&obstacle).unwrap();
     until("the snapshot", || dir.path().join("controller.json").exists());
 }
 
-/// 19: names go into paths and headers.
+/// 19: names are used in paths and headers.
 #[test]
-fn names_that_lead_elsewhere_are_refused() {
+fn unsafe_names_are_refused() {
     let dir = tempfile::tempdir().unwrap();
     let state = dir.path().join("in").to_string_lossy().into_owned();
     for name in ["../x", "a b", "", "controller", "f0.tenants", "f0.peers"] {
@@ -251,25 +251,28 @@
             .spawn()
             .unwrap();
         let mut proc = Proc {
-            at: nobody(),
+            at: unused_address(),
             child: {
                 child.stdin.take();
                 child
             },
         };
-        until("its refusal", || proc.child.try_wait().unwrap().is_some());
-        let mut said = String::new();
-        proc.child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-        assert!(proc.child.wait().unwrap().code() == Some(2) && said.contains("--name"), "{name}: {said}");
+        until("the process exits", || proc.child.try_wait().unwrap().is_some());
+        let mut output = String::new();
+        proc.child.stderr.take().unwrap().read_to_string(&mut output).unwrap();
+        assert!(
+            proc.child.wait().unwrap().code() == Some(2) && output.contains("--name"),
+            "{name}: {output}"
+        );
     }
 }
 
-/// 21: settings that change faster than RPCs end wait their turn.
+/// 21: settings that change faster than RPCs end are delayed.
 #[test]
-fn lives_of_the_module_are_bounded() {
+fn the_number_of_module_instances_is_limited() {
     let machine = Scripted::begin(Does::Never);
-    let teller = teller(&[("m", machine.at, 1, "up")]);
-    let front = front(teller.at, &[]);
+    let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
+    let front = front(controller.at, &[]);
     listed(&front, 1);
     let mut open = Vec::new();
     for _ in 0..12 {
@@ -278,7 +281,7 @@
         let began = Instant::now();
         let taken = open.len() as u64;
         until("the RPC", || get(front.at, "/status")["taken"] == taken);
-        let version = teller.gives(charter(), 0);
+        let version = controller.gives(charter(), 0);
         while get(front.at, "/status")["settings_version"] != version
             && began.elapsed() < Duration::from_millis(60)
         {}
@@ -291,38 +294,39 @@
         "{answers:?} {}",
         get(front.at, "/status")
     );
-    in_force(&front, 13);
+    wait_for_settings(&front, 13);
 }
 
-/// 30, 31: outcomes are told by the method numbers of the settings in force, those of former ones not at all.
+/// 30, 31: outcomes are reported by the method numbers of the settings in force; those of former settings are not
+/// reported.
 #[test]
-fn outcomes_of_former_settings_are_not_told_under_new_ones() {
+fn outcomes_of_former_settings_are_not_reported_under_new_ones() {
     let machine = Scripted::begin(Does::Never);
     let mut charter = charter();
     (charter.rollout.tally_every_ms, charter.rollout.tally_sample) = (100, 1.0);
-    let teller = Teller::begin(charter.clone());
-    teller.stage(1, 0, "released", 1.0);
-    teller.roster("whole", &[("m", machine.at, 1, "up")]);
-    let front = front(teller.at, &[]);
+    let controller = Teller::begin(charter.clone());
+    controller.stage(1, 0, "released", 1.0);
+    controller.roster("whole", &[("m", machine.at, 1, "up")]);
+    let front = front(controller.at, &[]);
     listed(&front, 1);
     let at = front.at;
     let former = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 900\r\n").0);
     machine.got.recv_timeout(PATIENCE).unwrap();
     charter.methods.truncate(1);
-    let version = teller.gives(charter, 0);
-    in_force(&front, version);
+    let version = controller.gives(charter, 0);
+    wait_for_settings(&front, version);
     assert_eq!(former.join().unwrap(), 504);
     assert_eq!(rpc(front.at, "lookup", "Rockpick-Time-Left-Ms: 100\r\n").0, 503);
-    until("a count", || !teller.counts.lock().unwrap().is_empty());
-    assert_eq!(teller.counts.lock().unwrap()[0]["rows"], json!([[1, 0, 1, 1]]));
+    until("outcomes are reported", || !controller.counts.lock().unwrap().is_empty());
+    assert_eq!(controller.counts.lock().unwrap()[0]["rows"], json!([[1, 0, 1, 1]]));
 }
 
-/// Rule 1: a front that stood still past a client's deadline sends it nothing any more.
+/// Rule 1: a front that was paused beyond a client's deadline sends it nothing.
 #[test]
 fn an_answer_that_would_come_after_the_deadline_is_not_sent() {
     let machine = Scripted::begin(Does::Never);
-    let teller = teller(&[("m", machine.at, 1, "up")]);
-    let front = front(teller.at, &[]);
+    let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
+    let front = front(controller.at, &[]);
     listed(&front, 1);
     let (at, began) = (front.at, Instant::now());
     let open = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 400\r\n"));
@@ -334,14 +338,14 @@
     assert_eq!(get(front.at, "/status")["late"], 1);
 }
 
-/// Rule 4: a machine told as just started is spared, with the same few picks that it gets by the module alone.
+/// Rule 4: a machine that has just started gets only the few picks that the decision module allows it.
 #[test]
-fn a_machine_told_as_cold_is_spared() {
+fn a_cold_machine_gets_few_picks() {
     let (warm, cold) = (Scripted::begin(Does::Answers), Scripted::begin(Does::Answers));
-    let teller = teller(&[("warm", warm.at, 1, "up")]);
-    teller.tell(json!({ "roster": { "kind": "changes", "serial": 2, "members": [{ "name": "cold", "zone": 0, "cell": 0,
+    let controller = controller_with_machines(&[("warm", warm.at, 1, "up")]);
+    controller.tell(json!({ "roster": { "kind": "changes", "serial": 2, "members": [{ "name": "cold", "zone": 0, "cell": 0,
         "addr": cold.at.to_string(), "build": 1, "run": 1, "weight": 1.0, "state": "up", "age_ms": 0.0 }] } }));
-    let front = front(teller.at, &[]);
+    let front = front(controller.at, &[]);
     listed(&front, 2);
     for _ in 0..40 {
         assert_eq!(rpc(front.at, "lookup", "").0, 200);
@@ -350,19 +354,19 @@
     assert!(picks <= 8, "{picks} of 40");
 }
 
-/// Rule 5: the cap as told, over sockets.
+/// Rule 5: the cap holds over sockets.
 #[test]
-fn picks_over_sockets_keep_to_the_told_cap() {
+fn picks_over_sockets_respect_the_cap() {
     let (old, new) = (Scripted::begin(Does::Answers), Scripted::begin(Does::Answers));
     let mut charter = charter();
     (charter.rollout.free, charter.rollout.window_ms) = (0.0, 400);
-    let teller = Teller::begin(charter);
-    teller.stage(2, 0, "on-trial", 0.2);
-    teller.roster("whole", &[("old", old.at, 1, "up"), ("new", new.at, 2, "up")]);
-    let front = front(teller.at, &[]);
+    let controller = Teller::begin(charter);
+    controller.stage(2, 0, "on-trial", 0.2);
+    controller.roster("whole", &[("old", old.at, 1, "up"), ("new", new.at, 2, "up")]);
+    let front = front(controller.at, &[]);
     listed(&front, 2);
     let (mut taken, mut picks) = (0.0, 0.0);
-    // Some hundreds are taken before the first window is over; far more have to follow to tell the cap.
+    // Some hundreds of RPCs are accepted before the first window ends; many more must follow to measure the cap.
     until("picks at the trial", || {
         taken += f64::from(u8::from(rpc(front.at, "lookup", "").0 == 200));
         picks += new.got.try_iter().count() as f64;
@@ -371,48 +375,51 @@
     assert!(picks > 0.0 && picks <= 0.2 * taken + 1.0, "{picks} of {taken}");
 }
 
-/// What the freeze covers: a front passes over what later versions tell, and goes on under its settings where it
-/// can't read newer ones; a snapshot of settings that it can't read is left as it is.
+/// Compatibility with later versions: a front ignores unknown fields, and keeps its settings if it can't read newer
+/// ones. A snapshot with unreadable settings is left unchanged.
 #[test]
-fn what_a_later_version_tells_a_front_is_passed_over_but_for_settings() {
+fn unknown_fields_of_later_versions_are_ignored_except_in_settings() {
     let dir = tempfile::tempdir().unwrap();
     let (state, file) = (dir.path().to_string_lossy().into_owned(), dir.path().join("f0.json"));
     let machine = Scripted::begin(Does::Answers);
-    let teller = Teller::begin(charter());
-    teller.tell(
+    let controller = Teller::begin(charter());
+    controller.tell(
         json!({ "later": [1], "stage": { "build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_ms": 1,
         "later": 1 } }),
     );
-    teller.tell(
+    controller.tell(
         json!({ "roster": { "kind": "whole", "members": [{ "name": "m", "addr": machine.at.to_string(),
         "build": 1, "run": 1, "state": "up", "later": 1 }] } }),
     );
-    // Finding 41: neither is a list of nobody.
-    teller.tell(json!({ "roster": { "kind": "later", "members": [] } }));
-    teller.tell(json!({ "roster": { "kind": "whole" } }));
-    teller.stage(1, 0, "released", 0.5);
-    let mut one = front(teller.at, &["--state", &state]);
+    // Finding 41: neither is an empty roster.
+    controller.tell(json!({ "roster": { "kind": "later", "members": [] } }));
+    controller.tell(json!({ "roster": { "kind": "whole" } }));
+    controller.stage(1, 0, "released", 0.5);
+    let mut one = front(controller.at, &["--state", &state]);
     until("the last line", || get(one.at, "/status")["stage"]["cap"] == 0.5);
     listed(&one, 1);
     assert_eq!(rpc(one.at, "lookup", "Rockpick-Later: 1\r\n").0, 200);
-    until("its snapshot", || file.exists());
+    until("the snapshot is written", || file.exists());
     signal(&one, Signal::TERM);
-    ended_well(&mut one);
-    let mut kept: Value = serde_json::from_slice(&open(std::fs::read(&file).unwrap()).unwrap()).unwrap();
-    kept["later"] = json!(1);
-    std::fs::write(&file, kept.to_string()).unwrap();
-    drop(front(nobody(), &["--state", &state]));
-    kept["settings"]["guard"]["later"] = json!(1);
-    std::fs::write(&file, kept.to_string()).unwrap();
+    wait_for_success(&mut one);
+    let mut snapshot: Value = serde_json::from_slice(&open(std::fs::read(&file).unwrap()).unwrap()).unwrap();
+    snapshot["later"] = json!(1);
+    std::fs::write(&file, snapshot.to_string()).unwrap();
+    drop(front(unused_address(), &["--state", &state]));
+    snapshot["settings"]["guard"]["later"] = json!(1);
+    std::fs::write(&file, snapshot.to_string()).unwrap();
     let args = ["front", "--name", "f0", "--controller", "127.0.0.1:1", "--state", &state];
     let out = Command::new(env!("CARGO_BIN_EXE_rockpick")).args(args).output().unwrap();
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(out.status.code() == Some(2) && said.contains("f0.json") && said.contains("later"), "{said}");
-    assert_eq!(std::fs::read(&file).unwrap(), kept.to_string().as_bytes());
+    let output = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(
+        out.status.code() == Some(2) && output.contains("f0.json") && output.contains("later"),
+        "{output}"
+    );
+    assert_eq!(std::fs::read(&file).unwrap(), snapshot.to_string().as_bytes());
 }
 
-/// A machine killed outright and started again under its name is another one: its own run, and cold. One told to
-/// leave is drained first, and ends well.
+/// A machine that is killed and restarted under its name is a new one, with its own run, and cold. One that gets
+/// SIGTERM is drained first, and exits with success.
 #[test]
 fn a_machine_is_new_after_a_kill_and_drained_at_a_sigterm() {
     let controller = start(&["controller"]);
@@ -426,18 +433,18 @@
     drop(one);
     let began = Instant::now();
     let mut two = machine();
-    until("the machine anew", || listed()["state"] == "up" && listed()["run"] != former["run"]);
+    until("the new machine", || listed()["state"] == "up" && listed()["run"] != former["run"]);
     assert_ne!(listed()["addr"], former["addr"]);
     assert!(listed()["age_ms"].as_f64().unwrap() <= began.elapsed().as_secs_f64() * 1e3 + 50.0);
     signal(&two, Signal::TERM);
-    until("its drain", || listed()["state"] == "draining");
-    ended_well(&mut two);
-    until("its end", || listed().is_null());
+    until("the machine drains", || listed()["state"] == "draining");
+    wait_for_success(&mut two);
+    until("the machine is gone", || listed().is_null());
 }
 
-/// What a kill leaves half written is never read, and written over.
+/// Partial snapshots left by a kill are never read, and are overwritten.
 #[test]
-fn half_written_snapshots_are_passed_over() {
+fn partial_snapshots_are_ignored() {
     let dir = tempfile::tempdir().unwrap();
     let state = dir.path().to_string_lossy().into_owned();
     for name in ["controller.new", "f0.new"] {
@@ -446,17 +453,17 @@
     let controller = start(&["controller", "--state", &state]);
     assert_eq!(put(controller.at, &charter()).status, 200);
     let mut one = front(controller.at, &["--state", &state]);
-    in_force(&one, 1);
+    wait_for_settings(&one, 1);
     signal(&one, Signal::TERM);
-    ended_well(&mut one);
+    wait_for_success(&mut one);
     drop(controller);
-    in_force(&front(nobody(), &["--state", &state]), 1);
+    wait_for_settings(&front(unused_address(), &["--state", &state]), 1);
     assert_eq!(get(start(&["controller", "--state", &state]).at, "/status")["settings_version"], 1);
 }
 
-/// 27: a controller's disk that does not answer holds whoever changes something, and nobody else.
+/// 27: a controller's hung disk blocks only the requester of a change.
 #[test]
-fn a_disk_that_does_not_answer_holds_no_controller() {
+fn a_hung_disk_blocks_only_the_requester_of_a_change() {
     let dir = tempfile::tempdir().unwrap();
     fifo(&dir.path().join("controller.new"));
     let mut controller = start(&["controller", "--state", &dir.path().to_string_lossy()]);
@@ -466,12 +473,12 @@
         .unwrap();
     until("the settings", || get(controller.at, "/status")["settings_version"] == 1);
     io.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
-    assert!(io.read(&mut [0; 1]).is_err(), "no word before it is kept");
+    assert!(io.read(&mut [0; 1]).is_err(), "no answer before the change is saved");
     signal(&controller, Signal::TERM);
-    let mut said = String::new();
+    let mut output = String::new();
     io.set_read_timeout(Some(PATIENCE)).unwrap();
-    let _ = io.read_to_string(&mut said);
-    assert!(said.starts_with("HTTP/1.1 500 ") && said.contains("does not answer"), "{said}");
-    until("its end", || controller.child.try_wait().unwrap().is_some());
+    let _ = io.read_to_string(&mut output);
+    assert!(output.starts_with("HTTP/1.1 500 ") && output.contains("does not answer"), "{output}");
+    until("the process ends", || controller.child.try_wait().unwrap().is_some());
     assert_eq!(controller.child.wait().unwrap().code(), Some(2));
 }
--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -1,4 +1,4 @@
-//! Rare moments of the running node: what comes between two of its steps. Each test makes the bad order happen.
+//! Races in the running node: events that arrive between two of its steps. Each test forces the unfavourable order.
 mod peers;
 #[path = "peers/platform.rs"]
 mod platform;
@@ -18,18 +18,18 @@
     Said::Value(VALUE.to_vec())
 }
 
-/// The node takes no new connections any more: it closes between two RPCs from now on.
-fn door_closed(node: &Node) {
-    until("the door is closed", || TcpStream::connect(node.proc.at).is_err());
+/// Waits until the node accepts no more connections; from then on it closes those that are idle.
+fn wait_for_listener_closed(node: &Node) {
+    until("the listener is closed", || TcpStream::connect(node.proc.at).is_err());
 }
 
-/// A machine that welcomes nobody before its gate is open; connections that came to it, queries that it got.
-fn gated(value: &'static [u8]) -> (SocketAddr, Gate, [Arc<AtomicUsize>; 2]) {
+/// A machine that answers no startup message before its gate is open, with the number of its connections and queries.
+fn gated_machine(value: &'static [u8]) -> (SocketAddr, Gate, [Arc<AtomicUsize>; 2]) {
     let (gate, counts) = (Gate::default(), [(); 2].map(|()| Arc::new(AtomicUsize::new(0))));
-    let (held, [came, queries]) = (gate.clone(), counts.clone());
+    let (held, [connections, queries]) = (gate.clone(), counts.clone());
     let at = served(move |_, mut line| {
         line.hello()?;
-        came.fetch_add(1, Ordering::SeqCst);
+        connections.fetch_add(1, Ordering::SeqCst);
         held.pass();
         line.welcome()?;
         line.query()?;
@@ -39,10 +39,10 @@
     (at, gate, counts)
 }
 
-/// Asks until a machine has served.
-fn serves(client: &mut Client, machine: &Machine) {
+/// Sends RPCs until a machine has served one.
+fn wait_until_served(client: &mut Client, machine: &Machine) {
     let mut id = 1 << 40;
-    until("it serves", || {
+    until("the machine has served", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         machine.queries() > 0
@@ -50,129 +50,130 @@
 }
 
 #[test]
-fn pushed_lists_are_heard_though_the_module_asks_for_none() {
+fn pushed_rosters_are_received_though_the_module_requests_none() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", a.at, 1, "active")]);
-    told["settings"]["discovery"] = "automatic".into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
+    config["settings"]["discovery"] = "automatic".into();
+    let node = Node::begin(&config);
     platform.list(false, &[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
-    serves(&mut node.client(), &b);
+    wait_until_served(&mut node.client(), &b);
 }
 
 #[test]
-fn lists_that_come_indented_are_heard() {
+fn indented_rosters_are_parsed() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
     let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
     followed(&platform);
     platform.list_indented(&[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
-    serves(&mut node.client(), &b);
-    assert_eq!(platform.asked.lock().unwrap()[0], 1, "on the first watch");
+    wait_until_served(&mut node.client(), &b);
+    assert_eq!(platform.asked.lock().unwrap()[0], 1, "still the first watch");
 }
 
-/// Guards against a restarted node that takes a roster without news for one that it does not hear, and rejects for good.
+/// Guards against a restarted node that treats a watch without news as not connected, and rejects RPCs for good.
 #[test]
-fn a_watch_that_only_lives_tells_that_the_roster_at_start_is_true() {
+fn a_watch_with_only_heartbeats_confirms_the_initial_roster() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
     let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    until("the watch speaks", || platform.last_sign.lock().unwrap().is_some());
-    // An old roster alone would serve for 1.6 s.
+    until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
+    // The initial roster alone would be used for 1.6 s.
     std::thread::sleep(Duration::from_millis(1_800));
     assert_eq!(node.client().rpc(&lookup(1, 900)), value());
 }
 
-/// What a silent watch misses counts 6 s after it fell silent: another must be had in that time at the second try, and one
-/// that never speaks must not be all that is tried.
+/// Changes that a silent watch misses count 6 s after it fell silent. By then another one must serve, at the second
+/// attempt at the latest; and if watches never send data, the list must be requested as well.
 #[test]
-fn a_silent_watch_is_asked_for_again_in_time_and_a_mute_one_is_passed_by() {
+fn a_silent_watch_is_replaced_in_time_and_a_list_is_fetched_if_the_next_is_silent_too() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
     let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    until("the watch speaks", || platform.last_sign.lock().unwrap().is_some());
+    until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
     platform.answer_list(1, &[("b", b.at, 1, "active")]);
     platform.mute.store(true, Ordering::SeqCst);
-    until("it is asked for again", || platform.asked.lock().unwrap()[0] == 2);
-    // Silent for 2.5 s, then three quarters of a second until it is asked: a second more and the second try is too late.
+    until("the watch is requested again", || platform.asked.lock().unwrap()[0] == 2);
+    // It is considered dead after 2.5 s, and requested again three quarters of a second later. One second more, and
+    // the second attempt would be too late.
     let silent = platform.last_sign.lock().unwrap().unwrap().elapsed();
     assert!(silent < Duration::from_millis(3_950), "{silent:?}");
-    serves(&mut node.client(), &b);
+    wait_until_served(&mut node.client(), &b);
 }
 
 #[test]
-fn a_pick_whose_connection_comes_after_the_grace_of_a_drain_is_not_sent() {
-    let (at, gate, [_, queries]) = gated(VALUE);
+fn a_pick_that_connects_after_the_grace_of_a_drain_is_not_sent() {
+    let (at, gate, [_, queries]) = gated_machine(VALUE);
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", at, 1, "active")]);
-    told["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
-    told["settings"]["invariants"]["drainGraceMs"] = 300.into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", at, 1, "active")]);
+    config["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
+    config["settings"]["invariants"]["drainGraceMs"] = 300.into();
+    let node = Node::begin(&config);
     followed(&platform);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     platform.list(false, &[("a", at, 1, "leaving")]);
-    let after_the_grace = std::thread::spawn(move || {
+    let opens_gate = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(700));
         gate.open();
     });
     assert!(pushed_back(&client.hear()), "it never ran");
-    after_the_grace.join().unwrap();
+    opens_gate.join().unwrap();
     assert_eq!(queries.load(Ordering::SeqCst), 0);
 }
 
 #[test]
-fn a_pick_whose_machine_is_another_by_the_time_its_connection_is_there_is_not_sent() {
-    let ((at, gate, [_, old]), new) = (gated(b"old"), machine(&[Does::Answers]));
+fn a_pick_whose_machine_is_replaced_while_it_connects_is_not_sent() {
+    let ((at, gate, [_, old]), new) = (gated_machine(b"old"), machine(&[Does::Answers]));
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", at, 1, "active")]);
-    told["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
-    told["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", at, 1, "active")]);
+    config["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
+    config["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
+    let node = Node::begin(&config);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     platform.list(false, &[("a", new.at, 1, "active")]);
-    serves(&mut node.client(), &new);
+    wait_until_served(&mut node.client(), &new);
     gate.open();
     assert!(pushed_back(&client.hear()), "it never ran");
     assert_eq!(old.load(Ordering::SeqCst), 0);
     assert_eq!(client.rpc(&save(2, 900)), value());
 }
 
-/// It was decided for a build on trial, which is sent back before the connection is there.
+/// The pick was decided for a build on trial that is withdrawn before the connection is ready.
 #[test]
-fn a_pick_whose_build_is_sent_back_while_its_connection_comes_up_is_not_sent() {
-    let ((new, gate, [met, queries]), old) = (gated(b"new"), machine(&[Does::Answers]));
+fn a_pick_whose_build_is_withdrawn_while_it_connects_is_not_sent() {
+    let ((new, gate, [connections, queries]), old) = (gated_machine(b"new"), machine(&[Does::Answers]));
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new, 2, "active")]);
-    told["settings"]["permissions"]["dialTimeoutMs"] = 1_800.into();
-    told["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new, 2, "active")]);
+    config["settings"]["permissions"]["dialTimeoutMs"] = 1_800.into();
+    config["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
+    let node = Node::begin(&config);
     followed(&platform);
     platform.news("* progress 2 0 canary 1 20000");
-    let mut waits = node.client();
-    waits.ask(&save(1, 1_900));
-    until("its connection comes up", || met.load(Ordering::SeqCst) > 0);
+    let mut client = node.client();
+    client.ask(&save(1, 1_900));
+    until("the pick connects", || connections.load(Ordering::SeqCst) > 0);
     platform.news("* progress 2 0 reverting 0 0");
-    until("it is told", || node.logged("phase=GoingBack"));
+    until("the withdrawal is received", || node.logged("phase=GoingBack"));
     gate.open();
-    assert_eq!(waits.hear(), value(), "by the earlier build");
+    assert_eq!(client.hear(), value(), "answered by the earlier build");
     assert_eq!(queries.load(Ordering::SeqCst), 0);
 }
 
-/// The new build has answered a one-way key, and the answer is lost: no earlier build gets that key.
+/// The new build has answered a key of a one-way release, and the answer is lost: no earlier build may get that key.
 #[test]
 fn a_key_whose_answer_is_lost_goes_to_no_earlier_build() {
     let (old, new) = (machine(&[Does::Answers]), machine(&[Does::Closes]));
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]);
-    told["settings"]["extra"]["oneWay"] = true.into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]);
+    config["settings"]["extra"]["oneWay"] = true.into();
+    let node = Node::begin(&config);
     followed(&platform);
     platform.news("* progress 2 0 canary 1 20000");
     let mut client = node.client();
     let mut id = 0;
-    until("the new build has it", || {
+    until("the new build has the key", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         new.queries() > 0
@@ -185,13 +186,14 @@
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_after_the_window_is_not_sent() {
-    let (gate, met, queries) = (Gate::default(), Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
-    let by = |gate: Gate, met: Arc<AtomicUsize>, queries: Arc<Mutex<usize>>| {
+fn a_repeat_that_connects_after_the_window_is_not_sent() {
+    let (gate, connections, queries) =
+        (Gate::default(), Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
+    let serve = |gate: Gate, connections: Arc<AtomicUsize>, queries: Arc<Mutex<usize>>| {
         move |_: usize, mut line: Line| {
             line.hello()?;
-            // The first breaks off once it has the query; the one of the repeat comes up late.
-            let first = met.fetch_add(1, Ordering::SeqCst) == 0;
+            // The first connection is closed after the query; that of the repeat is ready late.
+            let first = connections.fetch_add(1, Ordering::SeqCst) == 0;
             if !first {
                 gate.pass();
             }
@@ -204,29 +206,29 @@
             line.answers(VALUE)
         }
     };
-    let machines = [(); 2].map(|()| served(by(gate.clone(), met.clone(), queries.clone())));
+    let machines = [(); 2].map(|()| served(serve(gate.clone(), connections.clone(), queries.clone())));
     let platform = Platform::begin();
-    let mut told =
+    let mut config =
         configuration(&platform, &[("a", machines[0], 1, "active"), ("b", machines[1], 1, "active")]);
-    let lane = &mut told["settings"]["lanes"][1];
+    let lane = &mut config["settings"]["lanes"][1];
     (lane["idempotency"], lane["windowMs"]) = ("guarded".into(), 400.into());
-    told["settings"]["permissions"]["dialTimeoutMs"] = 1_000.into();
-    let node = Node::begin(&told);
+    config["settings"]["permissions"]["dialTimeoutMs"] = 1_000.into();
+    let node = Node::begin(&config);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
-    until("the repeat waits for its connection", || met.load(Ordering::SeqCst) == 2);
-    let after_the_window = std::thread::spawn(move || {
+    until("the repeat connects", || connections.load(Ordering::SeqCst) == 2);
+    let opens_gate = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(600));
         gate.open();
     });
     assert!(!matches!(client.hear(), Said::Value(_)));
-    after_the_window.join().unwrap();
-    assert_eq!(*queries.lock().unwrap(), 1, "no effect twice");
+    opens_gate.join().unwrap();
+    assert_eq!(*queries.lock().unwrap(), 1, "the effect happens once");
 }
 
-/// A second copy of an answer that comes some milliseconds late must not be taken for the next one's.
+/// A duplicate of an answer that arrives some milliseconds late must not be taken for the next answer.
 #[test]
-fn a_late_copy_of_an_answer_is_nobody_elses() {
+fn a_late_copy_of_an_answer_is_not_taken_for_another() {
     let at = served(|number, mut line| {
         line.hello()?;
         line.welcome()?;
@@ -235,7 +237,7 @@
         line.answers(value.as_bytes())?;
         let answered = Instant::now();
         line.query()?;
-        // The next query is here already: the copy comes before its answer, if that is in the time in which copies come.
+        // The next query has arrived: the duplicate is sent before its answer, if duplicates still occur this late.
         if answered.elapsed() < Duration::from_millis(5) {
             line.answers(value.as_bytes())?;
         }
@@ -249,15 +251,15 @@
     assert!([&b"1"[..], b"next"].iter().any(|good| said == Said::Value(good.to_vec())), "{said:?}");
 }
 
-/// The node stands still while a new connection comes, and then an RPC on the one that would give way: both are there in the
-/// same turn, the new one first.
+/// The node is paused while a new connection and then an RPC on the eviction candidate arrive: it reads both in the
+/// same turn, the new connection first.
 #[test]
-fn who_gives_way_to_a_new_connection_has_said_nothing_that_is_here() {
+fn a_connection_with_unread_bytes_is_not_evicted_for_a_new_one() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", a.at, 1, "active")]);
-    told["limits"]["sockets"] = 64.into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
+    config["limits"]["sockets"] = 64.into();
+    let node = Node::begin(&config);
     let mut clients: Vec<Client> = (0..10)
         .map(|id| {
             let mut client = node.client();
@@ -265,7 +267,7 @@
             client
         })
         .collect();
-    // Only who has rested for half a second gives way.
+    // Only connections that were idle for half a second are evicted.
     std::thread::sleep(Duration::from_millis(600));
     node.signal(Signal::STOP);
     let mut new = node.stranger();
@@ -274,18 +276,18 @@
     assert_eq!(clients[0].hear(), value());
     new.startup();
     assert_eq!(new.rpc(&save(101, 900)), value());
-    assert_eq!(clients[1].hear(), Said::Closed, "the next one gave way");
+    assert_eq!(clients[1].hear(), Said::Closed, "the next candidate is evicted");
 }
 
 #[test]
-fn commands_behind_an_answer_are_answered_in_a_stop() {
+fn pipelined_commands_are_answered_in_a_shutdown() {
     let gate = Gate::default();
-    let theirs = gate.clone();
+    let machine_gate = gate.clone();
     let at = served(move |_, mut line| {
         line.hello()?;
         line.welcome()?;
         while line.query().is_some() {
-            theirs.pass();
+            machine_gate.pass();
             line.answers(VALUE)?;
         }
         None
@@ -296,19 +298,19 @@
     client.ask(&save(1, 1_900));
     client.ask(&save(2, 1_900));
     node.signal(Signal::TERM);
-    door_closed(&node);
+    wait_for_listener_closed(&node);
     gate.open();
     assert_eq!([client.hear(), client.hear(), client.hear()], [value(), value(), Said::Closed]);
 }
 
 #[test]
-fn a_connection_that_came_before_the_door_closed_may_still_speak() {
+fn a_connection_that_came_before_the_listener_closed_is_served() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
     let mut node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
     let (mut ready, mut new) = (node.client(), node.stranger());
     node.signal(Signal::TERM);
-    door_closed(&node);
+    wait_for_listener_closed(&node);
     assert_eq!([ready.rpc(&save(1, 900)), ready.hear()], [value(), Said::Closed]);
     new.startup();
     assert_eq!([new.rpc(&save(2, 900)), new.hear()], [value(), Said::Closed]);
@@ -316,7 +318,7 @@
 }
 
 #[test]
-fn answers_on_their_way_to_a_slow_reader_are_not_cut_off_by_a_stop() {
+fn answers_to_a_slow_reader_are_not_cut_off_by_a_shutdown() {
     const MANY: u64 = 100;
     let large = vec![b'x'; 64 * 1024];
     let answer = row(&large);
@@ -333,8 +335,8 @@
     let mut client = node.client();
     (0..MANY).for_each(|id| client.ask(&lookup(id, 1_900)));
     node.signal(Signal::TERM);
-    door_closed(&node);
-    // It would be gone by now, had it not waited.
+    wait_for_listener_closed(&node);
+    // Without waiting for the reader it would have ended by now.
     std::thread::sleep(Duration::from_millis(300));
     for id in 0..MANY {
         assert!(client.hear() == Said::Value(large.clone()), "answer {id}");
@@ -344,18 +346,18 @@
 }
 
 #[test]
-fn a_stop_ends_in_its_time_though_a_client_never_rests() {
+fn a_shutdown_ends_in_time_though_a_client_is_never_idle() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
     let mut node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
     let mut client = node.client();
-    // Commands without end, so that a next one is always here.
-    let mut ahead = client.io.try_clone().unwrap();
-    let writes = std::thread::spawn(move || {
+    // Commands without end, so that the next one is always there.
+    let mut writer = client.io.try_clone().unwrap();
+    let writing = std::thread::spawn(move || {
         for id in 1.. {
             let mut out = Vec::new();
             rockpick_pg::put_query(&mut out, &lookup(id, 1_900));
-            if ahead.write_all(&out).is_err() {
+            if writer.write_all(&out).is_err() {
                 return;
             }
         }
@@ -364,47 +366,47 @@
     let began = Instant::now();
     node.signal(Signal::TERM);
     while !matches!(client.hear(), Said::Closed) {
-        assert!(began.elapsed() < Duration::from_secs(6), "it goes on for ever");
+        assert!(began.elapsed() < Duration::from_secs(6), "the shutdown does not end");
     }
     assert!(node.proc.child.wait().unwrap().success());
-    writes.join().unwrap();
+    writing.join().unwrap();
 }
 
 #[test]
-fn a_configuration_that_is_whole_a_moment_after_the_signal_is_read() {
+fn a_configuration_that_is_complete_only_after_the_signal_is_read() {
     let a = machine(&[Does::Answers]);
     let (platform, other) = (Platform::begin(), Platform::begin());
     let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
     followed(&platform);
     node.rewrite("{ half");
     node.signal(Signal::HUP);
-    // It has read the half: it goes on serving after that signal.
+    // The node has read the partial file, as it serves after the signal.
     assert_eq!(node.client().rpc(&lookup(1, 900)), value());
     node.rewrite(&configuration(&other, &[]).to_string());
     followed(&other);
 }
 
-/// At the bound of what is kept of all clients, one that sends little is not the one to go.
+/// At the limit of buffered bytes of all clients, a client that sends little is not closed.
 #[test]
-fn a_flood_of_half_commands_turns_away_none_that_sends_little() {
+fn a_flood_of_partial_commands_closes_no_client_that_sends_little() {
     const PART: usize = 128 * 1024;
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let mut told = configuration(&platform, &[("a", a.at, 1, "active")]);
-    told["limits"]["sockets"] = 512.into();
-    let node = Node::begin(&told);
-    let (mut good, mut looks) = (node.client(), node.client());
+    let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
+    config["limits"]["sockets"] = 512.into();
+    let node = Node::begin(&config);
+    let (mut good, mut probe) = (node.client(), node.client());
     assert_eq!(good.rpc(&lookup(1, 900)), value());
     let mut head = vec![b'Q'];
     head.extend_from_slice(&(rockpick_pg::MAX_QUERY_LEN as u32 - 8).to_be_bytes());
-    let mut half = head;
-    half.resize(PART, b'x');
+    let mut partial = head;
+    partial.resize(PART, b'x');
     let mut flood: Vec<Client> = (0..64).map(|_| node.client()).collect();
     for (i, client) in flood.iter_mut().enumerate() {
-        // In all some bytes less than are kept.
-        client.io.write_all(&half[..PART - if i == 0 { 64 } else { 0 }]).unwrap();
+        // In total a few bytes less than the limit.
+        client.io.write_all(&partial[..PART - if i == 0 { 64 } else { 0 }]).unwrap();
     }
-    // Each answer is a turn, and a turn reads from all.
-    (0..10).for_each(|_| assert_eq!(looks.rpc(""), Said::Empty));
+    // Each answer takes a turn, and a turn reads from all clients.
+    (0..10).for_each(|_| assert_eq!(probe.rpc(""), Said::Empty));
     assert_eq!(good.rpc(&lookup(2, 900)), value());
 }
--- a/cli/tests/node.rs
+++ b/cli/tests/node.rs
@@ -1,4 +1,4 @@
-//! The running node against scripted peers of the platform's protocol.
+//! The running node against scripted servers of the platform's protocols.
 mod peers;
 #[path = "peers/platform.rs"]
 mod platform;
@@ -10,18 +10,18 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// A little longer than a connection rests between two queries.
-const RESTS: Duration = Duration::from_millis(25);
+/// Longer than the time for which a connection is not reused after an answer.
+const REUSE_DELAY: Duration = Duration::from_millis(25);
 
-/// A node that knows one machine, `a`, of build 1.
-fn with(machine: &Machine) -> (Platform, Node) {
+/// Starts a platform, and a node that knows one machine, `a`, of build 1.
+fn node_with(machine: &Machine) -> (Platform, Node) {
     let platform = Platform::begin();
     let node = Node::begin(&configuration(&platform, &[("a", machine.at, 1, "active")]));
     (platform, node)
 }
 
-/// Serves enough for the module to let several RPCs be open at once; then the machine's script is `next`.
-fn busy(machine: &Machine, client: &mut Client, next: &[Does]) -> usize {
+/// Serves enough RPCs for the decision module to allow several open ones; then sets the machine's script.
+fn warm_up(machine: &Machine, client: &mut Client, next: &[Does]) -> usize {
     for id in 0..100 {
         assert!(matches!(client.rpc(&lookup(1 << 32 | id, 900)), Said::Value(_)));
     }
@@ -30,30 +30,31 @@
 }
 
 #[test]
-fn readiness_needs_no_machine_and_an_rpc_goes_on_with_its_wait_alone_replaced() {
+fn a_node_is_ready_without_machines_and_forwards_an_rpc_with_only_its_deadline_replaced() {
     let machine = machine(&[Does::Answers]);
-    let (_platform, node) = with(&machine);
+    let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     assert_eq!(client.rpc(""), Said::Empty);
     for id in 1..=20 {
         assert_eq!(client.rpc(&save(id, 900)), Said::Value(b"value".to_vec()));
-        // A connection rests after each answer, as a copy of that may come late.
-        std::thread::sleep(RESTS);
+        // A connection is not reused right after an answer, as a duplicate of it may arrive late.
+        std::thread::sleep(REUSE_DELAY);
     }
     let got = machine.got.lock().unwrap();
-    assert!(got.iter().all(|(conn, _)| *conn == 0), "one connection, used again");
+    assert!(got.iter().all(|(conn, _)| *conn == 0), "one connection, reused");
     let (before, after) = got[4].1.split_once(",d=").unwrap();
     assert_eq!(before, save(5, 900).split_once(",d=").unwrap().0);
-    let wait: u32 = after.strip_suffix(" */").unwrap().parse().unwrap();
-    assert!((700..900).contains(&wait), "{wait}");
+    let deadline: u32 = after.strip_suffix(" */").unwrap().parse().unwrap();
+    assert!((700..900).contains(&deadline), "{deadline}");
 }
 
 #[test]
 fn each_row_of_the_table_of_outcomes() {
     let noise = |n: usize| (0..n).map(|i| (i * 37 % 251) as u8).collect::<Vec<u8>>();
     let huge = [&row(b"value")[..40], b"D", &3_000_000_000u32.to_be_bytes()[..], &noise(500)].concat();
-    for (opens, does, looks, saves) in [
-        // (what the machine does, is a lookup, is a save told that it never ran?)
+    for (opens, does, lookup_rejected, save_rejected) in [
+        // (how the machine accepts, what it does, whether a lookup is pushed back, whether a save is, as it never
+        // ran)
         (Opens::Welcomes, Does::Errs("XX000"), true, false),
         (Opens::Welcomes, Does::Closes, true, false),
         (Opens::Welcomes, Does::Errs("53300"), true, true),
@@ -66,16 +67,16 @@
         (Opens::Full, Does::Answers, true, true),
     ] {
         let machine = machine_that(opens, std::slice::from_ref(&does));
-        let (_platform, node) = with(&machine);
+        let (_platform, node) = node_with(&machine);
         let mut client = node.client();
-        for (statement, harmless) in [(lookup(1, 600), looks), (save(2, 600), saves)] {
+        for (statement, rejected) in [(lookup(1, 600), lookup_rejected), (save(2, 600), save_rejected)] {
             let (began, before) = (Instant::now(), machine.queries());
             let said = client.rpc(&statement);
-            let as_told = if harmless { pushed_back(&said) } else { failed(&said) || pushed_back(&said) };
-            assert!(as_told, "{opens:?} {does:?} {statement}: {said:?}");
+            let as_expected = if rejected { pushed_back(&said) } else { failed(&said) || pushed_back(&said) };
+            assert!(as_expected, "{opens:?} {does:?} {statement}: {said:?}");
             assert!(began.elapsed() < Duration::from_millis(600), "before the deadline");
             if statement.starts_with("INSERT") {
-                assert_eq!(pushed_back(&said), saves, "{opens:?} {does:?}: {said:?}");
+                assert_eq!(pushed_back(&said), save_rejected, "{opens:?} {does:?}: {said:?}");
                 assert!(machine.queries() - before <= 1, "sent once");
             }
         }
@@ -88,16 +89,16 @@
     let (full, good) = (machine(&[Does::Errs("53300")]), machine(&[Does::Answers]));
     let platform = Platform::begin();
     let machines = [("a", refused, 1, "active"), ("b", full.at, 1, "active"), ("c", good.at, 1, "active")];
-    let mut told = configuration(&platform, &machines);
-    // Where a new connection made the good one look slow, the other two are tried in turn before it.
-    told["settings"]["permissions"]["attemptsCap"] = 6.into();
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &machines);
+    // If connecting to the good machine made it look slow, the other two are tried in turn before it.
+    config["settings"]["permissions"]["attemptsCap"] = 6.into();
+    let node = Node::begin(&config);
     let mut client = node.client();
     for id in 1..=20 {
         assert_eq!(client.rpc(&save(id, 1_500)), Said::Value(b"value".to_vec()));
     }
     assert_eq!(good.queries(), 20);
-    // Broken after its last byte: aborted, and sent once in all.
+    // Broken after the statement was sent: aborted, and each statement is sent only once.
     let all: Vec<Machine> =
         (0..10).map(|i| machine(&[if i == 3 { Does::Answers } else { Does::Closes }])).collect();
     let names: Vec<String> = (0..10).map(|i| format!("m{i}")).collect();
@@ -108,14 +109,14 @@
     let aborted = said.iter().filter(|s| failed(s)).count();
     assert_eq!(all.iter().map(Machine::queries).sum::<usize>(), 20);
     assert_eq!(all[3].queries(), 20 - aborted);
-    assert!(aborted > 0, "most machines break it");
+    assert!(aborted > 0, "most machines break off");
 }
 
 #[test]
-fn a_good_answer_with_more_behind_it_is_served_and_the_next_rpc_has_a_fresh_connection() {
+fn an_answer_followed_by_more_data_is_served_and_the_next_rpc_uses_a_new_connection() {
     for more in [row(b"another"), b"noise".to_vec(), b"Z".to_vec()] {
         let machine = machine(&[Does::Adds(more), Does::Answers]);
-        let (_platform, node) = with(&machine);
+        let (_platform, node) = node_with(&machine);
         let mut client = node.client();
         for id in 1..=2 {
             assert_eq!(client.rpc(&save(id, 900)), Said::Value(b"value".to_vec()));
@@ -126,9 +127,9 @@
 }
 
 #[test]
-fn what_no_client_may_send_gets_an_error_and_never_reaches_a_machine() {
+fn invalid_client_input_gets_an_error_and_never_reaches_a_machine() {
     let machine = machine(&[Does::Answers]);
-    let (_platform, node) = with(&machine);
+    let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     let good = lookup(1, 900);
     for bad in [
@@ -144,8 +145,8 @@
         let said = client.rpc(&bad);
         assert!(failed(&said), "{bad}: {said:?}");
     }
-    assert_eq!(client.rpc(&good), Said::Value(b"value".to_vec()), "the connection goes on");
-    // Bytes that are no protocol, lengths that none has, and what is half said: an error or a close, soon.
+    assert_eq!(client.rpc(&good), Said::Value(b"value".to_vec()), "the connection stays open");
+    // Bytes of another protocol, invalid lengths and partial messages get an error or a close, soon.
     let long = |tag: &[u8], n: u32| [tag, &n.to_be_bytes()[..], b"xxxx"].concat();
     for (started, bytes) in [
         (false, b"GET / HTTP/1.1\r\n\r\n".to_vec()),
@@ -164,20 +165,20 @@
         let mut client = if started { node.client() } else { node.stranger() };
         let _ = client.io.write_all(&bytes);
         assert!(matches!(client.hear(), Said::Closed | Said::Error(..)), "{bytes:?}");
-        assert!(began.elapsed() < Duration::from_secs(3), "owed within 3 s");
+        assert!(began.elapsed() < Duration::from_secs(3), "answered or closed within 3 s");
     }
     assert_eq!(machine.queries(), 1);
 }
 
 #[test]
-fn the_id_of_an_open_rpc_is_turned_away_and_commands_ahead_are_answered_in_order() {
+fn the_id_of_an_open_rpc_is_rejected_and_pipelined_commands_are_answered_in_order() {
     let machine = machine(&[Does::Answers]);
-    let (_platform, node) = with(&machine);
+    let (_platform, node) = node_with(&machine);
     let (mut first, mut second) = (node.client(), node.client());
-    let before = busy(&machine, &mut first, &[Does::Never, Does::Answers]);
+    let before = warm_up(&machine, &mut first, &[Does::Never, Does::Answers]);
     first.ask(&lookup(7, 700));
-    until("the first is out", || machine.queries() > before);
-    assert!(failed(&second.rpc(&lookup(7, 700))), "another's id");
+    until("the first is sent", || machine.queries() > before);
+    assert!(failed(&second.rpc(&lookup(7, 700))), "the id of an open RPC");
     assert_eq!(second.rpc(&lookup(8, 700)), Said::Value(b"value".to_vec()));
     assert!(!matches!(first.hear(), Said::Value(_) | Said::Closed));
     for id in 100..160 {
@@ -190,9 +191,9 @@
 }
 
 #[test]
-fn a_drain_told_before_an_rpc_sends_it_elsewhere_and_a_returning_name_is_a_new_machine() {
+fn a_draining_machine_gets_no_rpc_and_a_returning_name_is_a_new_machine() {
     let (a, b, c) = (machine(&[Does::Answers]), machine(&[Does::Answers]), machine(&[Does::Answers]));
-    let (platform, node) = with(&a);
+    let (platform, node) = node_with(&a);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
     platform.list(false, &[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
@@ -207,7 +208,7 @@
         assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)));
     }
     assert_eq!(a.queries(), drained);
-    // The name returns at another address and with another build.
+    // The name returns with another address and build.
     platform.list(false, &[("a", c.at, 1, "active"), ("b", b.at, 1, "left")]);
     until("c serves", || {
         id += 1;
@@ -221,20 +222,20 @@
     assert_eq!((a.queries(), b.queries()), (drained, before));
 }
 
-/// A restarted node's list at start holds a machine that has left since.
+/// Guards against a restarted node that keeps using a machine of its initial roster which has left since.
 #[test]
-fn what_left_since_the_list_at_start_is_heard_of() {
+fn a_machine_that_left_after_the_initial_roster_is_not_used() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
     platform.list(false, &[("b", b.at, 1, "active")]);
     platform.list(false, &[("b", b.at, 1, "left")]);
-    let mut told = configuration(&platform, &[("a", a.at, 1, "active"), ("b", b.at, 1, "active")]);
-    told["known"]["seq"] = 1.into();
-    told["settings"]["balancers"] = 20.into(); // one of many picks by chance, so that each machine is met
-    let node = Node::begin(&told);
+    let mut config = configuration(&platform, &[("a", a.at, 1, "active"), ("b", b.at, 1, "active")]);
+    config["known"]["seq"] = 1.into();
+    config["settings"]["balancers"] = 20.into(); // one of many picks by chance, so that each machine is met
+    let node = Node::begin(&config);
     let mut client = node.client();
     let mut id = 0;
-    until("b is left alone", || {
+    until("b is not used", || {
         let before = b.queries();
         (0..40).for_each(|_| {
             id += 1;
@@ -245,23 +246,23 @@
 }
 
 #[test]
-fn a_client_that_still_waits_after_its_time_gets_its_answer() {
+fn a_client_that_waits_beyond_its_deadline_gets_an_answer() {
     let machine = machine(&[Does::Never]);
-    let (_platform, node) = with(&machine);
+    let (_platform, node) = node_with(&machine);
     let mut client = node.client();
-    // No time at all: nothing can be sent on, and that is said.
+    // Without any time left nothing is sent, and the RPC is pushed back.
     assert!(pushed_back(&client.rpc(&save(1, 0))));
     client.ask(&save(2, 300));
-    until("the pick is out", || machine.queries() > 0);
+    until("the pick is sent", || machine.queries() > 0);
     node.signal(Signal::STOP);
     std::thread::sleep(Duration::from_millis(400));
     node.signal(Signal::CONT);
-    // It may have run, so it is aborted; a close would say less.
+    // It may have run, so it is aborted; closing the connection would tell the client less.
     assert!(failed(&client.hear()));
 }
 
 #[test]
-fn a_vote_that_is_lost_or_spoilt_is_cast_again_and_one_that_counts_stands() {
+fn a_vote_without_a_valid_reply_is_cast_again_and_a_counted_one_is_not() {
     let (old, new) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
     *platform.answer.lock().unwrap() = None;
@@ -275,34 +276,37 @@
         id += 1;
         client.rpc(&lookup(id, 900));
     };
-    until("a vote is lost and cast again", || {
+    until("a vote without a reply is cast again", || {
         ask();
         platform.votes.lock().unwrap().len() >= 2
     });
     *platform.answer.lock().unwrap() = Some("OK 2 0 can".into());
-    let lost = platform.votes.lock().unwrap().len();
-    until("a spoilt one too", || {
+    let unanswered = platform.votes.lock().unwrap().len();
+    until("one with a malformed reply is cast again", || {
         ask();
-        platform.votes.lock().unwrap().len() >= lost + 2
+        platform.votes.lock().unwrap().len() >= unanswered + 2
     });
     assert!(platform.votes.lock().unwrap().iter().all(|v| v == "BALLOT 2 0 on"));
     *platform.answer.lock().unwrap() = Some("OK 2 0 canary 1 20000".into());
-    let spoilt = platform.votes.lock().unwrap().len();
-    until("one that counts", || {
+    let before = platform.votes.lock().unwrap().len();
+    until("a vote is counted", || {
         ask();
-        platform.votes.lock().unwrap().len() > spoilt
+        platform.votes.lock().unwrap().len() > before
     });
     let began = Instant::now();
     while began.elapsed() < Duration::from_millis(1_500) {
         ask();
     }
-    assert!(platform.votes.lock().unwrap().len() <= spoilt + 2, "it stands for half its life");
+    assert!(
+        platform.votes.lock().unwrap().len() <= before + 2,
+        "a counted vote is not renewed before half its lifetime"
+    );
 }
 
 #[test]
 fn a_reload_moves_to_other_addresses_and_an_unreadable_file_changes_nothing() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
-    let (platform, node) = with(&a);
+    let (platform, node) = node_with(&a);
     followed(&platform);
     node.rewrite("{ half");
     node.signal(Signal::HUP);
@@ -314,7 +318,7 @@
     followed(&other);
     other.list(true, &[("b", b.at, 1, "active")]);
     let mut id = 1;
-    until("the other's list counts", || {
+    until("the other platform's roster is used", || {
         id += 1;
         assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)), "served throughout");
         b.queries() > 0
@@ -322,27 +326,27 @@
 }
 
 #[test]
-fn a_stop_answers_what_was_taken_serves_what_still_comes_and_ends_by_itself() {
+fn a_shutdown_answers_open_rpcs_serves_new_ones_and_ends() {
     let machine = machine(&[Does::Answers]);
-    let (_platform, mut node) = with(&machine);
-    let (mut waits, mut goes_on) = (node.client(), node.client());
-    let before = busy(&machine, &mut waits, &[Does::Never, Does::Answers]);
-    waits.ask(&lookup(1, 900));
-    until("it is out", || machine.queries() > before);
+    let (_platform, mut node) = node_with(&machine);
+    let (mut waiting, mut active) = (node.client(), node.client());
+    let before = warm_up(&machine, &mut waiting, &[Does::Never, Does::Answers]);
+    waiting.ask(&lookup(1, 900));
+    until("it is sent", || machine.queries() > before);
     let began = Instant::now();
     node.signal(Signal::TERM);
-    assert!(matches!(goes_on.rpc(&lookup(2, 900)), Said::Value(_)));
+    assert!(matches!(active.rpc(&lookup(2, 900)), Said::Value(_)));
     assert!(matches!(node.client().rpc(&lookup(3, 900)), Said::Value(_)), "a new connection");
-    assert!(!matches!(waits.hear(), Said::Closed), "what was taken is answered");
+    assert!(!matches!(waiting.hear(), Said::Closed), "an open RPC is answered");
     let end = node.proc.child.wait().unwrap();
     assert!(end.success() && began.elapsed() < Duration::from_millis(1_500), "{end} {:?}", began.elapsed());
-    assert_eq!(goes_on.hear(), Said::Closed);
+    assert_eq!(active.hear(), Said::Closed);
 }
 
 #[test]
-fn silent_ones_give_way_and_descriptors_stay_within_their_bound() {
+fn silent_connections_are_evicted_and_descriptors_stay_within_their_limit() {
     let machine = machine(&[Does::Answers]);
-    let (_platform, node) = with(&machine);
+    let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
     let silent: Vec<Client> = (0..4 * SOCKETS).map(|_| node.stranger()).collect();
@@ -355,17 +359,17 @@
 }
 
 #[test]
-fn a_configuration_that_can_t_be_read_names_the_field() {
+fn an_invalid_configuration_is_reported_with_its_field() {
     let platform = Platform::begin();
     for (path, value, named) in [
         ("/settings/lanes/0/aimMs", "soon", "settings.lanes.0.aimMs"),
         ("/discovery", "nowhere", "discovery"),
         ("/seed", "odd", "seed"),
     ] {
-        let mut told = configuration(&platform, &[]);
-        *told.pointer_mut(path).unwrap() = value.into();
+        let mut config = configuration(&platform, &[]);
+        *config.pointer_mut(path).unwrap() = value.into();
         let file = tempfile::NamedTempFile::new().unwrap();
-        std::fs::write(file.path(), told.to_string()).unwrap();
+        std::fs::write(file.path(), config.to_string()).unwrap();
         let run = std::process::Command::new(env!("CARGO_BIN_EXE_rockpick"))
             .arg("node")
             .env("PROXY_CONFIG", file.path())
@@ -376,12 +380,12 @@
     }
 }
 
-/// What the pages of the full fleet ask of `run`: one process, linked against the C library, that starts no other and
-/// has no sockets but TCP and UDP over IPv4.
+/// Requirements of the platform's rules for `run`: a single process, linked against the C library, that starts no
+/// other process and has only TCP and UDP sockets over IPv4.
 #[test]
-fn a_node_is_one_process_with_sockets_of_the_internet_alone() {
+fn a_node_is_one_process_with_only_ipv4_sockets() {
     let machine = machine(&[Does::Answers]);
-    let (platform, node) = with(&machine);
+    let (platform, node) = node_with(&machine);
     followed(&platform);
     assert!(matches!(node.client().rpc(&lookup(1, 900)), Said::Value(_)));
     let of = |file: &str| format!("/proc/{}/{file}", node.proc.child.id());
@@ -390,7 +394,7 @@
     assert!(maps.contains("/libc.so.6") && !maps.contains("io_uring"));
     let tasks: Vec<_> = std::fs::read_dir(of("task")).unwrap().flatten().collect();
     assert!(tasks.iter().all(|task| std::fs::read(task.path().join("children")).unwrap().is_empty()));
-    // A table of the kernel names each socket by its inode, in one column or another.
+    // The kernel's tables list each socket by its inode, in one column or another.
     let known =
         |table: &str, inode: &str| read(table).lines().any(|l| l.split_whitespace().any(|w| w == inode));
     let mut sockets = 0;
@@ -402,13 +406,13 @@
             assert!(known("net/tcp", inode) || known("net/udp", inode), "{link}");
         }
     }
-    assert!(sockets >= 3, "listener, discovery and desk at least, {sockets} found");
+    assert!(sockets >= 3, "at least the listener, discovery and the rollout API, {sockets} found");
 }
 
-/// Two nodes that have joined each other: one whose desk says nothing hears from the other that the build on trial goes
-/// back, and sends it nothing more, though a line from before comes late.
+/// Two nodes are peers. One, whose rollout API is silent, learns from the other that the build on trial is withdrawn,
+/// and sends it nothing more, even if an older status arrives late.
 #[test]
-fn a_node_that_has_joined_another_hears_of_a_build_withdrawn_there() {
+fn a_node_learns_from_a_peer_that_a_build_was_withdrawn() {
     let (old, new) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let machines = [("a", old.at, 1, "active"), ("b", new.at, 2, "active")];
     let platforms = [Platform::begin(), Platform::begin()];
@@ -420,20 +424,20 @@
         .iter()
         .enumerate()
         .map(|(i, platform)| {
-            let mut told = configuration(platform, &machines);
-            (told["name"], told["settings"]["balancers"]) = (format!("n{i}").into(), 2.into());
-            told["settings"]["rank"] = i.into();
+            let mut config = configuration(platform, &machines);
+            (config["name"], config["settings"]["balancers"]) = (format!("n{i}").into(), 2.into());
+            config["settings"]["rank"] = i.into();
             let listen = if i == 0 { free.as_str() } else { "127.0.0.1:0" };
             let mut args = vec!["--peers-listen", listen, "--peers-key", &file, "--peers-period-ms", "50"];
             if i > 0 {
                 args.extend(["--join", &free]);
             }
-            Node::begin_with(&told, &args)
+            Node::begin_with(&config, &args)
         })
         .collect();
     platforms.iter().for_each(|p| p.news("* progress 2 0 canary 1 20000"));
     let (mut client, mut id) = (nodes[1].client(), 0);
-    let mut trial = |asks: u64| {
+    let mut trial_picks = |asks: u64| {
         let before = new.queries();
         for _ in 0..asks {
             id += 1;
@@ -441,10 +445,10 @@
         }
         new.queries() - before
     };
-    until("the trial gets picks", || trial(1) > 0);
+    until("the build on trial gets picks", || trial_picks(1) > 0);
     platforms[0].news("* progress 2 0 reverting 0 0");
-    until("the other knows", || trial(10) == 0);
+    until("the peer knows", || trial_picks(10) == 0);
     platforms[1].news("* progress 2 0 canary 1 20000");
     std::thread::sleep(Duration::from_millis(200));
-    assert_eq!(trial(100), 0);
+    assert_eq!(trial_picks(100), 0);
 }
