--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -506,9 +506,9 @@
             good
         }
         What::Node { circle } => {
-            let mut startup = rockpick_node::Startup::read(|name| std::env::var(name).ok()).map_err(Bad2)?;
-            startup.circle = circle.circle()?;
-            rockpick_node::run(startup, ready).map_err(Bad2)?;
+            let mut config = rockpick_node::Config::read(|name| std::env::var(name).ok()).map_err(Bad2)?;
+            config.circle = circle.circle()?;
+            rockpick_node::run(config, ready).map_err(Bad2)?;
             good
         }
         What::Front { listen, at, name, state, seed, clients, profile, notes_at, circle } => {
--- a/node/src/clients.rs
+++ b/node/src/clients.rs
@@ -2,7 +2,7 @@
 //! order. Malformed input is answered by an error or a close, soon, and must not slow down the others.
 use crate::connection_pool::RESERVED_DESCRIPTORS;
 use crate::effects::Effects;
-use crate::Startup;
+use crate::Config;
 use rockpick::Ns;
 use rockpick_net::{Event, Id, MS, SEC};
 use rockpick_pg::{self as pg, Frame, StartupMessage};
@@ -315,7 +315,7 @@
 
     /// Reads the client's next commands; statements are returned to the caller. A statement behind an open RPC waits
     /// while there is no `room` for it.
-    pub fn read_commands(&mut self, id: Id, room: impl Fn(&Startup, &str) -> bool) -> ClientInput {
+    pub fn read_commands(&mut self, id: Id, room: impl Fn(&Config, &str) -> bool) -> ClientInput {
         for _ in 0..MAX_COMMANDS_PER_TURN {
             let backlog = self.net.backlog(id).unwrap_or(0);
             let Some(client) = self.clients.all.get_mut(&id).filter(|c| !c.closing) else {
@@ -357,7 +357,7 @@
                     Ok(Frame::Complete { tag: b'Q', body, used }) => {
                         match pg::read_cstr(body) {
                             Some(text) if text.trim().is_empty() => pg::put_empty_query_response(&mut out),
-                            Some(text) if !client.replies.is_empty() && !room(&self.startup, text) => {
+                            Some(text) if !client.replies.is_empty() && !room(&self.config, text) => {
                                 return self.pause_reading(id);
                             }
                             Some(text) => statement = Some(text.to_string()),
--- a/node/src/startup.rs
+++ b/node/src/config.rs
@@ -13,7 +13,7 @@
 /// Least and most descriptors that a node uses.
 const SOCKET_LIMITS: (usize, usize) = (64, 4_096);
 
-pub struct Startup {
+pub struct Config {
     pub file: Option<PathBuf>,
     pub name: String,
     pub listen: SocketAddr,
@@ -35,7 +35,7 @@
     pub circle: Option<rockpick_peers::Circle>,
 }
 
-impl Startup {
+impl Config {
     pub fn method(&self, name: &str) -> Option<usize> {
         self.methods.iter().position(|(known, _)| known == name)
     }
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// The first field that can't be read, and why.
-    pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Startup, String> {
+    pub fn read(var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let file = var("PROXY_CONFIG").filter(|f| !f.is_empty()).map(PathBuf::from);
         let config = file.as_deref().map_or(Ok(Value::Null), load)?;
         let text_field = |field: &str, name: &str| match &config[field] {
@@ -86,7 +86,7 @@
             .map_err(settings_error)?;
         let mut post = parse_post(seed, &settings).map_err(settings_error)?;
         post.guard.told_within = roster::CHANGE_KNOWN_WITHIN;
-        Ok(Startup {
+        Ok(Config {
             name: text_field("name", "PROXY_NAME")?,
             listen: address("listen", &text_field("listen", "PROXY_LISTEN")?)?,
             discovery: address("discovery", &text_field("discovery", "PROXY_DISCOVERY")?)?,
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -242,12 +242,12 @@
     /// How long connecting for an RPC may take. If the module allows a repeat within the method's deduplication
     /// window, the repeat must also be sent within that window.
     fn connect_timeout(&self, rpc: usize) -> Ns {
-        let max = self.startup.connect_timeout;
+        let max = self.config.connect_timeout;
         let Some(open) = self.open[rpc].as_ref() else { return max };
-        let method = &self.startup.post.methods[open.method];
+        let method = &self.config.post.methods[open.method];
         let first = open.picks.iter().filter(|p| p.may_have_run).map(|p| p.sent).min();
         let first_run = first.filter(|_| method.repeat == Repeat::Tokened);
-        let window_left = |at: Ns| at + method.remembered - 2 * self.startup.post.step - self.net.now();
+        let window_left = |at: Ns| at + method.remembered - 2 * self.config.post.step - self.net.now();
         first_run.map_or(max, |at| window_left(at).min(max))
     }
 
@@ -412,7 +412,7 @@
         self.pool.idle.insert((now, id));
         // Close it well before the machine does: a statement sent on a closed connection would be answered by a
         // reset.
-        self.set_deadline(id, now + self.startup.machine_idle_timeout / 3 * 2);
+        self.set_deadline(id, now + self.config.machine_idle_timeout / 3 * 2);
         true
     }
 
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -225,7 +225,7 @@
                     events.push(ModuleEvent::Members(Roll::Changes, Vec::new()));
                 }
                 Ok(None) => {}
-                Ok(Some(json)) => match roster::parse_update(&json, &mut self.startup.zones) {
+                Ok(Some(json)) => match roster::parse_update(&json, &mut self.config.zones) {
                     Some(update) => {
                         self.watch_active(at);
                         let roll = if update.whole { Roll::Whole } else { Roll::Changes };
@@ -271,7 +271,7 @@
             Some(End::Answer(answer)) if answer.status == 200 => serde_json::from_slice(&answer.body).ok(),
             _ => None,
         };
-        let update = json.as_ref().and_then(|t: &Value| roster::parse_update(t, &mut self.startup.zones));
+        let update = json.as_ref().and_then(|t: &Value| roster::parse_update(t, &mut self.config.zones));
         // A list that is older than a watch's updates must not undo them. In that case a watch is being established
         // and will report the current state.
         let update = update.filter(|t| t.whole && t.seq >= self.discovery.seq);
@@ -381,7 +381,7 @@
         if let Some(old) = self.rollout_api.vote.take() {
             self.close_rollout_api(old.conn);
         }
-        let timeout = self.startup.post.rollout.call_timeout.max(100 * MS);
+        let timeout = self.config.post.rollout.call_timeout.max(100 * MS);
         tracing::info!(event = "vote", build, stage, verdict = ?verdict);
         // Each vote has its own connection: a kept one may just be closed by the server, and a vote that is lost on
         // it may have been counted.
@@ -450,7 +450,7 @@
                     events.push(ModuleEvent::Status(Reply::News, Some(to_standing(now, status))))
                 }
                 Some(Line::Tally { build, method, picks, not_ok }) => {
-                    let method = self.startup.method(method);
+                    let method = self.config.method(method);
                     events.extend(method.map(|method| ModuleEvent::Tallied { build, method, picks, not_ok }));
                 }
                 Some(Line::Dispute { machine, age }) => {
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -2,7 +2,7 @@
 use crate::clients::Clients;
 use crate::connection_pool::Pool;
 use crate::control_links::{Discovery, RolloutApi};
-use crate::Startup;
+use crate::Config;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rockpick::{Ctl, Ns, Outcome, Verdict};
@@ -69,7 +69,7 @@
 pub struct Effects {
     pub net: Net,
     pub ids: IdTable,
-    pub startup: Startup,
+    pub config: Config,
     pub open: Vec<Option<OpenRpc>>,
     pub clients: Clients,
     pub pool: Pool,
@@ -91,16 +91,16 @@
 }
 
 impl Effects {
-    pub fn new(net: Net, startup: Startup, wall_offset: i128) -> Effects {
+    pub fn new(net: Net, config: Config, wall_offset: i128) -> Effects {
         Effects {
-            clients: Clients::new(startup.sockets),
-            pool: Pool::new(startup.sockets),
-            discovery: Discovery::new(startup.discovery),
-            rollout_api: RolloutApi::new(startup.rollout_api),
-            rng: StdRng::seed_from_u64(startup.post.seed),
+            clients: Clients::new(config.sockets),
+            pool: Pool::new(config.sockets),
+            discovery: Discovery::new(config.discovery),
+            rollout_api: RolloutApi::new(config.rollout_api),
+            rng: StdRng::seed_from_u64(config.post.seed),
             net,
             ids: IdTable::default(),
-            startup,
+            config,
             open: Vec::new(),
             deadlines: Dues::default(),
             pending_ends: VecDeque::new(),
@@ -267,7 +267,7 @@
     }
 
     fn bound(&mut self, key: u64, build: u32) {
-        if self.startup.circle.is_some() {
+        if self.config.circle.is_some() {
             self.bound_keys.push((key, build));
         }
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -7,7 +7,7 @@
     TICK_TIMER,
 };
 use crate::lateness::Lateness;
-use crate::Startup;
+use crate::Config;
 use rockpick::{Front, Ns, Outcome, Reply, Roll};
 use rockpick_net::{Bound, Event, Id, Net, MS, SEC};
 use rockpick_peers::{Company, Peers};
@@ -61,11 +61,11 @@
 ///
 /// # Errors
 /// An address that can't be bound, signal handlers that can't be installed, or a failure of the event loop.
-pub fn run(startup: Startup, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
-    let mut node = Node::prepare(startup)?;
+pub fn run(config: Config, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
+    let mut node = Node::prepare(config)?;
     node.listen()?;
     ready(node.at);
-    tracing::info!(event = "node up", at = %node.at, sockets = node.effects.startup.sockets, machines = node.effects.ids.machine_count());
+    tracing::info!(event = "node up", at = %node.at, sockets = node.effects.config.sockets, machines = node.effects.ids.machine_count());
     node.run_loop()
 }
 
@@ -78,25 +78,25 @@
     ///
     /// # Errors
     /// An address that can't be bound, signal handlers that can't be installed, or a failure of the event loop.
-    pub fn prepare(startup: Startup) -> Result<Node, String> {
+    pub fn prepare(config: Config) -> Result<Node, String> {
         let mut net = Net::new(0).map_err(error_text)?;
-        net.most_streams = startup.sockets - crate::connection_pool::OWN_DESCRIPTORS / 2;
+        net.most_streams = config.sockets - crate::connection_pool::OWN_DESCRIPTORS / 2;
         net.refusal = crate::clients::too_many_connections();
         for signal in [SIGHUP, SIGTERM, SIGINT] {
             net.on_signal(signal).map_err(error_text)?;
         }
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as i128);
         let wall_offset = unix_time - i128::from(net.clock());
-        let bound = Bound::to(startup.listen).map_err(|err| format!("{}: {err}", startup.listen))?;
+        let bound = Bound::to(config.listen).map_err(|err| format!("{}: {err}", config.listen))?;
         let (post, roster_json, initial_status) =
-            (startup.post.clone(), startup.initial_roster.clone(), startup.initial_status);
-        let mut effects = Effects::new(net, startup, wall_offset);
+            (config.post.clone(), config.initial_roster.clone(), config.initial_status);
+        let mut effects = Effects::new(net, config, wall_offset);
         let mut events = Vec::new();
         effects.net.turn(&mut events, 0).map_err(error_text)?;
         // The watch continues from the sequence number of the initial roster. If it began at 0, discovery would not
         // report a machine that came and left in between, and an initial roster that lists it as up would never be
         // corrected.
-        let initial_roster = roster::parse_update(&roster_json, &mut effects.startup.zones);
+        let initial_roster = roster::parse_update(&roster_json, &mut effects.config.zones);
         effects.discovery.seq = initial_roster.as_ref().map_or(0, |update| update.seq);
         // If rosters are pushed, the module does not request a watch; this node receives them through one all the
         // same.
@@ -104,9 +104,9 @@
             effects.watch_roster(true);
         }
         let mut front = Front::start(post, &mut effects);
-        let peers = match effects.startup.circle.clone() {
+        let peers = match effects.config.circle.clone() {
             Some(circle) => {
-                let (name, fronts) = (effects.startup.name.clone(), effects.startup.post.fronts);
+                let (name, fronts) = (effects.config.name.clone(), effects.config.post.fronts);
                 Some(Peers::begin(&mut effects.net, &name, fronts, &circle, PEERS_TIMER)?)
             }
             None => None,
@@ -149,7 +149,7 @@
     /// # Errors
     /// A socket that can't listen.
     pub fn listen(&mut self) -> Result<(), String> {
-        let bound = self.bound.take().ok_or("it listens already")?;
+        let bound = self.bound.take().ok_or("already listening")?;
         let at = bound.at;
         let listener = self.effects.net.listen_streams_on(bound).map_err(|err| format!("{at}: {err}"))?;
         self.listener = Some(listener);
@@ -181,7 +181,7 @@
             self.end_pick(rpc, pick, how, None);
         }
         while let Some(rpc) = self.effects.disconnected.pop_front() {
-            self.client_left(rpc);
+            self.client_disconnected(rpc);
         }
         self.exchange_with_peers();
     }
@@ -345,8 +345,8 @@
     fn read_client(&mut self, conn: Id) {
         loop {
             let (front, now) = (&self.front, self.effects.net.now());
-            let room = |startup: &Startup, text: &str| {
-                let method = statement::parse(text).ok().and_then(|s| startup.method(s.method));
+            let room = |config: &Config, text: &str| {
+                let method = statement::parse(text).ok().and_then(|s| config.method(s.method));
                 method.is_none_or(|method| front.has_room(now, method))
             };
             let ClientInput::Statement(text, received) = self.effects.read_commands(conn, room) else {
@@ -360,7 +360,7 @@
     /// Parses a client's statement and starts its RPC, or rejects it.
     fn accept_statement(&mut self, conn: Id, text: String, received: Ns) {
         let read = statement::parse(&text).map_err(str::to_string).and_then(|s| {
-            let method = self.effects.startup.method(s.method).ok_or_else(|| "no such method".to_string())?;
+            let method = self.effects.config.method(s.method).ok_or_else(|| "no such method".to_string())?;
             if self.effects.ids.rpc(s.id).is_some() {
                 return Err("an RPC of this id is open".to_string());
             }
@@ -373,7 +373,7 @@
         // The deadline runs from the arrival of the statement, including the time that it waited behind others of its
         // connection.
         let client_deadline =
-            received + ((deadline_ms * MS as f64) as Ns).min(self.effects.startup.methods[method].1);
+            received + ((deadline_ms * MS as f64) as Ns).min(self.effects.config.methods[method].1);
         let rpc = self.effects.ids.open(id);
         if self.effects.open.len() <= rpc {
             self.effects.open.resize_with(rpc + 1, || None);
@@ -394,7 +394,7 @@
         self.effects.release_rpc(rpc);
     }
 
-    fn client_left(&mut self, rpc: usize) {
+    fn client_disconnected(&mut self, rpc: usize) {
         if !self.effects.ids.finished(rpc) {
             self.effects.counters.left += 1;
             self.effects.ids.finish(rpc);
@@ -454,12 +454,12 @@
     /// Reads the configuration again. An invalid file changes nothing and is read again a few times, as the signal
     /// may arrive while it is being written.
     fn reload(&mut self) {
-        let file = self.effects.startup.file.clone();
+        let file = self.effects.config.file.clone();
         let var = |name: &str| match name {
             "PROXY_CONFIG" => file.as_ref().map(|f| f.display().to_string()),
             _ => std::env::var(name).ok(),
         };
-        match Startup::read(var) {
+        match Config::read(var) {
             Ok(fresh) => {
                 tracing::info!(event = "reload", discovery = %fresh.discovery, desk = ?fresh.rollout_api);
                 self.reload_retries = 0;
@@ -520,7 +520,7 @@
         let unfinished = self.effects.clients.count() > 0
             || self.effects.net.last_words() > 0
             || !self.effects.queued_events.is_empty();
-        let longest = self.effects.startup.methods.iter().map(|(_, longest)| *longest).max().unwrap_or(0);
+        let longest = self.effects.config.methods.iter().map(|(_, longest)| *longest).max().unwrap_or(0);
         if unfinished && now - began < longest.clamp(MIN_SHUTDOWN, MAX_SHUTDOWN) + SHUTDOWN_MARGIN {
             self.idle_since = None;
             return false;
--- a/node/src/tests.rs
+++ b/node/src/tests.rs
@@ -3,7 +3,7 @@
 use crate::effects::Effects;
 use crate::lateness::{Lateness, WorstDelays};
 use crate::node::Node;
-use crate::Startup;
+use crate::Config;
 use rockpick_net::{Event, Id, Net, MS, SEC};
 use rockpick_pg as pg;
 use serde_json::json;
@@ -16,21 +16,21 @@
     at: std::net::SocketAddr,
 }
 
-fn startup(sockets: usize) -> Startup {
+fn config(sockets: usize) -> Config {
     let config = json!({ "name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "limits": { "sockets": sockets },
         "settings": { "lanes": [{ "name": "lookup", "deadlineMs": 2000.0 }] } });
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), config.to_string()).unwrap();
     let file = file.path().display().to_string();
-    Startup::read(|name| (name == "PROXY_CONFIG").then(|| file.clone())).unwrap()
+    Config::read(|name| (name == "PROXY_CONFIG").then(|| file.clone())).unwrap()
 }
 
 /// A node's tables and sockets without its event loop, so that a test controls the order of events.
 fn harness(sockets: usize) -> Harness {
-    let startup = startup(sockets);
+    let config = config(sockets);
     let mut net = Net::new(0).unwrap();
     let (_, at) = net.listen_streams("127.0.0.1:0".parse().unwrap()).unwrap();
-    Harness { effects: Effects::new(net, startup, 0), at }
+    Harness { effects: Effects::new(net, config, 0), at }
 }
 
 impl Harness {
@@ -221,7 +221,7 @@
 /// is complete.
 #[test]
 fn a_node_accepts_no_connection_before_its_start_is_complete() {
-    let mut node = Node::prepare(startup(64)).unwrap();
+    let mut node = Node::prepare(config(64)).unwrap();
     let at = node.at;
     assert_eq!(TcpStream::connect(at).map_err(|err| err.kind()).err(), Some(ErrorKind::ConnectionRefused));
     node.listen().unwrap();
