--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -48,12 +48,12 @@
         let file = var("PROXY_CONFIG").filter(|f| !f.is_empty()).map(PathBuf::from);
         let config = file.as_deref().map_or(Ok(Value::Null), load)?;
         let text_field = |field: &str, name: &str| match &config[field] {
-            Value::String(word) => Ok(word.clone()),
+            Value::String(text) => Ok(text.clone()),
             Value::Null => var(name).ok_or(format!("{field}: neither in the configuration nor in {name}")),
             other => Err(format!("{field}: {other} is not a string")),
         };
-        let address = |field: &str, word: &str| -> Result<SocketAddr, String> {
-            word.parse().map_err(|_| format!("{field}: {word:?} is not an address"))
+        let address = |field: &str, text: &str| -> Result<SocketAddr, String> {
+            text.parse().map_err(|_| format!("{field}: {text:?} is not an address"))
         };
         let seed = match &config["seed"] {
             Value::Null => 1,
@@ -68,14 +68,14 @@
         let deadlines = settings.column("lanes", "deadlineMs").map_err(settings_error)?;
         let names = settings.column("lanes", "name").map_err(settings_error)?;
         let max_deadline =
-            |word: &String| rockpick_front_settings::nanos(word).filter(|ns| *ns > 0).unwrap_or(Ns::MAX / 4);
+            |text: &String| rockpick_front_settings::nanos(text).filter(|ns| *ns > 0).unwrap_or(Ns::MAX / 4);
         let sockets = match &config["limits"]["sockets"] {
             Value::Null => SOCKET_LIMITS.1,
             n => n.as_u64().ok_or("limits.sockets: no number")? as usize,
         };
         let rollout_api = match &config["platform"]["address"] {
             Value::Null => None,
-            Value::String(word) => Some(address("platform.address", word)?),
+            Value::String(text) => Some(address("platform.address", text)?),
             _ => return Err("platform.address: no text".into()),
         };
         let dial = settings
--- a/pg/tests/peer.rs
+++ b/pg/tests/peer.rs
@@ -74,17 +74,17 @@
     for long in [0, 7, MAX_STARTUP_LEN as u32 + 1, u32::MAX] {
         assert!(read_startup(&long.to_be_bytes()).is_err(), "{long}");
     }
-    assert!(read_startup(b"\0\0\0\x09\0\x03\0\0x").is_err(), "words that don't end");
+    assert!(read_startup(b"\0\0\0\x09\0\x03\0\0x").is_err(), "parameters without an end");
     assert!(read_startup(b"GET / HTTP/1.1\r\n").is_err());
 }
 
 /// A machine's startup response, answer and ReadyForQuery.
 fn server_messages(value: &[u8]) -> (Vec<u8>, Vec<u8>, Vec<u8>) {
-    let (mut welcome, mut row, mut ready) = (Vec::new(), Vec::new(), Vec::new());
-    put_startup_response(&mut welcome);
+    let (mut startup_response, mut row, mut ready) = (Vec::new(), Vec::new(), Vec::new());
+    put_startup_response(&mut startup_response);
     put_row(&mut row, "blob", value, "SELECT 1");
     put_ready(&mut ready);
-    (welcome, row, ready)
+    (startup_response, row, ready)
 }
 
 fn reader_after_query() -> ResponseReader {
@@ -102,13 +102,13 @@
     for cut in 0..whole.len() {
         let mut reader = reader_after_query();
         reader.push(&whole[..cut]);
-        let mut heard = vec![reader.next_response()];
+        let mut responses = vec![reader.next_response()];
         reader.push(&whole[cut..]);
         for _ in 0..3 {
-            heard.push(reader.next_response());
+            responses.push(reader.next_response());
         }
-        heard.retain(|h| *h != Ok(Response::Incomplete));
-        assert_eq!(heard, [Ok(Response::Row(row.clone())), Ok(Response::Ready)], "{cut}");
+        responses.retain(|h| *h != Ok(Response::Incomplete));
+        assert_eq!(responses, [Ok(Response::Row(row.clone())), Ok(Response::Ready)], "{cut}");
         assert!(reader.is_reusable());
     }
 }
