--- a/adapter/src/seat.rs
+++ b/adapter/src/seat.rs
@@ -1,6 +1,9 @@
 //! One front's seat: ids become small indices at its door, calls go in, actions go out.
 use crate::read::{armour, bytes, Bad, Line};
-use rockpick::{Ctl, Front, Member, Ns, Outcome, Phase, Post, Reply, Roll, Standing, State, Verdict};
+use rockpick::{
+    Actions, Front, FrontConfig, Member, Ns, Outcome, Phase, Reply, RolloutStatus, RosterUpdate, State,
+    Verdict,
+};
 use rockpick_door::{tag, Door};
 use rockpick_terms::{nanos, number, Terms};
 use std::collections::BTreeMap;
@@ -62,7 +65,7 @@
     }
 }
 
-impl Ctl for Wire<'_> {
+impl Actions for Wire<'_> {
     fn now(&self) -> Ns {
         self.now
     }
@@ -97,7 +100,7 @@
         say!(self, "PROBE {} {name}", self.front);
     }
 
-    fn tell(&mut self, peer: Option<u32>, note: &[u8]) {
+    fn send_note(&mut self, peer: Option<u32>, note: &[u8]) {
         let mut text = String::new();
         armour(note, &mut text);
         match peer {
@@ -124,7 +127,7 @@
         say!(self, "OPINION {} {build} {stage} {how}", self.front);
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         say!(self, "TRACE {} {}", self.front, text.replace('\n', " "));
     }
 }
@@ -154,7 +157,7 @@
     word.split(',').all(|w| w == "-" || number(w).is_some()).then_some(())
 }
 
-fn post(line: &mut Line) -> Result<Post, Bad> {
+fn post(line: &mut Line) -> Result<FrontConfig, Bad> {
     let seed =
         line.must("rngSeed", |w| w.parse::<u64>().ok().or_else(|| w.parse::<i64>().ok().map(|x| x as u64)))?;
     Ok(rockpick_terms::post(seed, &Terms::of_pairs(line.rest())?)?)
@@ -202,14 +205,14 @@
         match name {
             "PEERS_KNOWN" => {
                 let form = line.must("form", |word| match word {
-                    "INCREMENTAL" => Some(Roll::Changes),
-                    "FULL" => Some(Roll::Whole),
-                    "SAVED" => Some(Roll::Saved),
-                    "FAILED" => Some(Roll::Failed),
+                    "INCREMENTAL" => Some(RosterUpdate::Changes),
+                    "FULL" => Some(RosterUpdate::Full),
+                    "SAVED" => Some(RosterUpdate::Saved),
+                    "FAILED" => Some(RosterUpdate::Failed),
                     _ => None,
                 })?;
                 let mut members = Vec::new();
-                if form != Roll::Failed {
+                if form != RosterUpdate::Failed {
                     let set = line.int::<u8>("setId")?;
                     let list = lists.get(&set).ok_or_else(|| line.bad("setId", format!("no list {set}")))?;
                     members.extend(
@@ -217,7 +220,7 @@
                             .map(|l| Member { machine: self.door.machine(&l.name), ..l.entry.clone() }),
                     );
                 }
-                go!(members(form, &members));
+                go!(roster_updated(form, &members));
             }
             "REQ" => {
                 let id = line.hex("req")?;
@@ -227,7 +230,7 @@
                 let deadline = line.time("deadlineMs")?;
                 line.may("workHintMs", number)?;
                 let rpc = self.door.open(id);
-                go!(taken(rpc, method, key, deadline));
+                go!(rpc_received(rpc, method, key, deadline));
                 self.door.sweep(rpc);
             }
             "RESULT" => {
@@ -242,7 +245,7 @@
                     if last {
                         self.door.finish(rpc);
                     }
-                    go!(ended(rpc, pick, how, elapsed, last));
+                    go!(pick_ended(rpc, pick, how, elapsed, last));
                     self.door.sweep(rpc);
                 }
             }
@@ -253,7 +256,7 @@
                     }
                     self.call(now, out, |front, _| {
                         if let Some(front) = front {
-                            front.left(rpc)
+                            front.rpc_closed(rpc)
                         }
                     });
                     self.door.sweep(rpc);
@@ -261,7 +264,7 @@
             }
             "WAKE" => {
                 let tag = line.int("tag")?;
-                go!(woke(tag));
+                go!(timer_fired(tag));
             }
             // The module asks for no probe.
             "HEALTH" => {}
@@ -271,12 +274,12 @@
                 line.may("elapsedMs", number)?;
                 let not_ok = line.int("notOk")?;
                 line.may("oldMs", nanos)?;
-                go!(tallied(build, method, picks, not_ok));
+                go!(platform_counted(build, method, picks, not_ok));
             }
             "INBOX" => {
                 let from = line.int("srcPeer")?;
                 let note = line.may("content", bytes)?.unwrap_or_default();
-                go!(heard(from, &note));
+                go!(note_received(from, &note));
             }
             "PHASE_TOLD" => {
                 let stage = line.may("tranche", |w| w.parse::<u32>().ok())?.unwrap_or(0);
@@ -299,12 +302,15 @@
                     _ => Reply::Refused,
                 };
                 let news = phase.filter(|_| status == Outcome::Ok);
-                go!(told(reply, news.map(|phase| Standing { build, stage, phase, cap, since: now - age })));
+                go!(rollout_updated(
+                    reply,
+                    news.map(|phase| RolloutStatus { build, stage, phase, cap, since: now - age })
+                ));
             }
             "DISPUTED" => {
                 let age = line.may("oldMs", nanos)?.unwrap_or(0);
                 let machine = self.door.machine(line.word("machine")?);
-                go!(disputed(machine, now - age));
+                go!(answer_disputed(machine, now - age));
             }
             _ => {}
         }
--- a/control/src/charter.rs
+++ b/control/src/charter.rs
@@ -1,6 +1,8 @@
 //! The settings: what an operator may tell a deployment, given by API call as one JSON document, checked as
 //! a whole. Times are whole milliseconds here and whole nanoseconds everywhere else.
-use rockpick::{Control, Group, Guard, Method, Ns, Post, Repeat, Rights, Rollout};
+use rockpick::{
+    Control, DedupScope, FrontConfig, Idempotency, Method, Ns, Permissions, Rollout, SafetyLimits,
+};
 use rockpick_tenant::Books;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -301,11 +303,11 @@
     }
 
     /// What the front of this name is told at start.
-    pub fn post(&self, front: &str, seed: u64) -> Option<Post> {
+    pub fn post(&self, front: &str, seed: u64) -> Option<FrontConfig> {
         let rank = self.fronts.iter().position(|f| f.name == front)?;
         let ms = |n: u64| n as Ns * MS;
         let (r, g) = (&self.rollout, &self.guard);
-        Some(Post {
+        Some(FrontConfig {
             fronts: self.fronts.len() as u32,
             rank: rank as u32,
             zone: self.zone(&self.fronts[rank].zone),
@@ -321,17 +323,17 @@
                 .map(|m| Method {
                     soft_deadline: ms(m.soft_deadline_ms),
                     utility: m.utility,
-                    repeat: match m.repeat {
-                        Repeats::Idempotent => Repeat::Idempotent,
-                        Repeats::Tokened => Repeat::Tokened,
-                        Repeats::NonIdempotent => Repeat::NonIdempotent,
+                    idempotency: match m.repeat {
+                        Repeats::Idempotent => Idempotency::Idempotent,
+                        Repeats::Tokened => Idempotency::Tokened,
+                        Repeats::NonIdempotent => Idempotency::NonIdempotent,
                     },
-                    group: match m.group {
-                        GroupOf::All => Group::All,
-                        GroupOf::Zone => Group::Zone,
-                        GroupOf::Cell => Group::Cell,
+                    dedup_scope: match m.group {
+                        GroupOf::All => DedupScope::All,
+                        GroupOf::Zone => DedupScope::Zone,
+                        GroupOf::Cell => DedupScope::Cell,
                     },
-                    remembered: ms(m.remembered_ms),
+                    dedup_window: ms(m.remembered_ms),
                 })
                 .collect(),
             rollout: Rollout {
@@ -348,9 +350,9 @@
                 call_timeout: ms(r.call_timeout_ms),
                 on_votes: r.on_votes,
                 back_votes: r.back_votes,
-                calls: 0.0,
+                platform_call_rate: 0.0,
             },
-            guard: Guard {
+            limits: SafetyLimits {
                 ask_within: ms(g.ask_within_ms),
                 told_within: 0,
                 drain_grace: ms(g.drain_grace_ms),
@@ -359,7 +361,7 @@
                 overload_factor: g.overload_factor,
                 fall_time: ms(g.fall_time_ms),
             },
-            rights: Rights {
+            permissions: Permissions {
                 most_picks: self.rights.most_picks,
                 notes: self.rights.notes,
                 longest_wait: ms(self.rights.longest_wait_ms),
--- a/emu/src/seat.rs
+++ b/emu/src/seat.rs
@@ -1,5 +1,5 @@
 //! One front's seat in the emulator: the module, its open RPCs, and what its actions come to.
-use rockpick::{Ctl, Front, Ns, Standing, Verdict};
+use rockpick::{Actions, Front, Ns, RolloutStatus, Verdict};
 use rockpick_door::Door;
 
 /// What the module wants done; carried out once its call is over.
@@ -22,7 +22,7 @@
     pub notes: &'a mut Vec<String>,
 }
 
-impl Ctl for Gather<'_> {
+impl Actions for Gather<'_> {
     fn now(&self) -> Ns {
         self.now
     }
@@ -43,7 +43,7 @@
     }
     // The module probes nothing, and nothing would come of it.
     fn probe(&mut self, _machine: usize) {}
-    fn tell(&mut self, peer: Option<u32>, note: &[u8]) {
+    fn send_note(&mut self, peer: Option<u32>, note: &[u8]) {
         self.acts.push(Do::Tell(peer, note.to_vec()));
     }
     fn watch(&mut self, on: bool) {
@@ -57,7 +57,7 @@
     fn vote(&mut self, build: u32, stage: u32, verdict: Verdict) {
         self.acts.push(Do::Vote(build, stage, verdict));
     }
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         self.notes.push(text.to_string());
     }
 }
@@ -90,7 +90,7 @@
     pub open: Vec<Option<Open>>,
     /// It stands still until then; what comes meanwhile waits.
     pub still: Ns,
-    pub standing: Option<Standing>,
+    pub standing: Option<RolloutStatus>,
     pub again: bool,
     /// The roster as it last had it: what a restart comes up from.
     pub roster: Vec<rockpick::Member>,
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -4,7 +4,9 @@
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick::{Front, Member, Ns, Outcome as End, Phase, Reply as Word, Roll, Standing, State, Verdict};
+use rockpick::{
+    Front, Member, Ns, Outcome as End, Phase, Reply as Word, RolloutStatus, RosterUpdate, State, Verdict,
+};
 use rockpick_control::release::{Release, Running};
 use rockpick_control::roster::{Beat, Order, Roster};
 use rockpick_control::Charter;
@@ -69,12 +71,12 @@
     Left(u32, u32, u64),
     Pass,
     Beats,
-    Stage(u32, u32, Standing),
-    Members(u32, u32, Roll, Rc<Vec<Member>>),
+    Stage(u32, u32, RolloutStatus),
+    Members(u32, u32, RosterUpdate, Rc<Vec<Member>>),
     Tally(u32, u32, Rc<Vec<[u32; 4]>>),
     Sums(u32, u32, Ns, Rc<Vec<(u32, [u32; 3])>>),
     Vote(u32, u32, u32, u32, Verdict, u64),
-    Voted(u32, u32, Word, Option<Standing>, u64),
+    Voted(u32, u32, Word, Option<RolloutStatus>, u64),
     Note(u32, u32, u32, Rc<Vec<u8>>),
     Dispute(u32, u32, u32, Ns),
     Act(usize),
@@ -474,7 +476,7 @@
                 }
             }
             Ev::Take(front, attempt) => self.take(front, attempt),
-            Ev::Wake(front, life, tag) => self.call(front, life, |f, ctl| f.woke(ctl, tag)),
+            Ev::Wake(front, life, tag) => self.call(front, life, |f, ctl| f.timer_fired(ctl, tag)),
             Ev::PickArrives { front, call, machine, run } => self.pick_arrives(front, call, machine, run),
             Ev::MachineWake(machine, run, serial) => self.shop(machine, run, |shop, now, street| {
                 if serial & HELD != 0 {
@@ -500,7 +502,7 @@
                     seat.door.rpc(attempt).filter(|r| seat.life == life && !seat.door.finished(*r))
                 {
                     seat.door.finish(rpc);
-                    self.call(front, life, |f, _| f.left(rpc));
+                    self.call(front, life, |f, _| f.rpc_closed(rpc));
                     self.sweep(front, rpc);
                 }
             }
@@ -520,7 +522,9 @@
             Ev::Tally(front, life, rows) => {
                 for row in rows.iter() {
                     let [build, method, picks, bad] = *row;
-                    self.call(front, life, |f, ctl| f.tallied(ctl, build, method as usize, picks, bad));
+                    self.call(front, life, |f, ctl| {
+                        f.platform_counted(ctl, build, method as usize, picks, bad)
+                    });
                 }
             }
             Ev::Sums(front, life, span, rows) => {
@@ -539,10 +543,10 @@
                 }
             }
             Ev::Note(from, to, life, note) => {
-                self.call(to, life, |f, ctl| f.heard(ctl, from as usize, &note));
+                self.call(to, life, |f, ctl| f.note_received(ctl, from as usize, &note));
             }
             Ev::Dispute(front, life, machine, sent) => {
-                self.call(front, life, |f, ctl| f.disputed(ctl, machine as usize, sent));
+                self.call(front, life, |f, ctl| f.answer_disputed(ctl, machine as usize, sent));
             }
             Ev::Act(i) => {
                 let act = self.script[i].1.clone();
@@ -669,7 +673,7 @@
             self.told(front, life, Word::News, Some(news));
         }
         if !roster.is_empty() {
-            self.members(front, life, Roll::Saved, &roster);
+            self.members(front, life, RosterUpdate::Saved, &roster);
         }
     }
 
@@ -717,9 +721,12 @@
                     if up {
                         let (news, lines) = (self.standing(), Rc::new(self.lines(None)));
                         self.at(self.now + wire, Ev::Stage(front, life, news));
-                        self.at(self.now + wire, Ev::Members(front, life, Roll::Whole, lines));
+                        self.at(self.now + wire, Ev::Members(front, life, RosterUpdate::Full, lines));
                     } else {
-                        self.at(self.now + SEC, Ev::Members(front, life, Roll::Failed, Rc::default()));
+                        self.at(
+                            self.now + SEC,
+                            Ev::Members(front, life, RosterUpdate::Failed, Rc::default()),
+                        );
                     }
                 }
                 Do::Vote(build, stage, verdict) => {
@@ -786,7 +793,7 @@
             seat.open.resize_with(rpc + 1, || None);
         }
         seat.open[rpc] = Some(Open { attempt, method, gives_up, picks: Vec::new(), tenant });
-        self.call(front, life, |f, ctl| f.taken(ctl, rpc, method, Some(key), gives_up - margin));
+        self.call(front, life, |f, ctl| f.rpc_received(ctl, rpc, method, Some(key), gives_up - margin));
         if self.plain {
             self.plain_pick(front, rpc);
         }
@@ -870,7 +877,7 @@
             self.answer(front, rpc, How::Ok { right }, -1);
         }
         let last = self.seats[front as usize].door.finished(rpc);
-        self.call(front, life, |f, ctl| f.ended(ctl, rpc, number, end, took, last));
+        self.call(front, life, |f, ctl| f.pick_ended(ctl, rpc, number, end, took, last));
         if self.plain && !last {
             if number < PLAIN_REPEATS {
                 self.plain_pick(front, rpc)
@@ -888,7 +895,7 @@
         }
     }
 
-    fn told(&mut self, front: u32, life: u32, word: Word, news: Option<Standing>) {
+    fn told(&mut self, front: u32, life: u32, word: Word, news: Option<RolloutStatus>) {
         let window = self.charter.rollout.window_ms as Ns * MS;
         let now = self.now;
         let seat = &mut self.seats[front as usize];
@@ -905,17 +912,17 @@
                 self.at(at, Ev::Stage(front, life, news));
             }
         }
-        self.call(front, life, |f, ctl| f.told(ctl, word, held));
+        self.call(front, life, |f, ctl| f.rollout_updated(ctl, word, held));
     }
 
-    fn members(&mut self, front: u32, life: u32, roll: Roll, lines: &[Member]) {
+    fn members(&mut self, front: u32, life: u32, roll: RosterUpdate, lines: &[Member]) {
         let seat = &mut self.seats[front as usize];
         if seat.life != life {
             return;
         }
         match roll {
-            Roll::Failed => {}
-            Roll::Changes => {
+            RosterUpdate::Failed => {}
+            RosterUpdate::Changes => {
                 for line in lines {
                     match seat.roster.iter_mut().find(|m| m.machine == line.machine) {
                         Some(m) => *m = line.clone(),
@@ -926,7 +933,7 @@
             }
             _ => seat.roster = lines.to_vec(),
         }
-        self.call(front, life, |f, ctl| f.members(ctl, roll, lines));
+        self.call(front, life, |f, ctl| f.roster_updated(ctl, roll, lines));
     }
 
     // ---- machines
@@ -1083,9 +1090,9 @@
 
     // ---- controller
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> RolloutStatus {
         let (build, stage, phase, cap, since) = self.release.standing(&self.charter);
-        Standing { build, stage, phase, cap, since }
+        RolloutStatus { build, stage, phase, cap, since }
     }
 
     /// The roster's lines, whole or those that changed after a serial.
@@ -1183,7 +1190,7 @@
             }
             for front in 0..self.seats.len() as u32 {
                 let (life, wire) = (self.seats[front as usize].life, self.jitter(self.wires.told));
-                self.at(now + wire, Ev::Members(front, life, Roll::Changes, lines.clone()));
+                self.at(now + wire, Ev::Members(front, life, RosterUpdate::Changes, lines.clone()));
             }
         }
         let every = self.charter.rollout.tally_every_ms as Ns * MS;
--- a/front/src/fresh.rs
+++ b/front/src/fresh.rs
@@ -5,9 +5,9 @@
 //! a whole window has passed the cap counts as 0. What it costs: one window of trial traffic at one front a
 //! restart. It guards against restarts in mid-window, also in a row; it may delay a stage where most fronts
 //! restart oftener than the window is long, as the trial then sees little traffic.
-use rockpick::{Ns, Phase, Standing};
+use rockpick::{Ns, Phase, RolloutStatus};
 
-/// The module's shortest pick: its `Post::step`, five milliseconds on sockets.
+/// The module's shortest pick: its `FrontConfig::step`, five milliseconds on sockets.
 const PICK: Ns = 5_000_000;
 
 /// Can an RPC with so much time left still be answered in time? One that has hardly more than the way back takes
@@ -24,15 +24,15 @@
 /// The news as a front may act on it that began at `born`, and when to be told again.
 ///
 /// ```
-/// use rockpick::{Phase, Standing};
-/// let news = Standing { build: 2, stage: 0, phase: Phase::OnTrial, cap: 0.14, since: 0 };
+/// use rockpick::{Phase, RolloutStatus};
+/// let news = RolloutStatus { build: 2, stage: 0, phase: Phase::OnTrial, cap: 0.14, since: 0 };
 /// let (held, again) = rockpick_front::fresh::standing(news, 1_000, 2_000, 5_000);
 /// assert_eq!((held.cap, again), (0.0, Some(6_000)));
 /// assert_eq!(rockpick_front::fresh::standing(news, 1_000, 6_000, 5_000).0.cap, 0.14);
 /// ```
-pub fn standing(news: Standing, born: Ns, now: Ns, window: Ns) -> (Standing, Option<Ns>) {
+pub fn standing(news: RolloutStatus, born: Ns, now: Ns, window: Ns) -> (RolloutStatus, Option<Ns>) {
     if now - born >= window || news.phase != Phase::OnTrial {
         return (news, None);
     }
-    (Standing { cap: 0.0, ..news }, Some(born + window))
+    (RolloutStatus { cap: 0.0, ..news }, Some(born + window))
 }
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -3,7 +3,7 @@
 use crate::shelf::Shelf;
 use crate::wire::{back_lines, read_note, wait_lines, What, Wire, LAPSE, LOG_LINES, MODULE, PEERS, TICK};
 use crate::{fresh, Opening};
-use rockpick::{Front, Member, Ns, Outcome, Reply, Roll, Standing, State};
+use rockpick::{Front, Member, Ns, Outcome, Reply, RolloutStatus, RosterUpdate, State};
 use rockpick_control::charter::{plain, Repeats, Wrong, MOST_WEIGHT, MOST_ZONES};
 use rockpick_control::desk::{phase_of, phase_word, state_of, MOST_ROWS};
 use rockpick_control::keep::Writer;
@@ -227,7 +227,7 @@
                     self.wire.tolls.left += 1;
                     self.wire.door.finish(rpc);
                     let life = self.wire.open[rpc].as_ref().map_or(0, |o| o.life);
-                    self.one(life, |front, _| front.left(rpc));
+                    self.one(life, |front, _| front.rpc_closed(rpc));
                     self.wire.sweep(rpc);
                 }
             }
@@ -239,7 +239,7 @@
             }
             Event::Woke { tag } if tag & MODULE != 0 => {
                 let (life, tag) = ((tag & !MODULE) >> 8, tag & 0xff);
-                self.one(life, |front, wire| front.woke(wire, tag));
+                self.one(life, |front, wire| front.timer_fired(wire, tag));
             }
             Event::Woke { tag: LAPSE } => {
                 self.wire.lapses.woke(self.wire.net.now());
@@ -265,7 +265,7 @@
                 if let Some((rank, note)) =
                     read_note(&bytes).filter(|(r, _)| self.wire.peers.get(r) == Some(&from))
                 {
-                    self.each(|front, wire| front.heard(wire, rank as usize, note));
+                    self.each(|front, wire| front.note_received(wire, rank as usize, note));
                 }
             }
             Event::Flushed { .. } => {}
@@ -389,7 +389,7 @@
             open.tenant = tenant;
         }
         let life = self.wire.life;
-        self.one(life, |front, wire| front.taken(wire, rpc, method, key, by));
+        self.one(life, |front, wire| front.rpc_received(wire, rpc, method, key, by));
         self.settle();
         self.wire.sweep(rpc);
     }
@@ -398,7 +398,7 @@
         &mut self, rpc: usize, pick: usize, outcome: Outcome, response: Option<rockpick_net::http::Response>,
     ) {
         if let Some((life, took, last)) = self.wire.pick_ended(rpc, pick, outcome, response) {
-            self.one(life, |front, wire| front.ended(wire, rpc, pick, outcome, took, last));
+            self.one(life, |front, wire| front.pick_ended(wire, rpc, pick, outcome, took, last));
             self.wire.sweep(rpc);
         }
     }
@@ -439,18 +439,20 @@
                 self.wire.watch = None;
                 self.line.clear();
                 tracing::warn!(event = "watch lost", why = why(&end));
-                self.each(|front, wire| front.members(wire, Roll::Failed, &[]));
+                self.each(|front, wire| front.roster_updated(wire, RosterUpdate::Failed, &[]));
             }
             (What::Fetch, End::Answer(r)) if r.status == 200 => {
                 match serde_json::from_slice::<Value>(&r.body) {
                     Ok(line) => self.news(&line),
                     Err(err) => {
                         self.passed_over("roster", &err.to_string());
-                        self.each(|front, wire| front.members(wire, Roll::Failed, &[]));
+                        self.each(|front, wire| front.roster_updated(wire, RosterUpdate::Failed, &[]));
                     }
                 }
             }
-            (What::Fetch, _) => self.each(|front, wire| front.members(wire, Roll::Failed, &[])),
+            (What::Fetch, _) => {
+                self.each(|front, wire| front.roster_updated(wire, RosterUpdate::Failed, &[]))
+            }
             (What::Settings, End::Answer(r)) if r.status == 200 => {
                 self.asking = false;
                 self.settings(&r.body);
@@ -475,7 +477,7 @@
                 self.told(Reply::TimedOut, None);
             }
             What::Settings => self.asking = false,
-            What::Fetch => self.each(|front, wire| front.members(wire, Roll::Failed, &[])),
+            What::Fetch => self.each(|front, wire| front.roster_updated(wire, RosterUpdate::Failed, &[])),
             What::Watch | What::Else => {}
         }
     }
@@ -502,7 +504,7 @@
             self.wire.net.cancel(watch);
         }
         self.line.clear();
-        self.each(|front, wire| front.members(wire, Roll::Failed, &[]));
+        self.each(|front, wire| front.roster_updated(wire, RosterUpdate::Failed, &[]));
     }
 
     /// One line of the watch; kinds that are not known are passed over.
@@ -513,8 +515,8 @@
         if let Some(roster) = line.get("roster") {
             // One without a list, or of another kind, must not pass for a list of nobody.
             match (roster["kind"].as_str(), roster["members"].as_array()) {
-                (Some("changes"), Some(members)) => self.members(Roll::Changes, members),
-                (Some("whole"), Some(members)) => self.members(Roll::Whole, members),
+                (Some("changes"), Some(members)) => self.members(RosterUpdate::Changes, members),
+                (Some("whole"), Some(members)) => self.members(RosterUpdate::Full, members),
                 (kind, _) => self.passed_over("roster", &format!("kind {kind:?}, or no list of members")),
             }
         }
@@ -525,7 +527,7 @@
                 };
                 let (build, method, picks, bad) = (at(0), at(1) as usize, at(2), at(3).min(at(2)));
                 if build <= MOST_BUILD && method < self.wire.charter.methods.len() {
-                    self.each(|front, wire| front.tallied(wire, build, method, picks, bad));
+                    self.each(|front, wire| front.platform_counted(wire, build, method, picks, bad));
                 }
             }
         }
@@ -552,10 +554,10 @@
         }
     }
 
-    fn standing(&self, stage: &Value) -> Option<Standing> {
+    fn standing(&self, stage: &Value) -> Option<RolloutStatus> {
         let now = self.wire.net.now();
         let number = |name: &str| stage.get(name).and_then(Value::as_f64);
-        Some(Standing {
+        Some(RolloutStatus {
             build: number("build").filter(|b| (0.0..=MOST_BUILD.into()).contains(b))? as u32,
             stage: number("stage")? as u32,
             phase: phase_of(stage.get("phase")?.as_str()?)?,
@@ -596,18 +598,18 @@
         let newest = self.wire.life;
         for life in self.lives.iter().map(|(n, _)| *n).collect::<Vec<_>>() {
             let reply = if life == newest { reply } else { Reply::News };
-            self.one(life, |front, wire| front.told(wire, reply, held));
+            self.one(life, |front, wire| front.rollout_updated(wire, reply, held));
         }
     }
 
-    fn members(&mut self, roll: Roll, lines: &[Value]) {
+    fn members(&mut self, roll: RosterUpdate, lines: &[Value]) {
         let now = self.wire.net.now();
         let mut entries = Vec::with_capacity(lines.len());
         // Before the list below marks all as gone that it is about to name.
         if self.wire.door.machines() + lines.len() > MOST_MACHINES {
             self.wire.forget(0);
         }
-        if roll != Roll::Changes {
+        if roll != RosterUpdate::Changes {
             self.wire.places.iter_mut().for_each(|p| p.gone = p.gone.or(Some(now)));
         }
         for line in lines {
@@ -631,7 +633,7 @@
             // The same run keeps its start, whatever the clock of the telling did meanwhile.
             if place.run != said.run || place.started.is_none() || place.guess {
                 place.started = Some(now - said.age);
-                place.guess = roll == Roll::Saved;
+                place.guess = roll == RosterUpdate::Saved;
             }
             (place.run, place.addr, place.build) = (said.run, said.addr, said.build);
             place.gone = (said.state == State::Gone).then_some(place.gone.unwrap_or(now));
@@ -656,8 +658,8 @@
                 tracing::info!(event = "drain", machine = said.name);
             }
         }
-        self.each(|front, wire| front.members(wire, roll, &entries));
-        self.dirty |= roll != Roll::Saved;
+        self.each(|front, wire| front.roster_updated(wire, roll, &entries));
+        self.dirty |= roll != RosterUpdate::Saved;
     }
 
     fn ask_settings(&mut self) {
@@ -741,7 +743,7 @@
         }
         let known: Vec<Value> = self.known();
         if !known.is_empty() {
-            self.members(Roll::Saved, &known);
+            self.members(RosterUpdate::Saved, &known);
         }
     }
 
@@ -778,7 +780,7 @@
         // Ages as of saving: how long ago that was only the wall clock knows, and one set ahead would make
         // cold machines pass for warm.
         self.told(Reply::News, kept.stage);
-        self.members(Roll::Saved, &kept.members);
+        self.members(RosterUpdate::Saved, &kept.members);
         Ok(())
     }
 
@@ -840,7 +842,7 @@
             return (404, json!({ "error": "machine: not known" }));
         };
         let sent = self.wire.net.now() - (age * MS as f64) as Ns;
-        self.each(|front, wire| front.disputed(wire, machine, sent));
+        self.each(|front, wire| front.answer_disputed(wire, machine, sent));
         (202, json!({}))
     }
 
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -4,7 +4,7 @@
 use crate::Opening;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick::{Ctl, Ns, Outcome, Standing, Verdict};
+use rockpick::{Actions, Ns, Outcome, RolloutStatus, Verdict};
 use rockpick_control::desk::verdict_word;
 use rockpick_control::Charter;
 use rockpick_door::Door;
@@ -146,7 +146,7 @@
     pub over: Vec<(u32, bool)>,
     /// Keys that a build has answered here for the first time.
     pub bound: Vec<(u64, u32)>,
-    pub standing: Option<Standing>,
+    pub standing: Option<RolloutStatus>,
     pub often: Often,
     /// Time spent in the module, and of that in carrying its actions out, where it is asked for.
     pub in_module: Ns,
@@ -390,7 +390,7 @@
     [((wait + SEC - 1) / SEC).max(1).to_string(), ((wait + MS - 1) / MS).max(0).to_string()]
 }
 
-impl Ctl for Wire {
+impl Actions for Wire {
     fn now(&self) -> Ns {
         self.net.now()
     }
@@ -445,7 +445,7 @@
         self.lapse_at(self.net.now() + SEC, id);
     }
 
-    fn tell(&mut self, peer: Option<u32>, note: &[u8]) {
+    fn send_note(&mut self, peer: Option<u32>, note: &[u8]) {
         let own = self.charter.fronts.iter().position(|f| f.name == self.opening.name).unwrap_or(0) as u32;
         let mut bytes = NOTE.to_vec();
         bytes.extend(own.to_be_bytes());
@@ -475,7 +475,7 @@
         self.ask(What::Fetch, "GET", "/roster", "", Some(2 * SEC));
     }
 
-    fn bound(&mut self, key: u64, build: u32) {
+    fn key_bound(&mut self, key: u64, build: u32) {
         self.bound.push((key, build));
     }
 
@@ -497,7 +497,7 @@
         self.voting = Some(self.ask(What::Vote, "POST", "/votes", &body, Some(within)));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::info!(event = "verdict", text);
     }
 }
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -1,6 +1,6 @@
 //! Connections to machines: kept, dialled, given up, within a bound. Which machine is never chosen here.
 use crate::effects::{Effects, Pick};
-use rockpick::{Ns, Outcome, Repeat};
+use rockpick::{Idempotency, Ns, Outcome};
 use rockpick_net::{Id, MS, SEC};
 use rockpick_pg::{self as pg, Answer, Heard};
 use rockpick_platform::statement;
@@ -235,8 +235,8 @@
         let Some(open) = self.open[rpc].as_ref() else { return most };
         let method = &self.startup.post.methods[open.method];
         let first = open.picks.iter().filter(|p| p.ran).map(|p| p.sent).min();
-        let known = first.filter(|_| method.repeat == Repeat::Tokened);
-        let left = |at: Ns| at + method.remembered - 2 * self.startup.post.step - self.net.now();
+        let known = first.filter(|_| method.idempotency == Idempotency::Tokened);
+        let left = |at: Ns| at + method.dedup_window - 2 * self.startup.post.step - self.net.now();
         known.map_or(most, |at| left(at).min(most))
     }
 
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -2,7 +2,7 @@
 //! while the old ones still serve.
 use crate::effects::{Effects, DESK};
 use rand::Rng;
-use rockpick::{Member, Ns, Outcome, Reply, Roll, Standing, State, Verdict};
+use rockpick::{Member, Ns, Outcome, Reply, RolloutStatus, RosterUpdate, State, Verdict};
 use rockpick_net::http;
 use rockpick_net::{take_line, Call, End, Id, MS, SEC};
 use rockpick_platform::desk::{self, Line, Stood};
@@ -125,15 +125,15 @@
 
 /// What a link has to tell the module.
 pub enum Tell {
-    Members(Roll, Vec<Member>),
-    Told(Reply, Option<Standing>),
+    Members(RosterUpdate, Vec<Member>),
+    Told(Reply, Option<RolloutStatus>),
     Tallied { build: u32, method: usize, picks: u32, not_ok: u32 },
     Disputed { machine: usize, sent: Ns },
 }
 
-pub fn standing(now: Ns, stood: Stood) -> Standing {
+pub fn standing(now: Ns, stood: Stood) -> RolloutStatus {
     let Stood { build, stage, phase, cap, age } = stood;
-    Standing { build, stage, phase, cap, since: now - age }
+    RolloutStatus { build, stage, phase, cap, since: now - age }
 }
 
 impl Effects {
@@ -209,13 +209,13 @@
                 // Nothing has changed since the list that it goes on from: that is known now.
                 Ok(None) if sign_of_life && !self.discovery.watches[at].serves => {
                     self.watch_serves(at);
-                    tells.push(Tell::Members(Roll::Changes, Vec::new()));
+                    tells.push(Tell::Members(RosterUpdate::Changes, Vec::new()));
                 }
                 Ok(None) => {}
                 Ok(Some(told)) => match roster::read(&told, &mut self.startup.zones) {
                     Some(telling) => {
                         self.watch_serves(at);
-                        let roll = if telling.whole { Roll::Whole } else { Roll::Changes };
+                        let roll = if telling.whole { RosterUpdate::Full } else { RosterUpdate::Changes };
                         tells.push(self.listed(roll, telling));
                     }
                     None => bad = true,
@@ -261,7 +261,7 @@
         let telling = told.as_ref().and_then(|t: &Value| roster::read(t, &mut self.startup.zones));
         // One that was overtaken by a watch must not take its news back; a watch is still being made, and is heard of.
         let telling = telling.filter(|t| t.whole && t.seq >= self.discovery.seq);
-        telling.map(|telling| self.listed(Roll::Whole, telling)).into_iter().collect()
+        telling.map(|telling| self.listed(RosterUpdate::Full, telling)).into_iter().collect()
     }
 
     fn watch_over(&mut self, call: Id) -> Option<Tell> {
@@ -274,11 +274,11 @@
         }
         self.end_call(call);
         // The loss of a former one, while a newer is being made, is no news.
-        newest.then(|| Tell::Members(Roll::Failed, Vec::new()))
+        newest.then(|| Tell::Members(RosterUpdate::Failed, Vec::new()))
     }
 
     /// Takes a telling into the tables, and makes the module's lines of it.
-    pub fn listed(&mut self, roll: Roll, telling: Telling) -> Tell {
+    pub fn listed(&mut self, roll: RosterUpdate, telling: Telling) -> Tell {
         let Telling { seq, whole, records, odd } = telling;
         self.discovery.tellings += 1;
         if odd > 0 {
@@ -286,7 +286,7 @@
         }
         // A telling older than what is known, from a link that is behind, must not take news back.
         if !whole && seq < self.discovery.seq {
-            return Tell::Members(Roll::Changes, Vec::new());
+            return Tell::Members(RosterUpdate::Changes, Vec::new());
         }
         self.discovery.seq = seq;
         let mut members = Vec::with_capacity(records.len());
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -5,7 +5,7 @@
 use crate::Startup;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use rockpick::{Ctl, Ns, Outcome, Verdict};
+use rockpick::{Actions, Ns, Outcome, Verdict};
 use rockpick_door::Door;
 use rockpick_net::{Dues, Event, Id, Net, Often, MS};
 use rockpick_pg as pg;
@@ -205,7 +205,7 @@
     }
 }
 
-impl Ctl for Effects {
+impl Actions for Effects {
     fn now(&self) -> Ns {
         self.net.now()
     }
@@ -248,7 +248,7 @@
     fn probe(&mut self, _machine: usize) {}
 
     /// The platform lets no notes pass between fronts.
-    fn tell(&mut self, _peer: Option<u32>, _note: &[u8]) {}
+    fn send_note(&mut self, _peer: Option<u32>, _note: &[u8]) {}
 
     fn watch(&mut self, on: bool) {
         self.watch_roster(on);
@@ -262,13 +262,13 @@
         self.cast_vote(build, stage, verdict);
     }
 
-    fn bound(&mut self, key: u64, build: u32) {
+    fn key_bound(&mut self, key: u64, build: u32) {
         if self.startup.circle.is_some() {
             self.bound.push((key, build));
         }
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &str) {
         tracing::info!(event = "verdict", text);
     }
 }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -5,7 +5,7 @@
 use crate::effects::{Effects, Open, DESK, DUE, MODULE, PEERS, RELOAD, STOP, TICK};
 use crate::lateness::Lateness;
 use crate::Startup;
-use rockpick::{Front, Ns, Outcome, Reply, Roll};
+use rockpick::{Front, Ns, Outcome, Reply, RosterUpdate};
 use rockpick_net::{Bound, Event, Id, Net, MS, SEC};
 use rockpick_peers::{Company, Peers};
 use rockpick_pg as pg;
@@ -122,7 +122,7 @@
             peers,
         };
         if let Some(telling) = at_start {
-            let told = node.effects.listed(Roll::Saved, telling);
+            let told = node.effects.listed(RosterUpdate::Saved, telling);
             node.tell(told);
         }
         if let Some(stood) = stood {
@@ -193,7 +193,7 @@
 
     fn pick_over(&mut self, rpc: usize, pick: usize, how: Outcome, row: Option<&[u8]>) {
         if let Some((took, last)) = self.effects.pick_ended(rpc, pick, how, row) {
-            self.front.ended(&mut self.effects, rpc, pick, how, took, last);
+            self.front.pick_ended(&mut self.effects, rpc, pick, how, took, last);
             self.effects.sweep(rpc);
         }
     }
@@ -204,7 +204,7 @@
                 Came::Over(how, row) => self.pick_over(rpc, pick, how, row.as_deref()),
                 Came::Ready => {
                     let machine = self.effects.open[rpc].as_ref().map(|open| open.picks[pick].machine);
-                    let stands = machine.is_some_and(|machine| self.front.stands(rpc, machine));
+                    let stands = machine.is_some_and(|machine| self.front.may_send(rpc, machine));
                     if self.effects.ask_opened(conn, rpc, pick, stands) {
                         // What it has said beyond its welcome.
                         self.machine_bytes(conn, &[]);
@@ -220,7 +220,7 @@
     fn tell(&mut self, told: Tell) {
         let (front, effects) = (&mut self.front, &mut self.effects);
         match told {
-            Tell::Members(roll, members) => front.members(effects, roll, &members),
+            Tell::Members(roll, members) => front.roster_updated(effects, roll, &members),
             Tell::Told(reply, news) => {
                 let news = match &mut self.peers {
                     Some(peers) => news.map(|s| peers.stands(s)),
@@ -229,12 +229,12 @@
                 if let Some(s) = news {
                     tracing::info!(event = "standing", build = s.build, stage = s.stage, phase = ?s.phase, cap = s.cap, reply = ?reply);
                 }
-                front.told(effects, reply, news);
+                front.rollout_updated(effects, reply, news);
             }
             Tell::Tallied { build, method, picks, not_ok } => {
-                front.tallied(effects, build, method, picks, not_ok)
+                front.platform_counted(effects, build, method, picks, not_ok)
             }
-            Tell::Disputed { machine, sent } => front.disputed(effects, machine, sent),
+            Tell::Disputed { machine, sent } => front.answer_disputed(effects, machine, sent),
         }
     }
 
@@ -273,7 +273,9 @@
             Event::Ended { call, end } => {
                 self.effects.discovery_over(call, Some(end)).into_iter().for_each(|told| self.tell(told));
             }
-            Event::Woke { tag } if tag & MODULE != 0 => self.front.woke(&mut self.effects, tag & !MODULE),
+            Event::Woke { tag } if tag & MODULE != 0 => {
+                self.front.timer_fired(&mut self.effects, tag & !MODULE)
+            }
             Event::Woke { tag: DUE } => self.dues(),
             Event::Woke { tag: PEERS } => {
                 if let Some(peers) = &mut self.peers {
@@ -357,9 +359,9 @@
         self.effects.client_opens(conn, rpc, bytes);
         if gives_up <= self.effects.net.now() + MARGIN {
             // No time for a pick and the way back: nothing was sent, so it may come again at will.
-            rockpick::Ctl::push_back(&mut self.effects, rpc, 0);
+            rockpick::Actions::push_back(&mut self.effects, rpc, 0);
         } else {
-            self.front.taken(&mut self.effects, rpc, method, Some(key), gives_up - MARGIN);
+            self.front.rpc_received(&mut self.effects, rpc, method, Some(key), gives_up - MARGIN);
             self.settle();
         }
         self.effects.sweep(rpc);
@@ -369,7 +371,7 @@
         if !self.effects.door.finished(rpc) {
             self.effects.tolls.left += 1;
             self.effects.door.finish(rpc);
-            self.front.left(rpc);
+            self.front.rpc_closed(rpc);
         }
         self.effects.sweep(rpc);
     }
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -1,5 +1,5 @@
 //! What a node is told at its start, and again at a reload.
-use rockpick::{Ns, Post};
+use rockpick::{FrontConfig, Ns};
 use rockpick_net::MS;
 use rockpick_platform::desk::{self, Stood};
 use rockpick_platform::roster;
@@ -22,7 +22,7 @@
     pub stood: Option<Stood>,
     pub known: Value,
     pub sockets: usize,
-    pub post: Post,
+    pub post: FrontConfig,
     /// Names of methods, and the longest that a client waits for each.
     pub methods: Vec<(String, Ns)>,
     pub zones: Vec<String>,
@@ -78,7 +78,7 @@
         let dial = terms.get("permissions.dialTimeoutMs", 250 * MS, rockpick_terms::nanos).map_err(of)?;
         let grace = terms.get("invariants.drainGraceMs", Ns::MAX, rockpick_terms::nanos).map_err(of)?;
         let mut post = post(seed, &terms).map_err(of)?;
-        post.guard.told_within = roster::TOLD_WITHIN;
+        post.limits.told_within = roster::TOLD_WITHIN;
         Ok(Startup {
             name: said("name", "PROXY_NAME")?,
             listen: address("listen", &said("listen", "PROXY_LISTEN")?)?,
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -7,7 +7,7 @@
 
 use kept::Keeper;
 use rand::Rng;
-use rockpick::{Front, Standing};
+use rockpick::{Front, RolloutStatus};
 use rockpick_copies::{self as copies, Build, Copies, Fact, Key, Near, Phase, Row, Table};
 use rockpick_members::{Act, Change, Event, Members, Ns, Pace, Place, Record, Status, MS, SEC};
 use rockpick_net::{Id, Net, Often};
@@ -81,7 +81,7 @@
     fn bind(&mut self, key: u64, build: u32);
     /// The desk has told this front where the newest build stands; as the front is to take it. One that any front was told
     /// goes, or went, back stays that, whatever a stalled line or a desk of old says: builds' numbers only rise.
-    fn stands(&mut self, told: Standing) -> Standing;
+    fn stands(&mut self, told: RolloutStatus) -> RolloutStatus;
     /// What has come from others since it was last asked, if anything has.
     fn news(&mut self) -> Option<News>;
     /// Tells a new life of the module all that is known.
@@ -97,13 +97,13 @@
     /// All that any front knew of keys is here now.
     keys_known: bool,
     /// This front's newest build goes back: to be told to the module once more.
-    pub withdrawn: Option<Standing>,
+    pub withdrawn: Option<RolloutStatus>,
 }
 
 impl News {
     pub fn tell(&self, front: &mut Front) {
-        self.bound.iter().for_each(|(key, build)| front.bound_elsewhere(*key, *build));
-        front.keys_known(self.keys_known);
+        self.bound.iter().for_each(|(key, build)| front.key_bound_by_peer(*key, *build));
+        front.set_keys_known(self.keys_known);
     }
 }
 
@@ -127,7 +127,7 @@
     /// Builds that others know to be withdrawn, not yet handed on.
     withdrawn: Vec<u32>,
     /// Where the newest build stands, as the module was last told; and whether it was told that all keys are known.
-    standing: Option<Standing>,
+    standing: Option<RolloutStatus>,
     keys_known: bool,
     keeper: Option<Keeper>,
     /// Keys whose rows are to be kept.
@@ -403,7 +403,7 @@
         }
     }
 
-    fn stands(&mut self, mut told: Standing) -> Standing {
+    fn stands(&mut self, mut told: RolloutStatus) -> RolloutStatus {
         // The desk numbers what it says by no term yet: within a build stages only rise, and a release comes after.
         let row = Build {
             withdrawn: !stays(told.phase),
@@ -438,10 +438,10 @@
     fn tell_all(&self, front: &mut Front) {
         for (key, row) in self.copies.shelf().table(Table::Bindings) {
             if let (Key::Bound(key), Row::Bound(builds)) = (key, row) {
-                builds.iter().filter(|b| **b > 0).for_each(|build| front.bound_elsewhere(*key, *build));
+                builds.iter().filter(|b| **b > 0).for_each(|build| front.key_bound_by_peer(*key, *build));
             }
         }
-        front.keys_known(self.keys_known);
+        front.set_keys_known(self.keys_known);
     }
 
     fn rows(&self, table: &str, from: Option<&str>) -> Option<Value> {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,11 +1,11 @@
-//! What crosses the border of the decision module: types and the trait [`Ctl`], no decisions.
+//! What crosses the border of the decision module: types and the trait [`Actions`], no decisions.
 
 /// A point in time or a span, in whole nanoseconds.
 pub type Ns = i64;
 
 /// May an RPC of this method run again?
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     Idempotent,
     /// Repeats are recognised, inside a group of machines and for a time.
     Tokened,
@@ -15,7 +15,7 @@
 
 /// The machines that recognise each other's repeats of a tokened RPC.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     #[default]
@@ -27,10 +27,10 @@
 pub struct Method {
     pub soft_deadline: Ns,
     pub utility: f64,
-    pub repeat: Repeat,
-    pub group: Group,
+    pub idempotency: Idempotency,
+    pub dedup_scope: DedupScope,
     /// How long a repeat of a tokened RPC is recognised.
-    pub remembered: Ns,
+    pub dedup_window: Ns,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -62,12 +62,12 @@
     pub on_votes: u32,
     pub back_votes: u32,
     /// Calls a second that the platform takes of all fronts; 0: not told.
-    pub calls: f64,
+    pub platform_call_rate: f64,
 }
 
 /// The figures of the five rules.
 #[derive(Clone, Debug, Default)]
-pub struct Guard {
+pub struct SafetyLimits {
     /// Without a watch, news must be asked for this often.
     pub ask_within: Ns,
     /// A change of the roster counts as told so long after it was made, heard or not; 0: only what is heard counts.
@@ -82,7 +82,7 @@
 
 /// What this front may do.
 #[derive(Clone, Debug, Default)]
-pub struct Rights {
+pub struct Permissions {
     pub most_picks: u32,
     pub notes: bool,
     /// Longest wait that a client obeys after a pushback; 0: none is told.
@@ -91,7 +91,7 @@
 
 /// All that a front is told at start.
 #[derive(Clone, Debug, Default)]
-pub struct Post {
+pub struct FrontConfig {
     pub fronts: u32,
     /// This front's place among them, from 0.
     pub rank: u32,
@@ -105,8 +105,8 @@
     pub handshake_price: f64,
     pub methods: Vec<Method>,
     pub rollout: Rollout,
-    pub guard: Guard,
-    pub rights: Rights,
+    pub limits: SafetyLimits,
+    pub permissions: Permissions,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -134,9 +134,9 @@
 
 /// Kinds of roster news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Roll {
+pub enum RosterUpdate {
     Changes,
-    Whole,
+    Full,
     Saved,
     Failed,
 }
@@ -178,7 +178,7 @@
 
 /// Where the newest build stands, as the platform last told.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct RolloutStatus {
     pub build: u32,
     pub stage: u32,
     pub phase: Phase,
@@ -204,7 +204,7 @@
 }
 
 /// Through this the decisions act. RPCs and machines are the small indices given at the door.
-pub trait Ctl {
+pub trait Actions {
     fn now(&self) -> Ns;
     fn pick(&mut self, rpc: usize, machine: usize, time_out: Ns);
     fn cancel(&mut self, rpc: usize, pick: u32);
@@ -213,11 +213,11 @@
     fn wake_at(&mut self, at: Ns, tag: u64);
     fn probe(&mut self, machine: usize);
     /// Sends a note to one peer, or to all.
-    fn tell(&mut self, peer: Option<u32>, note: &[u8]);
+    fn send_note(&mut self, peer: Option<u32>, note: &[u8]);
     fn watch(&mut self, on: bool);
     fn fetch(&mut self);
     fn vote(&mut self, build: u32, stage: u32, verdict: Verdict);
     /// A build has answered a one-way key for the first time here: other fronts may want to know.
-    fn bound(&mut self, _key: u64, _build: u32) {}
-    fn note(&mut self, text: &str);
+    fn key_bound(&mut self, _key: u64, _build: u32) {}
+    fn log(&mut self, text: &str);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! rockpick watches over software updates from a tier of fronts: each front routes RPCs between the
 //! builds of a fleet and votes on the build on trial. [`Front`] (in `logic`) takes every decision and
-//! acts through [`Ctl`]; `interface` holds the types that cross the border, and nothing else.
+//! acts through [`Actions`]; `interface` holds the types that cross the border, and nothing else.
 //!
 //! ```
 //! use rockpick::{RankSum, LatencyHistogram};
@@ -9,7 +9,7 @@
 //!     old.add(Some((50 + ms) * 1_000_000));
 //!     new.add(Some((90 + ms) * 1_000_000));
 //! }
-//! assert!(RankSum::of([(&new, &old)].into_iter()).z() > 2.6);
+//! assert!(RankSum::of_pairs([(&new, &old)].into_iter()).z() > 2.6);
 //! ```
 mod failure_odds;
 mod interface;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,7 +1,7 @@
 //! Every decision of a front, its tables and its tuned values. How to call it: [`Front::start`] once with the
-//! [`Post`] read at start, then the method that bears the name of what happened (`members`, `told`, `taken`,
-//! `ended`, `woke`, ...), in the order of events. Each call gets a [`Ctl`], through which the decisions act;
-//! types and `Ctl` are in `interface.rs`, chance and rings of time in `ring.rs`, counts in `tally.rs`.
+//! [`FrontConfig`] read at start, then the method that bears the name of what happened (`roster_updated`, `rpc_received`,
+//! `pick_ended`, `timer_fired`, ...), in the order of events. Each call gets an [`Actions`], through which the decisions act;
+//! types and `Actions` are in `interface.rs`, chance and rings of time in `ring.rs`, counts in `tally.rs`.
 use crate::failure_odds::chance_of;
 use crate::interface::*;
 use crate::latency_histogram::LatencyHistogram;
@@ -55,8 +55,8 @@
 
 impl Machine {
     /// How full it is for its size, with `more` RPCs.
-    fn busy(&self, more: f64, now: Ns, guard: &Guard) -> f64 {
-        (self.held + more) / self.size(now, guard) * self.slow.max(0.1).sqrt()
+    fn busy(&self, more: f64, now: Ns, limits: &SafetyLimits) -> f64 {
+        (self.held + more) / self.size(now, limits) * self.slow.max(0.1).sqrt()
     }
 
     fn up(&self) -> bool {
@@ -64,20 +64,20 @@
     }
 
     /// How old it is, against what it takes to be warm: 0 to 1.
-    fn age(&self, now: Ns, guard: &Guard) -> f64 {
-        let age = self.member.started.map_or(guard.cold_time, |at| (now - at).clamp(0, guard.cold_time));
-        age as f64 / guard.cold_time.max(1) as f64
+    fn age(&self, now: Ns, limits: &SafetyLimits) -> f64 {
+        let age = self.member.started.map_or(limits.cold_time, |at| (now - at).clamp(0, limits.cold_time));
+        age as f64 / limits.cold_time.max(1) as f64
     }
 
     /// Its weight, by how warm it is at the least.
-    fn size(&self, now: Ns, guard: &Guard) -> f64 {
-        let warmth = guard.cold_from + (1.0 - guard.cold_from) * self.age(now, guard);
+    fn size(&self, now: Ns, limits: &SafetyLimits) -> f64 {
+        let warmth = limits.cold_from + (1.0 - limits.cold_from) * self.age(now, limits);
         (self.member.weight * warmth).max(1e-6)
     }
 }
 
 /// What to do with a pick's end: its outcome, the time it took, whether it closed the RPC.
-type Then = Box<dyn FnOnce(&mut Front, &mut dyn Ctl, Outcome, Ns, bool)>;
+type Then = Box<dyn FnOnce(&mut Front, &mut dyn Actions, Outcome, Ns, bool)>;
 
 #[derive(Default)]
 struct Rpc {
@@ -94,7 +94,7 @@
 
 #[derive(Default)]
 pub struct Front {
-    post: Post,
+    post: FrontConfig,
     chance: Chance,
     born: Ns,
     soft: Ns,    // the shortest soft deadline
@@ -117,7 +117,7 @@
     means: Vec<f64>,
     zones: Vec<f64>,
     scarce: f64,
-    told: Option<Standing>,
+    told: Option<RolloutStatus>,
     released: u32,  // the last build that was told to be released
     taken_off: u32, // the last one that was not, when the next was told of
     heard: bool,    // the roster was heard since the start
@@ -191,7 +191,7 @@
 const BEAT: u64 = 0; // the timer of the beat; any other asks for the roster
 
 impl Front {
-    pub fn start(post: Post, ctl: &mut dyn Ctl) -> Front {
+    pub fn start(post: FrontConfig, ctl: &mut dyn Actions) -> Front {
         let rows = post.methods.len();
         let scopes = if post.rollout.cap_per_method { rows } else { 1 };
         if post.ask_roster {
@@ -219,7 +219,7 @@
         }
     }
 
-    pub fn woke(&mut self, ctl: &mut dyn Ctl, tag: u64) {
+    pub fn timer_fired(&mut self, ctl: &mut dyn Actions, tag: u64) {
         if tag == BEAT {
             self.beat(ctl);
             ctl.wake_at(ctl.now() + INTERVAL, BEAT);
@@ -229,17 +229,20 @@
         }
     }
 
-    pub fn members(&mut self, ctl: &mut dyn Ctl, roll: Roll, entries: &[Member]) {
+    pub fn roster_updated(&mut self, ctl: &mut dyn Actions, roll: RosterUpdate, entries: &[Member]) {
         let now = ctl.now();
-        if roll == Roll::Failed {
+        if roll == RosterUpdate::Failed {
             // A list not heard counts as known all the same: ask again, spread over a while.
-            let spread = self.post.guard.ask_within / 8 * self.ask_again(now);
+            let spread = self.post.limits.ask_within / 8 * self.ask_again(now);
             let drawn = self.chance.below(spread.max(1) as usize) as Ns;
             return ctl.wake_at(now + INTERVAL + drawn, BEAT + 1);
         }
-        self.heard |= roll != Roll::Saved;
-        self.watching |= roll != Roll::Saved;
-        self.machines.iter_mut().filter(|_| roll != Roll::Changes).for_each(|m| m.member.state = State::Gone);
+        self.heard |= roll != RosterUpdate::Saved;
+        self.watching |= roll != RosterUpdate::Saved;
+        self.machines
+            .iter_mut()
+            .filter(|_| roll != RosterUpdate::Changes)
+            .for_each(|m| m.member.state = State::Gone);
         for entry in entries {
             self.machines.resize_with(self.machines.len().max(entry.machine + 1), Machine::default);
             let known = &mut self.machines[entry.machine];
@@ -269,7 +272,7 @@
         waits[self.refused.min(waits.len() - 1)]
     }
 
-    pub fn told(&mut self, ctl: &mut dyn Ctl, reply: Reply, news: Option<Standing>) {
+    pub fn rollout_updated(&mut self, ctl: &mut dyn Actions, reply: Reply, news: Option<RolloutStatus>) {
         match (reply, self.ballot) {
             (Reply::Counted, Some(b)) => (self.ballot, self.refusals) = (Some((b.0, b.1, true)), 0),
             (Reply::Refused, Some(((.., verdict), ..))) => self.refused(ctl.now(), verdict),
@@ -313,16 +316,16 @@
     /// size and warmth, times three quarters of the multiple. That is never above capacity, so the sum of
     /// fronts is safe, also for less than one pick each. Then: is it enough, and for what part of fronts?
     fn credit(&self, m: &Machine, now: Ns) -> (f64, bool, f64) {
-        let guard = &self.post.guard;
+        let limits = &self.post.limits;
         let age = m.member.started.map_or(i64::MAX, |at| now - at);
-        if age > guard.cold_time + guard.fall_time {
+        if age > limits.cold_time + limits.fall_time {
             return (1.0, true, 1.0);
         }
-        let multiple = 0.75 * guard.overload_factor;
-        let a_second = multiple * self.carry * m.size(now, guard);
+        let multiple = 0.75 * limits.overload_factor;
+        let a_second = multiple * self.carry * m.size(now, limits);
         let saved = a_second * (now - m.credit.1) as f64 / SEC as f64;
         // Where a front sees much of the load, a third of the span's picks may come at once.
-        let burst = a_second * guard.fall_time as f64 / SEC as f64 / 3.0;
+        let burst = a_second * limits.fall_time as f64 / SEC as f64 / 3.0;
         let part = a_second * age as f64 / SEC as f64 * (1.0 - 1.0 / multiple);
         let (burst, part) = if self.quiet { (0.0, part.clamp(0.05, 1.0)) } else { (burst, 1.0) };
         let credit = (m.credit.0 + saved).min(1.0);
@@ -344,7 +347,7 @@
             cost *= (1.0 + 25.0 * self.post.cross_zone_price) * ratio * ratio;
         }
         // The few quiet fronts that may pick a cold machine by now make up for those that may not.
-        cost * m.busy(more, now, &self.post.guard) * self.credit(m, now).2
+        cost * m.busy(more, now, &self.post.limits) * self.credit(m, now).2
     }
 
     fn up(&self) -> impl Iterator<Item = &Machine> {
@@ -354,7 +357,7 @@
     /// May picks go by the roster? On one from the start a machine may stand that went while this front was
     /// down, which counts as told after a while, heard or not; where changes are pushed, from the start on.
     fn trusts_roster(&self, now: Ns) -> bool {
-        let Guard { told_within, drain_grace, .. } = self.post.guard;
+        let SafetyLimits { told_within, drain_grace, .. } = self.post.limits;
         let told = if self.post.ask_roster { told_within - RESTART } else { 0 };
         let serves = told.saturating_add(drain_grace) - HELD_UP;
         self.heard || told_within == 0 || now - self.born < serves
@@ -392,7 +395,9 @@
         each.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, i)| i)
     }
 
-    pub fn taken(&mut self, ctl: &mut dyn Ctl, rpc: usize, method: usize, key: Option<u64>, deadline: Ns) {
+    pub fn rpc_received(
+        &mut self, ctl: &mut dyn Actions, rpc: usize, method: usize, key: Option<u64>, deadline: Ns,
+    ) {
         let now = ctl.now();
         let scope = self.scope(method);
         self.exposure[scope].at(now)[0] += 1;
@@ -440,7 +445,7 @@
     /// as after the release; by size in a full fleet.
     fn kept(&self, build: u32, now: Ns) -> f64 {
         // Fronts are held back from cold ones, and those that were up before must not bear their share.
-        let size = |m: &Machine| m.size(now, &self.post.guard) * m.age(now, &self.post.guard);
+        let size = |m: &Machine| m.size(now, &self.post.limits) * m.age(now, &self.post.limits);
         let [ours, others] = [true, false]
             .map(|on| self.up().filter(|m| (m.member.build == build) == on).map(size).sum::<f64>());
         match (self.base < 1.0, self.post.rollout.parallel) {
@@ -451,7 +456,7 @@
     }
 
     /// The first pick: the build on trial while cap and machines have room, else the earlier.
-    fn first(&mut self, ctl: &mut dyn Ctl, rpc: usize) {
+    fn first(&mut self, ctl: &mut dyn Actions, rpc: usize) {
         let now = ctl.now();
         let (method, key, build) = (self.rpcs[rpc].method, self.rpcs[rpc].key, self.watched);
         let fills = self.bound_to(key) == build || !self.quiet || self.kept(build, now) >= self.chance.part();
@@ -459,8 +464,8 @@
         let trial = if room { self.best(now, |m| m.build == build) } else { None };
         let earlier = self.earlier(rpc, now, |_| true);
         let full = trial.zip(earlier).is_some_and(|(t, e)| {
-            let ([t, e], guard) = ([t, e].map(|i| &self.machines[i]), &self.post.guard);
-            t.busy(1.0, now, guard) > e.busy(1.0, now, guard) + (FILL - 1.0) / e.size(now, guard)
+            let ([t, e], limits) = ([t, e].map(|i| &self.machines[i]), &self.post.limits);
+            t.busy(1.0, now, limits) > e.busy(1.0, now, limits) + (FILL - 1.0) / e.size(now, limits)
         });
         self.pick(ctl, rpc, if full && !self.quiet { earlier } else { trial.or(earlier) });
     }
@@ -489,7 +494,7 @@
     }
 
     /// Another front knows who answered a key. It may make this one more careful, never less.
-    pub fn bound_elsewhere(&mut self, key: u64, build: u32) {
+    pub fn key_bound_by_peer(&mut self, key: u64, build: u32) {
         let over = self.told.is_some_and(|t| build < t.build || build == t.build && !t.phase.stays());
         if self.post.rollout.one_way && !over {
             self.bind(key, build);
@@ -497,12 +502,12 @@
     }
 
     /// Is all that other fronts know of keys here? Told where fronts know each other.
-    pub fn keys_known(&mut self, known: bool) {
+    pub fn set_keys_known(&mut self, known: bool) {
         self.unsure = !known;
     }
 
     /// May a pick that waited for its connection still leave, by what was told and answered meanwhile?
-    pub fn stands(&self, rpc: usize, machine: usize) -> bool {
+    pub fn may_send(&self, rpc: usize, machine: usize) -> bool {
         let (m, key) = (&self.machines[machine], self.rpcs[rpc].key);
         let open = self.on_trial(m.member.build).is_none_or(|(_, cap)| cap > 0.0);
         m.up() && open && self.bound_to(key) <= m.member.build
@@ -528,7 +533,7 @@
         Some(self.released).filter(|build| *build > 0).or(alone.copied())
     }
 
-    fn pick(&mut self, ctl: &mut dyn Ctl, rpc: usize, machine: Option<usize>) {
+    fn pick(&mut self, ctl: &mut dyn Actions, rpc: usize, machine: Option<usize>) {
         let (now, step) = (ctl.now(), self.post.step);
         let Some(machine) = machine else { return self.give_up(ctl, rpc) };
         let r = &mut self.rpcs[rpc];
@@ -559,11 +564,11 @@
             let open = r.open;
             if let Some(key) = r.key.filter(|_| answered) {
                 if front.bind(key, build) {
-                    ctl.bound(key, build);
+                    ctl.key_bound(key, build);
                 }
             }
             if last {
-                front.left(rpc);
+                front.rpc_closed(rpc);
             } else if open {
                 front.repeat(ctl, rpc);
             }
@@ -572,7 +577,8 @@
         // of an idempotent RPC, far beyond the usual, while under a tenth are late: it is lost or heavy.
         let soft = self.post.methods[row].soft_deadline;
         let early = (6.0 * self.means[row]).max(soft as f64 / 2.0) as Ns;
-        let first = self.rpcs[rpc].then.len() == 1 && self.post.methods[row].repeat == Repeat::Idempotent;
+        let first =
+            self.rpcs[rpc].then.len() == 1 && self.post.methods[row].idempotency == Idempotency::Idempotent;
         let known = self.means[row] > 0.0 && early < soft;
         let [all, late] = sum(self.queued.last(now - 2 * INTERVAL, 4));
         let room = first && known && !self.quiet && 10 * late < all && self.fullness(now, row, 0) < 0.5;
@@ -580,28 +586,28 @@
     }
 
     /// Another pick, if the method and the time left allow one.
-    fn repeat(&mut self, ctl: &mut dyn Ctl, rpc: usize) {
+    fn repeat(&mut self, ctl: &mut dyn Actions, rpc: usize) {
         let now = ctl.now();
         let r = &self.rpcs[rpc];
         let (row, mark, last, build) = (r.method, r.mark, r.last, self.watched);
-        let Method { repeat, group, remembered, .. } = self.post.methods[row];
+        let Method { idempotency, dedup_scope, dedup_window, .. } = self.post.methods[row];
         // A repeat that cannot end in time, or goes to a full fleet, only adds load.
         let ends = now + self.means[row] as Ns / 2 + self.post.step;
         let useful = ends <= r.deadline && self.fullness(now, row, 0) <= 1.0;
-        let left = r.then.len() < self.post.rights.most_picks as usize;
+        let left = r.then.len() < self.post.permissions.most_picks as usize;
         // Rule 2: after a pick that may have run, only what the method allows.
-        let harmless = match (mark, repeat) {
-            (None, _) | (_, Repeat::Idempotent) => true,
-            (Some((.., sent)), Repeat::Tokened) => now < sent + remembered - 2 * self.post.step,
-            (_, Repeat::NonIdempotent) => false,
+        let harmless = match (mark, idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some((.., sent)), Idempotency::Tokened) => now < sent + dedup_window - 2 * self.post.step,
+            (_, Idempotency::NonIdempotent) => false,
         };
         if !useful || !left || !harmless {
             return self.give_up(ctl, rpc);
         }
         let other = move |m: &Member| {
-            let inside = match (repeat, group, mark) {
-                (Repeat::Tokened, Group::Zone, Some((zone, ..))) => m.zone == zone,
-                (Repeat::Tokened, Group::Cell, Some((_, cell, _))) => m.cell == cell,
+            let inside = match (idempotency, dedup_scope, mark) {
+                (Idempotency::Tokened, DedupScope::Zone, Some((zone, ..))) => m.zone == zone,
+                (Idempotency::Tokened, DedupScope::Cell, Some((_, cell, _))) => m.cell == cell,
                 _ => true,
             };
             m.machine != last && inside
@@ -614,27 +620,31 @@
     }
 
     /// The final answer at once: a pushback where harmless, to come back soon: longer waits lost more.
-    fn give_up(&mut self, ctl: &mut dyn Ctl, rpc: usize) {
+    fn give_up(&mut self, ctl: &mut dyn Actions, rpc: usize) {
         let r = &self.rpcs[rpc];
         let method = &self.post.methods[r.method];
-        let always =
-            matches!((method.repeat, method.group), (Repeat::Idempotent, _) | (Repeat::Tokened, Group::All));
+        let always = matches!(
+            (method.idempotency, method.dedup_scope),
+            (Idempotency::Idempotent, _) | (Idempotency::Tokened, DedupScope::All)
+        );
         if (always || r.mark.is_none()) && r.deadline > ctl.now() {
-            ctl.push_back(rpc, (method.soft_deadline / 8).min(self.post.rights.longest_wait));
+            ctl.push_back(rpc, (method.soft_deadline / 8).min(self.post.permissions.longest_wait));
         } else {
             ctl.abort(rpc);
         }
-        self.left(rpc);
+        self.rpc_closed(rpc);
     }
 
-    pub fn ended(&mut self, ctl: &mut dyn Ctl, rpc: usize, pick: usize, how: Outcome, took: Ns, last: bool) {
+    pub fn pick_ended(
+        &mut self, ctl: &mut dyn Actions, rpc: usize, pick: usize, how: Outcome, took: Ns, last: bool,
+    ) {
         if let Some(then) = self.rpcs[rpc].then.get_mut(pick).and_then(Option::take) {
             then(self, ctl, how, took, last);
         }
     }
 
     /// Answered, or the client has gone, or owns a streamed answer that has begun: nothing is owed now.
-    pub fn left(&mut self, rpc: usize) {
+    pub fn rpc_closed(&mut self, rpc: usize) {
         let was = std::mem::take(&mut self.rpcs[rpc].open);
         if let Some(open) = self.open.then(self.rpcs[rpc].taken).filter(|_| was) {
             *open -= 1;
@@ -660,7 +670,7 @@
         let rollout = &self.post.rollout;
         let Some((stage, cap)) = self.on_trial(build) else { return true };
         let guarded = (stage as usize) < rollout.guarded_stages;
-        if cap <= 0.0 || guarded && self.post.methods[method].repeat != Repeat::Idempotent {
+        if cap <= 0.0 || guarded && self.post.methods[method].idempotency != Idempotency::Idempotent {
             return false;
         }
         let (scope, free) = (self.scope(method), rollout.free);
@@ -723,25 +733,27 @@
         count(row_of(row), error);
         count(DISPUTES, false);
         // Times count from warm machines alone, like with like; refusals and a broken net are no times.
-        if age >= self.post.guard.cold_time && (ok || error || outcome == Outcome::TimedOut) {
+        if age >= self.post.limits.cold_time && (ok || error || outcome == Outcome::TimedOut) {
             count(LATE, !ok || took > soft);
             self.samples[cell][side].at(now).add(ok.then_some(took));
         }
     }
 
     /// A client found an answer wrong: a failure like others, seen late; not the fault of a later start.
-    pub fn disputed(&mut self, ctl: &mut dyn Ctl, machine: usize, sent: Ns) {
+    pub fn answer_disputed(&mut self, ctl: &mut dyn Actions, machine: usize, sent: Ns) {
         let m = self.machines.get_mut(machine);
         if let Some(m) = m.filter(|m| m.member.started.is_none_or(|at| at < sent)) {
             m.counts.at(ctl.now())[DISPUTES][1] += 1;
         }
     }
 
-    pub fn heard(&mut self, ctl: &mut dyn Ctl, from: usize, note: &[u8]) {
+    pub fn note_received(&mut self, ctl: &mut dyn Actions, from: usize, note: &[u8]) {
         self.notes.extend(Tally::read(note).map(|(build, tally)| (from, (ctl.now(), build, tally))));
     }
 
-    pub fn tallied(&mut self, ctl: &mut dyn Ctl, build: u32, method: usize, picks: u32, not_ok: u32) {
+    pub fn platform_counted(
+        &mut self, ctl: &mut dyn Actions, build: u32, method: usize, picks: u32, not_ok: u32,
+    ) {
         let counts = self.platform[self.side(build)].at(ctl.now());
         for row in [ALL, row_of(method)] {
             counts[row] = add(counts[row], [picks, not_ok]);
@@ -774,7 +786,7 @@
         })
     }
 
-    fn beat(&mut self, ctl: &mut dyn Ctl) {
+    fn beat(&mut self, ctl: &mut dyn Actions) {
         let now = ctl.now();
         // What seemed slow is tried again: without picks the measure would never mend.
         let unheard = self.machines.iter_mut().filter(|m| now - m.reached > SPAN);
@@ -784,10 +796,10 @@
         self.zones.iter_mut().for_each(|slow| *slow += 0.02 * (1.0 - *slow));
         if now - self.born > SPAN {
             // What machines once carried they can carry again; forgotten by half in half a minute.
-            let sizes: f64 = self.up().map(|m| m.size(now, &self.post.guard)).sum();
+            let sizes: f64 = self.up().map(|m| m.size(now, &self.post.limits)).sum();
             let [taken, ok, timely] = self.rates(now).map(|rate| rate / sizes.max(1e-6));
             self.carry = (0.99 * self.carry).max(ok);
-            let alone = |t: Standing| t.phase == Phase::Released && now - t.since > SPAN;
+            let alone = |t: RolloutStatus| t.phase == Phase::Released && now - t.since > SPAN;
             if timely >= 0.9 * taken && self.told.is_some_and(alone) {
                 self.borne[0] = self.borne[0].max(timely);
             }
@@ -813,15 +825,15 @@
         }
         let (fronts, rank) = (self.post.fronts, self.post.rank);
         let hearers = [0, 1, 2].map(|i| (told.build + i * fronts / HEARERS) % fronts.max(1));
-        let hears = !self.post.rights.notes || fronts <= HEARERS || hearers.contains(&rank);
+        let hears = !self.post.permissions.notes || fronts <= HEARERS || hearers.contains(&rank);
         let mut tally = self.tally(now);
-        let tests = self.times(now, trial).into_iter().flat_map(|test| test.figures());
+        let tests = self.times(now, trial).into_iter().flat_map(|test| test.to_array());
         tally.words[2 * ROWS..].iter_mut().zip(tests).for_each(|(word, x)| *word = x as f32);
         let own = [0, 1].map(|side| self.counted(&tally, side));
         // After a release every fourth interval: a build that fails only when full shows then.
-        if self.post.rights.notes && (trial || now / INTERVAL % 4 == i64::from(rank % 4)) {
+        if self.post.permissions.notes && (trial || now / INTERVAL % 4 == i64::from(rank % 4)) {
             let note = tally.note(told.build);
-            hearers.iter().filter(|h| **h != rank).for_each(|h| ctl.tell(Some(*h), &note));
+            hearers.iter().filter(|h| **h != rank).for_each(|h| ctl.send_note(Some(*h), &note));
         }
         self.notes.retain(|_, n| n.1 == told.build && now - n.0 < 6 * INTERVAL); // older ones say nothing
         self.notes.values().for_each(|n| tally.add(&n.2));
@@ -833,7 +845,7 @@
         let why = self.harm(now, trial, [own, pooled], [0, 1, 2].map(|i| RankSum::from(tally.test(i))));
         if let Some(why) = why.filter(|_| self.condemned != told.build) {
             self.condemned = told.build;
-            ctl.note(&format!("back {}: {why}", told.build));
+            ctl.log(&format!("back {}: {why}", told.build));
         }
         // Of this stage alone: what was clean at a tenth of the fleet may fail once most of it is full.
         let tallied = self.tallies(now, 0, ((now - told.since) / INTERVAL).min(KEPT))[ALL][0];
@@ -886,17 +898,18 @@
         let late = if trial { late && seen } else { self.sinks && self.post.rollout.parallel };
         // Three machines, else a sick one may be the build; a peer heard, else one front's jam sends it back.
         let many = self.up().filter(|m| self.side(m.member.build) == 0).count() > 2;
-        let heard = !self.post.rights.notes || !self.notes.is_empty();
-        let slow = times.z() > bar(6.0) && times.lead() > 0.17 && late && many && heard;
+        let heard = !self.post.permissions.notes || !self.notes.is_empty();
+        let slow = times.z() > bar(6.0) && times.effect_size() > 0.17 && late && many && heard;
         // An earlier build that fails oftener than the new one is sick itself: its times say nothing.
         let sick = deviates(counts[1][1][ALL], counts[1][0][ALL], odds);
         // Three seconds a quarter slower (a lead of 0.06) that move at the onset and then do not ease.
         let moved = less.z() > if self.lasts[1] > 0 { -2.6 } else { 2.6 };
-        let worse = past.pairs >= 400.0 && past.z() > bar(7.0) && past.lead() > 0.06 && moved;
+        let worse = past.pairs >= 400.0 && past.z() > bar(7.0) && past.effect_size() > 0.06 && moved;
         let worse = worse && trial && !sick && self.post.rollout.parallel;
         // A queue passes within four intervals, most shared slowness within twenty; on votes wait as long.
         self.lasts = [(slow, 0), (worse, 1)].map(|(harms, i)| if harms { self.lasts[i] + 1 } else { 0 });
-        let told = |whose: &str, t: RankSum| format!("{whose} times, z {:.1}, lead {:.2}", t.z(), t.lead());
+        let told =
+            |whose: &str, t: RankSum| format!("{whose} times, z {:.1}, lead {:.2}", t.z(), t.effect_size());
         let slow = self.lasts[0] > if trial { 3 } else { PASSING };
         slow.then(|| told("its", times)).or((self.lasts[1] > 19).then(|| told("earlier build's", past)))
     }
@@ -917,15 +930,15 @@
         };
         let (olds, less) =
             (times(1, &|i| i >= PRESENT), times(1, &|i| i < PRESENT && share(seen[i]) < 0.5 * today));
-        let past = |times: &[LatencyHistogram]| RankSum::of(times.iter().zip(&self.past));
+        let past = |times: &[LatencyHistogram]| RankSum::of_pairs(times.iter().zip(&self.past));
         let both = self.samples.iter().flat_map(|[a, b]| a.last(now, KEPT).zip(b.last(now, KEPT)));
         // Released, it stands alone: its own times are held against those before its trial.
-        let first = if trial { RankSum::of(both) } else { past(&times(0, &|_| true)) };
-        [first, past(&olds), RankSum::of(olds.iter().zip(&less))]
+        let first = if trial { RankSum::of_pairs(both) } else { past(&times(0, &|_| true)) };
+        [first, past(&olds), RankSum::of_pairs(olds.iter().zip(&less))]
     }
 
     /// Clean long enough: the newest machine of this stage has run for the bake, and outcomes were seen.
-    fn baked(&self, now: Ns, told: Standing, seen: u32, hears: bool) -> bool {
+    fn baked(&self, now: Ns, told: RolloutStatus, seen: u32, hears: bool) -> bool {
         let bake = (self.post.rollout.dwell + SEC).max(2 * SEC);
         let ours = self.up().filter(|m| m.member.build == told.build);
         let newest = ours.filter_map(|m| m.member.started).max().unwrap_or(i64::MIN / 2);
@@ -946,7 +959,8 @@
 
     /// How long the platform takes to hear all fronts once.
     fn round(&self) -> Ns {
-        let calls = Some(self.post.rollout.calls).filter(|calls| *calls > 0.0).unwrap_or(f64::INFINITY);
+        let calls =
+            Some(self.post.rollout.platform_call_rate).filter(|calls| *calls > 0.0).unwrap_or(f64::INFINITY);
         (f64::from(self.post.fronts) / calls * SEC as f64) as Ns
     }
 
@@ -962,12 +976,12 @@
 
     /// Keeps this front's vote standing: cast again once half its life is over, or as late as is safe where
     /// the platform can't hear all fronts as often, or no answer came.
-    fn cast(&mut self, ctl: &mut dyn Ctl, told: Standing, verdict: Verdict) {
+    fn cast(&mut self, ctl: &mut dyn Actions, told: RolloutStatus, verdict: Verdict) {
         let (now, rollout) = (ctl.now(), &self.post.rollout);
         // On votes that can't ever stand together would only keep the back votes out: more than the platform
         // takes in a life, and in the two seconds that it was seen to save up while nobody votes.
-        let stand = rollout.calls * (rollout.vote_life + SAVED_UP) as f64 / SEC as f64;
-        if verdict == Verdict::On && rollout.calls > 0.0 && f64::from(rollout.on_votes) > stand {
+        let stand = rollout.platform_call_rate * (rollout.vote_life + SAVED_UP) as f64 / SEC as f64;
+        if verdict == Verdict::On && rollout.platform_call_rate > 0.0 && f64::from(rollout.on_votes) > stand {
             self.ballot = None;
             return;
         }
--- a/src/rank_sum.rs
+++ b/src/rank_sum.rs
@@ -5,7 +5,7 @@
 #[derive(Clone, Copy, Default)]
 pub struct RankSum {
     /// How far U lies beyond its middle: above 0 where the new side is the slower one.
-    pub beyond: f64,
+    pub excess: f64,
     pub variance: f64,
     /// Pairs of a new and an earlier outcome that were compared.
     pub pairs: f64,
@@ -14,7 +14,7 @@
 impl RankSum {
     /// Ranks pairs of histograms (new, earlier) whose buckets ascend; ties share their middle rank. A pair with an
     /// empty side says nothing.
-    pub fn of<'a, H: AsRef<[u32]> + 'a>(pairs: impl Iterator<Item = (&'a H, &'a H)>) -> RankSum {
+    pub fn of_pairs<'a, H: AsRef<[u32]> + 'a>(pairs: impl Iterator<Item = (&'a H, &'a H)>) -> RankSum {
         pairs.fold(RankSum::default(), |sum, (new, old)| sum.plus(new.as_ref(), old.as_ref()))
     }
 
@@ -32,7 +32,7 @@
         }
         let u = ranks - n * (n + 1.0) / 2.0;
         RankSum {
-            beyond: self.beyond + u - n * m / 2.0,
+            excess: self.excess + u - n * m / 2.0,
             variance: self.variance + n * m * (n + m + 1.0) / 12.0,
             pairs: self.pairs + n * m,
         }
@@ -40,22 +40,22 @@
 
     /// Standard deviations beyond the middle.
     pub fn z(self) -> f64 {
-        self.beyond / self.variance.max(1e-9).sqrt()
+        self.excess / self.variance.max(1e-9).sqrt()
     }
 
     /// How much oftener than half the new side is the slower one, from -0.5 to 0.5.
-    pub fn lead(self) -> f64 {
-        self.beyond / self.pairs.max(1.0)
+    pub fn effect_size(self) -> f64 {
+        self.excess / self.pairs.max(1.0)
     }
 
     /// The figures in the order in which notes carry them.
-    pub fn figures(self) -> [f64; 3] {
-        [self.beyond, self.variance, self.pairs]
+    pub fn to_array(self) -> [f64; 3] {
+        [self.excess, self.variance, self.pairs]
     }
 }
 
 impl From<[f64; 3]> for RankSum {
-    fn from([beyond, variance, pairs]: [f64; 3]) -> RankSum {
-        RankSum { beyond, variance, pairs }
+    fn from([excess, variance, pairs]: [f64; 3]) -> RankSum {
+        RankSum { excess, variance, pairs }
     }
 }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -22,7 +22,7 @@
     wake_times: Vec<Ns>,
 }
 
-impl Ctl for Desk {
+impl Actions for Desk {
     fn now(&self) -> Ns {
         self.now
     }
@@ -43,7 +43,7 @@
         self.wake_times.push(at);
     }
     fn probe(&mut self, _: usize) {}
-    fn tell(&mut self, _: Option<u32>, _: &[u8]) {}
+    fn send_note(&mut self, _: Option<u32>, _: &[u8]) {}
     fn watch(&mut self, _: bool) {
         self.watched += 1;
     }
@@ -51,19 +51,23 @@
     fn vote(&mut self, build: u32, stage: u32, verdict: Verdict) {
         self.votes.push((build, stage, verdict));
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &str) {}
 }
 
-fn method(repeat: Repeat) -> Method {
-    let (soft_deadline, group, remembered) = (500 * MS, Group::All, SEC);
-    Method { soft_deadline, utility: 1.0, repeat, group, remembered }
+fn method(idempotency: Idempotency) -> Method {
+    let (soft_deadline, dedup_scope, dedup_window) = (500 * MS, DedupScope::All, SEC);
+    Method { soft_deadline, utility: 1.0, idempotency, dedup_scope, dedup_window }
 }
 
-fn post() -> Post {
-    Post {
+fn post() -> FrontConfig {
+    FrontConfig {
         fronts: 1,
         step: 5 * MS,
-        methods: vec![method(Repeat::Idempotent), method(Repeat::Tokened), method(Repeat::NonIdempotent)],
+        methods: vec![
+            method(Idempotency::Idempotent),
+            method(Idempotency::Tokened),
+            method(Idempotency::NonIdempotent),
+        ],
         rollout: Rollout {
             caps: vec![0.1, 1.0],
             free: 2.0,
@@ -74,7 +78,7 @@
             call_timeout: SEC,
             ..Rollout::default()
         },
-        guard: Guard {
+        limits: SafetyLimits {
             ask_within: 10 * SEC,
             told_within: 0,
             drain_grace: SEC,
@@ -83,8 +87,8 @@
             overload_factor: 2.0,
             fall_time: 2 * SEC,
         },
-        rights: Rights { most_picks: 3, longest_wait: SEC, ..Rights::default() },
-        ..Post::default()
+        permissions: Permissions { most_picks: 3, longest_wait: SEC, ..Permissions::default() },
+        ..FrontConfig::default()
     }
 }
 
@@ -98,21 +102,21 @@
     (0..machines).map(|i| member(i, if i < machines / 2 { 1 } else { 2 }, None)).collect()
 }
 
-fn standing(build: u32, stage: u32, phase: Phase, cap: f64, since: Ns) -> Option<Standing> {
-    Some(Standing { build, stage, phase, cap, since })
+fn standing(build: u32, stage: u32, phase: Phase, cap: f64, since: Ns) -> Option<RolloutStatus> {
+    Some(RolloutStatus { build, stage, phase, cap, since })
 }
 
 /// A front that knows `members` and that build 1 is released.
-fn front(post: Post, members: &[Member], desk: &mut Desk) -> Front {
+fn front(post: FrontConfig, members: &[Member], desk: &mut Desk) -> Front {
     let mut front = Front::start(post, desk);
-    front.members(desk, Roll::Whole, members);
-    front.told(desk, Reply::News, standing(1, 0, Phase::Released, 1.0, 0));
+    front.roster_updated(desk, RosterUpdate::Full, members);
+    front.rollout_updated(desk, Reply::News, standing(1, 0, Phase::Released, 1.0, 0));
     front
 }
 
 fn take(front: &mut Front, desk: &mut Desk, rpc: usize, method: usize) {
     let deadline = desk.now + SEC;
-    front.taken(desk, rpc, method, None, deadline);
+    front.rpc_received(desk, rpc, method, None, deadline);
 }
 
 fn sample(times: &[Option<Ns>]) -> LatencyHistogram {
@@ -122,7 +126,7 @@
 }
 
 fn z(new: &LatencyHistogram, old: &LatencyHistogram) -> f64 {
-    RankSum::of([(new, old)].into_iter()).z()
+    RankSum::of_pairs([(new, old)].into_iter()).z()
 }
 
 #[test]
@@ -157,7 +161,7 @@
 fn a_time_when_all_is_slow_says_nothing_of_the_new_build() {
     let (fast, slow) = (sample(&[Some(50 * MS); 20]), sample(&[Some(400 * MS); 20]));
     let (few_fast, few_slow) = (sample(&[Some(50 * MS); 2]), sample(&[Some(400 * MS); 2]));
-    assert!(RankSum::of([(&few_fast, &fast), (&slow, &few_slow)].into_iter()).z().abs() < 1e-9);
+    assert!(RankSum::of_pairs([(&few_fast, &fast), (&slow, &few_slow)].into_iter()).z().abs() < 1e-9);
 }
 
 #[test]
@@ -188,12 +192,12 @@
         desk.now += 10 * MS;
         take(&mut front, &mut desk, rpc, 0);
         let pick = desk.picks.iter().filter(|p| p.0 == rpc).count() - 1;
-        front.ended(&mut desk, rpc, pick, Outcome::Ok, MS, true);
+        front.pick_ended(&mut desk, rpc, pick, Outcome::Ok, MS, true);
     }
     let exposed = desk.picks.iter().filter(|p| p.1 == 1).count();
     assert!((8..=12).contains(&exposed), "{exposed}");
     // Going back: nothing more.
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::GoingBack, 0.0, 0));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::GoingBack, 0.0, 0));
     desk.picks.clear();
     (0..50).for_each(|rpc| take(&mut front, &mut desk, rpc, 0));
     assert!(desk.picks.iter().all(|p| p.1 == 0));
@@ -219,13 +223,13 @@
     post.rollout.one_way = true;
     let mut front = front(post, &[member(0, 1, None), member(1, 2, None)], &mut desk);
     for rpc in 0..20 {
-        front.taken(&mut desk, rpc, 0, Some(rpc as u64), 101 * SEC);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, MS, true);
+        front.rpc_received(&mut desk, rpc, 0, Some(rpc as u64), 101 * SEC);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, MS, true);
     }
     let (bound, _) = *desk.picks.iter().find(|p| p.1 == 1).expect("a key on trial");
     desk.picks.clear();
     for rpc in 20..40 {
-        front.taken(&mut desk, rpc, 0, Some(bound as u64), 101 * SEC);
+        front.rpc_received(&mut desk, rpc, 0, Some(bound as u64), 101 * SEC);
     }
     assert!(desk.picks.iter().all(|p| p.1 == 1));
     assert!(!desk.pushed_back.is_empty());
@@ -239,9 +243,9 @@
         let mut post = post();
         post.rollout.one_way = true;
         let mut front = front(post, &[member(0, 1, None), member(1, 2, None), member(2, 2, None)], &mut desk);
-        front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 99 * SEC));
-        front.taken(&mut desk, 0, 0, Some(7), 101 * SEC);
-        front.ended(&mut desk, 0, 0, outcome, MS, false);
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 99 * SEC));
+        front.rpc_received(&mut desk, 0, 0, Some(7), 101 * SEC);
+        front.pick_ended(&mut desk, 0, 0, outcome, MS, false);
         let again: Vec<bool> = desk.picks.iter().map(|p| p.1 == 0).collect();
         assert_eq!(again, [false, !binds], "{outcome:?}");
     }
@@ -254,34 +258,38 @@
     let mut post = post();
     post.rollout.one_way = true;
     let mut front = front(post, &[member(0, 1, None), member(1, 2, None)], &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 99 * SEC));
-    front.taken(&mut desk, 0, 0, Some(7), 101 * SEC);
-    front.taken(&mut desk, 1, 0, Some(8), 101 * SEC);
-    assert!(front.stands(0, 0) && front.stands(0, 1));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 99 * SEC));
+    front.rpc_received(&mut desk, 0, 0, Some(7), 101 * SEC);
+    front.rpc_received(&mut desk, 1, 0, Some(8), 101 * SEC);
+    assert!(front.may_send(0, 0) && front.may_send(0, 1));
     // The newer build answers its key: no earlier machine any more, for this key alone.
     front.bind(7, 2);
-    assert!(!front.stands(0, 0) && front.stands(0, 1) && front.stands(1, 0));
+    assert!(!front.may_send(0, 0) && front.may_send(0, 1) && front.may_send(1, 0));
     // It is sent back, which frees the key and shuts the build.
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::GoingBack, 0.0, 100 * SEC));
-    assert!(front.stands(0, 0) && !front.stands(0, 1));
-    front.members(&mut desk, Roll::Changes, &[Member { state: State::Draining, ..member(0, 1, None) }]);
-    assert!(!front.stands(0, 0));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::GoingBack, 0.0, 100 * SEC));
+    assert!(front.may_send(0, 0) && !front.may_send(0, 1));
+    front.roster_updated(
+        &mut desk,
+        RosterUpdate::Changes,
+        &[Member { state: State::Draining, ..member(0, 1, None) }],
+    );
+    assert!(!front.may_send(0, 0));
 }
 
 /// Guards against drains that a front can't be told of, as one whose watch is lost or that has just started: what the desk
 /// has told says as much. A build last told of on trial may have been released or taken off since.
 #[test]
 fn while_the_roster_is_not_heard_picks_go_by_what_was_told_of_each_build() {
-    let picks_told = |first: bool, phase: Phase, roll: Roll, newest: u32| {
+    let picks_told = |first: bool, phase: Phase, roll: RosterUpdate, newest: u32| {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let mut front = Front::start(Post { ask_roster: true, ..post() }, &mut desk);
+        let mut front = Front::start(FrontConfig { ask_roster: true, ..post() }, &mut desk);
         let known: Vec<Member> = (0..6).map(|i| member(i, 1 + i as u32 / 3, None)).collect();
-        front.members(&mut desk, roll, &known);
+        front.roster_updated(&mut desk, roll, &known);
         if first {
-            front.told(&mut desk, Reply::News, standing(1, 1, Phase::Released, 1.0, 80 * SEC));
+            front.rollout_updated(&mut desk, Reply::News, standing(1, 1, Phase::Released, 1.0, 80 * SEC));
         }
-        front.told(&mut desk, Reply::News, standing(2, 1, phase, 0.0, 90 * SEC));
-        front.told(&mut desk, Reply::News, standing(newest, 0, Phase::OnTrial, 0.1, 100 * SEC));
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 1, phase, 0.0, 90 * SEC));
+        front.rollout_updated(&mut desk, Reply::News, standing(newest, 0, Phase::OnTrial, 0.1, 100 * SEC));
         (0..60).for_each(|rpc| take(&mut front, &mut desk, rpc, 0));
         assert_eq!(desk.picks.len() + desk.pushed_back.len(), 60);
         let at = |build: u32| desk.picks.iter().any(|pick| known[pick.1].build == build);
@@ -293,13 +301,13 @@
         assert_eq!(up, not_up);
         up
     };
-    assert_eq!(picks(Phase::Withdrawn, Roll::Saved, 3), [true, false]);
-    assert_eq!(picks(Phase::OnTrial, Roll::Saved, 3), [false, false]);
-    assert_eq!(picks(Phase::Released, Roll::Saved, 3), [false, true]);
+    assert_eq!(picks(Phase::Withdrawn, RosterUpdate::Saved, 3), [true, false]);
+    assert_eq!(picks(Phase::OnTrial, RosterUpdate::Saved, 3), [false, false]);
+    assert_eq!(picks(Phase::Released, RosterUpdate::Saved, 3), [false, true]);
     // Another build came and went unheard: it may have been released.
-    assert_eq!(picks(Phase::Withdrawn, Roll::Saved, 4), [false, false]);
-    assert_eq!(picks(Phase::Released, Roll::Saved, 4), [false, false]);
-    assert_eq!(picks(Phase::Withdrawn, Roll::Whole, 3), [true, true]);
+    assert_eq!(picks(Phase::Withdrawn, RosterUpdate::Saved, 4), [false, false]);
+    assert_eq!(picks(Phase::Released, RosterUpdate::Saved, 4), [false, false]);
+    assert_eq!(picks(Phase::Withdrawn, RosterUpdate::Full, 3), [true, true]);
 }
 
 /// Symptom: herd+mass 207 with 30 nodes, drain broken 5 to 37 times in each of five plays. Build 2 is called back, build
@@ -309,41 +317,41 @@
 /// each has in it tells nothing either: in herd+mass 413 build 2 stood in a third of the places there, and was released since.
 #[test]
 fn a_front_that_starts_on_an_old_roster_keeps_to_the_build_that_surely_stays() {
-    let picks = |machines: [usize; 2], told: u32, roll: Roll| {
+    let picks = |machines: [usize; 2], told: u32, roll: RosterUpdate| {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let mut front = Front::start(Post { ask_roster: true, ..post() }, &mut desk);
+        let mut front = Front::start(FrontConfig { ask_roster: true, ..post() }, &mut desk);
         let builds = (0..machines[0]).map(|_| 1).chain((0..machines[1]).map(|_| 2));
         let known: Vec<Member> = builds.enumerate().map(|(i, build)| member(i, build, None)).collect();
-        front.members(&mut desk, roll, &known);
-        front.told(&mut desk, Reply::News, standing(told, 0, Phase::OnTrial, 0.0, 100 * SEC));
+        front.roster_updated(&mut desk, roll, &known);
+        front.rollout_updated(&mut desk, Reply::News, standing(told, 0, Phase::OnTrial, 0.0, 100 * SEC));
         (0..90).for_each(|rpc| take(&mut front, &mut desk, rpc, 0));
         let at = |build: u32| desk.picks.iter().filter(|pick| known[pick.1].build == build).count();
         [at(1) > 0, at(2) > 0]
     };
     // Either may be the one that drains, whatever their numbers; and build 2 may have come and been released unseen.
     for machines in [[6, 2], [1, 6], [5, 4], [6, 0]] {
-        assert_eq!(picks(machines, 3, Roll::Saved), [false, false], "{machines:?}");
+        assert_eq!(picks(machines, 3, RosterUpdate::Saved), [false, false], "{machines:?}");
     }
     // No other build came between this one and the one told of.
-    assert_eq!(picks([0, 6], 3, Roll::Saved), [false, true]);
-    assert_eq!(picks([6, 2], 2, Roll::Saved), [true, false]);
+    assert_eq!(picks([0, 6], 3, RosterUpdate::Saved), [false, true]);
+    assert_eq!(picks([6, 2], 2, RosterUpdate::Saved), [true, false]);
     // A roster that is heard tells of drains itself.
-    assert_eq!(picks([5, 4], 3, Roll::Whole), [true, true]);
+    assert_eq!(picks([5, 4], 3, RosterUpdate::Full), [true, true]);
 }
 
 /// Guards against picks at machines that went while a front was down: their going counts as told though it was not heard.
 #[test]
 fn a_front_that_hears_no_roster_after_its_start_soon_stops_trusting_the_old_one() {
-    let picks = |ask_roster: bool, waited: Ns, told_within: Ns, heard: Option<Roll>| {
+    let picks = |ask_roster: bool, waited: Ns, told_within: Ns, heard: Option<RosterUpdate>| {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let guard = Guard { told_within, ..post().guard };
-        let mut front = Front::start(Post { ask_roster, guard, ..post() }, &mut desk);
+        let limits = SafetyLimits { told_within, ..post().limits };
+        let mut front = Front::start(FrontConfig { ask_roster, limits, ..post() }, &mut desk);
         let known: Vec<Member> = (0..6).map(|i| member(i, 1, None)).collect();
-        front.members(&mut desk, Roll::Saved, &known);
-        front.told(&mut desk, Reply::News, standing(1, 0, Phase::Released, 1.0, 0));
+        front.roster_updated(&mut desk, RosterUpdate::Saved, &known);
+        front.rollout_updated(&mut desk, Reply::News, standing(1, 0, Phase::Released, 1.0, 0));
         desk.now += waited;
         if let Some(roll) = heard {
-            front.members(&mut desk, roll, if roll == Roll::Whole { &known } else { &[] });
+            front.roster_updated(&mut desk, roll, if roll == RosterUpdate::Full { &known } else { &[] });
         }
         take(&mut front, &mut desk, 0, 0);
         assert_eq!(desk.picks.len() + desk.pushed_back.len(), 1);
@@ -354,9 +362,9 @@
     assert_eq!(picks_after(SEC, told_within, None), 1);
     // Down for five seconds, and the machine went just when it was: told after six, and its grace is over.
     assert_eq!(picks_after(2 * SEC, told_within, None), 0);
-    assert_eq!(picks_after(2 * SEC, told_within, Some(Roll::Failed)), 0);
-    assert_eq!(picks_after(2 * SEC, told_within, Some(Roll::Changes)), 1);
-    assert_eq!(picks_after(60 * SEC, told_within, Some(Roll::Whole)), 1);
+    assert_eq!(picks_after(2 * SEC, told_within, Some(RosterUpdate::Failed)), 0);
+    assert_eq!(picks_after(2 * SEC, told_within, Some(RosterUpdate::Changes)), 1);
+    assert_eq!(picks_after(60 * SEC, told_within, Some(RosterUpdate::Full)), 1);
     // Where only what is heard counts as told, an old roster serves.
     assert_eq!(picks_after(60 * SEC, 0, None), 1);
     // Pushed changes count as told from the start on: the grace of a second is all that is left.
@@ -369,11 +377,11 @@
 fn a_build_that_was_followed_by_a_release_gets_nothing_while_the_roster_is_not_heard() {
     let picks_at_the_former = |lost: bool| {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let mut front = front(Post { ask_roster: true, ..post() }, &fleet(8), &mut desk);
-        front.told(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 99 * SEC));
-        front.told(&mut desk, Reply::News, standing(3, 0, Phase::OnTrial, 0.1, 100 * SEC));
+        let mut front = front(FrontConfig { ask_roster: true, ..post() }, &fleet(8), &mut desk);
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 99 * SEC));
+        front.rollout_updated(&mut desk, Reply::News, standing(3, 0, Phase::OnTrial, 0.1, 100 * SEC));
         if lost {
-            front.members(&mut desk, Roll::Failed, &[]);
+            front.roster_updated(&mut desk, RosterUpdate::Failed, &[]);
         }
         (0..60).for_each(|rpc| take(&mut front, &mut desk, rpc, 0));
         assert!(desk.picks.iter().any(|pick| pick.1 >= 4));
@@ -401,10 +409,10 @@
     const PATIENCE: Ns = 2 * SEC;
     let mut desk = Desk::default();
     // Seeds that lie close together would draw the same first waits.
-    let post = |i: u64| Post {
+    let post = |i: u64| FrontConfig {
         ask_roster: true,
         seed: i.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-        guard: Guard { told_within, ..post().guard },
+        limits: SafetyLimits { told_within, ..post().limits },
         ..post()
     };
     let mut all: Vec<Front> = (1..=fronts).map(|i| Front::start(post(i), &mut desk)).collect();
@@ -427,18 +435,18 @@
                 busy_until = busy_until.max(now) + queue.work;
                 if busy_until - now <= PATIENCE {
                     heard[i] = Some(busy_until);
-                    front.members(&mut desk, Roll::Whole, &[]);
+                    front.roster_updated(&mut desk, RosterUpdate::Full, &[]);
                 } else {
                     refused[i] = Some(now + PATIENCE);
                 }
             }
             if refused[i].take_if(|at| *at <= now).is_some() {
                 desk.wake_times.clear();
-                front.members(&mut desk, Roll::Failed, &[]);
+                front.roster_updated(&mut desk, RosterUpdate::Failed, &[]);
                 asks[i] = desk.wake_times.first().copied();
                 // The timer's call is made at its time: what the front does then is known here alone.
                 desk.now = asks[i].unwrap_or(now);
-                front.woke(&mut desk, 1);
+                front.timer_fired(&mut desk, 1);
                 desk.now = now;
             }
         }
@@ -494,12 +502,12 @@
 fn a_method_never_met_takes_no_room_from_those_that_are() {
     let room_beside = |methods: usize| {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let post = Post { methods: vec![method(Repeat::Idempotent); methods], ..post() };
+        let post = FrontConfig { methods: vec![method(Idempotency::Idempotent); methods], ..post() };
         let mut front = front(post, &[member(0, 1, None)], &mut desk);
         (0..400).for_each(|rpc| {
             desk.now += 5 * MS;
             take(&mut front, &mut desk, rpc, 0);
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, 100 * MS, true);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 100 * MS, true);
         });
         let open = desk.picks.len();
         (400..600).for_each(|rpc| take(&mut front, &mut desk, rpc, 0));
@@ -515,7 +523,7 @@
 fn a_cold_machine_is_not_pushed_over() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None)], &mut desk);
-    front.members(&mut desk, Roll::Changes, &[member(1, 1, Some(100 * SEC))]);
+    front.roster_updated(&mut desk, RosterUpdate::Changes, &[member(1, 1, Some(100 * SEC))]);
     (0..60).for_each(|rpc| take(&mut front, &mut desk, rpc, 0));
     assert!(desk.picks.iter().filter(|p| p.1 == 1).count() <= 1);
 }
@@ -535,9 +543,9 @@
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
         let mut front = front(post(), &[member(0, 1, None), member(1, 1, None)], &mut desk);
         // Build 1 must not be the watched one for earlier machines to exist.
-        front.told(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
         take(&mut front, &mut desk, 0, method);
-        front.ended(&mut desk, 0, 0, outcome, 10 * MS, false);
+        front.pick_ended(&mut desk, 0, 0, outcome, 10 * MS, false);
         assert_eq!((desk.picks.len(), desk.aborted.len()), (picks, aborted), "{method} {outcome:?}");
     }
 }
@@ -546,9 +554,9 @@
 fn a_tokened_rpc_is_not_sent_after_its_repeat_would_be_forgotten() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None), member(1, 1, None)], &mut desk);
-    front.taken(&mut desk, 0, 1, None, 105 * SEC);
+    front.rpc_received(&mut desk, 0, 1, None, 105 * SEC);
     desk.now += SEC;
-    front.ended(&mut desk, 0, 0, Outcome::Broken, SEC, false);
+    front.pick_ended(&mut desk, 0, 0, Outcome::Broken, SEC, false);
     assert_eq!((desk.picks.len(), desk.pushed_back.len()), (1, 1));
 }
 
@@ -559,7 +567,7 @@
     let mut front = front(post(), &[member(0, 1, None), member(1, 1, None)], &mut desk);
     take(&mut front, &mut desk, 0, 0);
     desk.now += SEC;
-    front.ended(&mut desk, 0, 0, Outcome::TimedOut, SEC, false);
+    front.pick_ended(&mut desk, 0, 0, Outcome::TimedOut, SEC, false);
     assert_eq!((desk.picks.len(), desk.aborted.as_slice()), (1, &[0][..]));
 }
 
@@ -567,7 +575,11 @@
 fn nothing_goes_to_a_draining_machine() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None)], &mut desk);
-    front.members(&mut desk, Roll::Changes, &[Member { state: State::Draining, ..member(0, 1, None) }]);
+    front.roster_updated(
+        &mut desk,
+        RosterUpdate::Changes,
+        &[Member { state: State::Draining, ..member(0, 1, None) }],
+    );
     take(&mut front, &mut desk, 0, 0);
     assert_eq!((desk.picks.len(), desk.pushed_back.as_slice()), (0, &[0][..]));
 }
@@ -575,10 +587,10 @@
 #[test]
 fn a_failed_watch_is_asked_again() {
     let mut desk = Desk::default();
-    let mut front = Front::start(Post { ask_roster: true, ..post() }, &mut desk);
-    front.members(&mut desk, Roll::Failed, &[]);
+    let mut front = Front::start(FrontConfig { ask_roster: true, ..post() }, &mut desk);
+    front.roster_updated(&mut desk, RosterUpdate::Failed, &[]);
     let tag = *desk.wakes.last().expect("a timer");
-    front.woke(&mut desk, tag);
+    front.timer_fired(&mut desk, tag);
     assert_eq!(desk.watched, 2);
 }
 
@@ -587,23 +599,23 @@
 fn a_clean_bake_is_voted_on_and_the_vote_renewed() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None), member(1, 2, Some(101 * SEC))], &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.1, 100 * SEC));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.1, 100 * SEC));
     desk.now = 102 * SEC;
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert!(desk.votes.is_empty());
     desk.now = 106 * SEC;
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes, [(2, 0, Verdict::On)]);
-    front.told(&mut desk, Reply::Counted, standing(2, 0, Phase::OnTrial, 0.1, 100 * SEC));
+    front.rollout_updated(&mut desk, Reply::Counted, standing(2, 0, Phase::OnTrial, 0.1, 100 * SEC));
     desk.now += SEC;
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes.len(), 1);
     desk.now += SEC;
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes.len(), 2);
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 1.0, 108 * SEC));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 1.0, 108 * SEC));
     desk.now += SEC;
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes.len(), 2);
 }
 
@@ -612,24 +624,24 @@
 fn votes_of(calls: f64, on_votes: u32, bad: bool, refuses: bool, beats: i64) -> Vec<(Ns, Verdict)> {
     let mut post = post();
     (post.fronts, post.seed) = (100, 7);
-    (post.rollout.on_votes, post.rollout.back_votes, post.rollout.calls) = (on_votes, 1, calls);
+    (post.rollout.on_votes, post.rollout.back_votes, post.rollout.platform_call_rate) = (on_votes, 1, calls);
     post.rollout.control = Control::ByCount;
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post, &fleet(8), &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 80 * SEC));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 80 * SEC));
     for rpc in 0..240 {
         desk.now += 20 * MS;
         take(&mut front, &mut desk, rpc, 2);
         let errs = bad && desk.picks.last().expect("a pick").1 >= 4;
-        front.ended(&mut desk, rpc, 0, if errs { Outcome::Error } else { Outcome::Ok }, 30 * MS, true);
+        front.pick_ended(&mut desk, rpc, 0, if errs { Outcome::Error } else { Outcome::Ok }, 30 * MS, true);
     }
     let mut cast = Vec::new();
     for _ in 0..beats {
         desk.now += SEC / 2;
-        front.woke(&mut desk, 0);
+        front.timer_fired(&mut desk, 0);
         for (.., verdict) in std::mem::take(&mut desk.votes) {
             cast.push((desk.now, verdict));
-            front.told(&mut desk, if refuses { Reply::Refused } else { Reply::Counted }, None);
+            front.rollout_updated(&mut desk, if refuses { Reply::Refused } else { Reply::Counted }, None);
         }
     }
     cast
@@ -666,17 +678,17 @@
     let machines: Vec<Member> = (0..40).map(|i| member(i, 1, None)).collect();
     let fresh = |price: f64| {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let mut front = front(Post { handshake_price: price, ..post.clone() }, &machines, &mut desk);
+        let mut front = front(FrontConfig { handshake_price: price, ..post.clone() }, &machines, &mut desk);
         let mut last = [i64::MIN / 2; 40];
         let mut made = 0;
         for rpc in 0..400 {
             desk.now += SEC / 4;
             let deadline = desk.now + SEC;
-            front.taken(&mut desk, rpc, 0, None, deadline);
+            front.rpc_received(&mut desk, rpc, 0, None, deadline);
             let (_, machine) = *desk.picks.last().unwrap();
             made += usize::from(desk.now - last[machine] > 20 * SEC);
             last[machine] = desk.now;
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
         }
         (made, last.iter().filter(|at| **at > 0).count())
     };
@@ -695,18 +707,22 @@
     let mut met = [0; 40];
     for seed in 1..=30 {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let mut front = front(Post { seed: 77 * seed, ..post.clone() }, &machines, &mut desk);
-        front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 90 * SEC));
+        let mut front = front(FrontConfig { seed: 77 * seed, ..post.clone() }, &machines, &mut desk);
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 90 * SEC));
         for rpc in 0..400 {
             desk.now += SEC / 10;
             if rpc == 200 {
                 let up = |m: &Member| Member { state: State::Up, ..m.clone() };
-                front.members(&mut desk, Roll::Changes, &machines[32..].iter().map(up).collect::<Vec<_>>());
+                front.roster_updated(
+                    &mut desk,
+                    RosterUpdate::Changes,
+                    &machines[32..].iter().map(up).collect::<Vec<_>>(),
+                );
             }
             take(&mut front, &mut desk, rpc, 0);
             let at = desk.picks.last().expect("a pick").1;
             met[at] += usize::from(rpc >= 200);
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
         }
     }
     let [first, later] = [&met[30..32], &met[32..]].map(|m| m.iter().sum::<usize>() / m.len());
@@ -717,14 +733,14 @@
 /// of how slow a machine is, but what it still holds does.
 #[test]
 fn a_quiet_front_leaves_machines_that_still_hold_its_rpcs() {
-    let post = Post { handshake_price: 0.08, ..quiet() };
+    let post = FrontConfig { handshake_price: 0.08, ..quiet() };
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post, &released(40), &mut desk);
     for rpc in 0..200 {
         desk.now += SEC / 4;
         take(&mut front, &mut desk, rpc, 0);
         if desk.picks[rpc].1 != desk.picks[0].1 {
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
         }
     }
     let at = |machine: usize| desk.picks.iter().filter(|p| p.1 == machine).count();
@@ -739,11 +755,11 @@
         (post.rollout.caps, post.rollout.parallel) = (vec![1.0], parallel);
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
         let mut front = front(post, &fleet(40), &mut desk);
-        front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 90 * SEC));
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 1.0, 90 * SEC));
         for rpc in 0..200 {
             desk.now += 50 * MS;
             take(&mut front, &mut desk, rpc, 0);
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
         }
         desk.picks.iter().filter(|p| p.1 >= 20).count()
     };
@@ -755,15 +771,15 @@
 fn vote_after(machines: &[Member], took: Ns, bad: impl Fn(usize) -> bool, how: Outcome) -> Option<Verdict> {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), machines, &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
     for rpc in 0..240 {
         desk.now += 20 * MS;
         take(&mut front, &mut desk, rpc, 2);
         let at = desk.picks.last().expect("a pick").1;
         let (outcome, time) = if bad(at) { (how, took) } else { (Outcome::Ok, 30 * MS) };
-        front.ended(&mut desk, rpc, 0, outcome, time, outcome == Outcome::Ok);
+        front.pick_ended(&mut desk, rpc, 0, outcome, time, outcome == Outcome::Ok);
         if rpc % 25 == 24 {
-            front.woke(&mut desk, 0);
+            front.timer_fired(&mut desk, 0);
         }
     }
     desk.votes.last().map(|v| v.2)
@@ -787,15 +803,15 @@
 fn disputed_answers_send_a_build_back() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None), member(1, 2, None)], &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.5, 100 * SEC));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.5, 100 * SEC));
     for rpc in 0..100 {
         take(&mut front, &mut desk, rpc, 0);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
         if rpc % 5 == 0 && desk.picks[rpc].1 == 1 {
-            front.disputed(&mut desk, 1, 100 * SEC);
+            front.answer_disputed(&mut desk, 1, 100 * SEC);
         }
     }
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes, [(2, 0, Verdict::Back)]);
 }
 
@@ -805,19 +821,19 @@
     for heard in [false, true] {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
         let mut post = post();
-        (post.fronts, post.rights.notes) = (2, true);
+        (post.fronts, post.permissions.notes) = (2, true);
         let mut front = front(post, &fleet(8), &mut desk);
-        front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
         for rpc in 0..400 {
             desk.now += 20 * MS;
             take(&mut front, &mut desk, rpc, 2);
             let took = if desk.picks[rpc].1 >= 4 { 900 * MS } else { 30 * MS };
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, took, true);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, took, true);
             if rpc % 25 == 24 {
                 if heard {
-                    front.heard(&mut desk, 1, &Tally::default().note(2));
+                    front.note_received(&mut desk, 1, &Tally::default().note(2));
                 }
-                front.woke(&mut desk, 0);
+                front.timer_fired(&mut desk, 0);
             }
         }
         assert_eq!(desk.votes.iter().any(|v| v.2 == Verdict::Back), heard);
@@ -825,9 +841,9 @@
 }
 
 /// A post among so many fronts that each sees little of the load.
-fn quiet() -> Post {
-    let mut post = Post { fronts: 100, seed: 7, ..post() };
-    post.rights.notes = true;
+fn quiet() -> FrontConfig {
+    let mut post = FrontConfig { fronts: 100, seed: 7, ..post() };
+    post.permissions.notes = true;
     post
 }
 
@@ -836,7 +852,7 @@
 fn spread(members: &[Member], rpcs: usize, bad: usize, how: Outcome, took: Ns) -> Vec<usize> {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(quiet(), members, &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
     for rpc in 0..rpcs {
         desk.now += 50 * MS;
         let before = desk.picks.len();
@@ -844,10 +860,10 @@
         for pick in 0.. {
             let Some(&(_, machine)) = desk.picks.get(before + pick) else { break };
             let (how, took) = if machine == bad { (how, took) } else { (Outcome::Ok, 30 * MS) };
-            front.ended(&mut desk, rpc, pick, how, took, how == Outcome::Ok);
+            front.pick_ended(&mut desk, rpc, pick, how, took, how == Outcome::Ok);
         }
         if rpc % 10 == 9 {
-            front.woke(&mut desk, 0);
+            front.timer_fired(&mut desk, 0);
         }
     }
     (0..members.len()).map(|m| desk.picks.iter().filter(|p| p.1 == m).count()).collect()
@@ -897,14 +913,14 @@
 #[test]
 fn in_a_jam_clients_with_too_little_time_are_pushed_back_first() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-    let post = Post { methods: vec![method(Repeat::Idempotent)], ..quiet() };
+    let post = FrontConfig { methods: vec![method(Idempotency::Idempotent)], ..quiet() };
     let mut front = front(post, &released(1), &mut desk);
     let hurried = |front: &mut Front, desk: &mut Desk| {
         let before = desk.picks.len();
         for rpc in 0..100 {
             let deadline = desk.now + 300 * MS;
-            front.taken(desk, rpc, 0, None, deadline);
-            front.left(rpc);
+            front.rpc_received(desk, rpc, 0, None, deadline);
+            front.rpc_closed(rpc);
         }
         desk.picks.len() - before
     };
@@ -914,10 +930,10 @@
             let before = desk.picks.len();
             take(front, desk, rpc, 0);
             if desk.picks.len() > before {
-                front.ended(desk, rpc, 0, Outcome::Ok, 400 * MS, true);
+                front.pick_ended(desk, rpc, 0, Outcome::Ok, 400 * MS, true);
             }
             if rpc % 10 == 9 {
-                front.woke(desk, 0);
+                front.timer_fired(desk, 0);
             }
         }
     };
@@ -937,15 +953,15 @@
 fn a_front_with_hardly_a_pick_looks_further_back_for_a_jam() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(quiet(), &released(3), &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
     for rpc in 0..100 {
         desk.now += 1200 * MS;
         let before = desk.picks.len();
         take(&mut front, &mut desk, rpc, 0);
         if desk.picks.len() > before {
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, 400 * MS, true);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 400 * MS, true);
         }
-        front.woke(&mut desk, 0);
+        front.timer_fired(&mut desk, 0);
     }
     assert!(desk.picks.len() < 70, "{}", desk.picks.len());
 }
@@ -962,20 +978,20 @@
     let mut at_cold = 0;
     for seed in 0..100 {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-        let mut front = front(Post { seed: 7919 * seed, ..quiet() }, &released(10), &mut desk);
-        front.told(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
+        let mut front = front(FrontConfig { seed: 7919 * seed, ..quiet() }, &released(10), &mut desk);
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
         for rpc in 0..40 {
             // Two RPCs a second: 200 from all fronts, 20 a machine; as cold as told, one stands half of that.
             desk.now += SEC / 2;
             if rpc == 36 {
                 let started = desk.now - SEC;
-                front.members(&mut desk, Roll::Changes, &[member(10, 1, Some(started))]);
+                front.roster_updated(&mut desk, RosterUpdate::Changes, &[member(10, 1, Some(started))]);
             }
             let before = desk.picks.len();
             take(&mut front, &mut desk, rpc, 0);
             assert_eq!(desk.picks.len(), before + 1);
-            front.ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
-            front.woke(&mut desk, 0);
+            front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
+            front.timer_fired(&mut desk, 0);
         }
         at_cold += desk.picks.iter().filter(|p| p.1 == 10).count();
     }
@@ -987,15 +1003,15 @@
 #[test]
 fn notes_of_quiet_fronts_add_up() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-    let mut front = front(Post { rank: 2, ..quiet() }, &fleet(40), &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
+    let mut front = front(FrontConfig { rank: 2, ..quiet() }, &fleet(40), &mut desk);
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
     for peer in 0..12 {
         let mut tally = Tally::default();
         (tally.words[ALL], tally.words[ROWS + ALL]) = (20.0, 200.0);
         tally.failed.insert((20 + peer, ALL), 3);
-        front.heard(&mut desk, peer as usize, &tally.note(2));
+        front.note_received(&mut desk, peer as usize, &tally.note(2));
     }
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes, [(2, 1, Verdict::Back)]);
 }
 
@@ -1004,22 +1020,22 @@
 #[test]
 fn a_released_build_goes_back_on_the_notes_of_others() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-    let mut front = front(Post { rank: 2, ..quiet() }, &fleet(40), &mut desk);
+    let mut front = front(FrontConfig { rank: 2, ..quiet() }, &fleet(40), &mut desk);
     let note = |new: f32, old: f32, failures: u32| {
         let mut tally = Tally::default();
         (tally.words[ALL], tally.words[ROWS + ALL]) = (new, old);
         tally.failed.extend((20..40).map(|tag| ((tag, ALL), failures)));
         tally.note(2)
     };
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
-    front.heard(&mut desk, 1, &note(20.0, 2000.0, 0));
-    front.woke(&mut desk, 0);
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
+    front.note_received(&mut desk, 1, &note(20.0, 2000.0, 0));
+    front.timer_fired(&mut desk, 0);
     desk.now += 10 * SEC;
     let gone: Vec<Member> = (0..20).map(|m| Member { state: State::Gone, ..member(m, 1, None) }).collect();
-    front.members(&mut desk, Roll::Changes, &gone);
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 110 * SEC));
-    front.heard(&mut desk, 1, &note(2000.0, 0.0, 4));
-    front.woke(&mut desk, 0);
+    front.roster_updated(&mut desk, RosterUpdate::Changes, &gone);
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 110 * SEC));
+    front.note_received(&mut desk, 1, &note(2000.0, 0.0, 4));
+    front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes, [(2, 1, Verdict::Back)]);
 }
 
@@ -1047,16 +1063,16 @@
     let mut post = post();
     post.rollout.dwell = 3 * SEC;
     let mut front = front(post, &fleet(8), &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, cap, 100 * SEC - stood));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, cap, 100 * SEC - stood));
     let mut rpc = 0;
     while desk.picks.last().is_none_or(|p| p.1 < 4) {
         take(&mut front, &mut desk, rpc, 2);
         rpc += 1;
     }
-    front.ended(&mut desk, rpc - 1, 0, how, 30 * MS, true);
-    front.tallied(&mut desk, 2, 0, new[0], new[1]);
-    front.tallied(&mut desk, 1, 0, old[0], old[1]);
-    front.woke(&mut desk, 0);
+    front.pick_ended(&mut desk, rpc - 1, 0, how, 30 * MS, true);
+    front.platform_counted(&mut desk, 2, 0, new[0], new[1]);
+    front.platform_counted(&mut desk, 1, 0, old[0], old[1]);
+    front.timer_fired(&mut desk, 0);
     desk.votes.iter().map(|v| v.2).collect()
 }
 
@@ -1127,13 +1143,13 @@
     let mut post = post();
     post.rollout.one_way = true;
     let mut front = front(post, &[member(0, 1, None), member(1, 2, None)], &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::Released, 1.0, 100 * SEC));
-    front.taken(&mut desk, 0, 0, Some(7), 101 * SEC);
-    front.ended(&mut desk, 0, 0, Outcome::Ok, MS, true);
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::Released, 1.0, 100 * SEC));
+    front.rpc_received(&mut desk, 0, 0, Some(7), 101 * SEC);
+    front.pick_ended(&mut desk, 0, 0, Outcome::Ok, MS, true);
     assert_eq!(desk.picks, [(0, 1)]);
     let draining = Member { state: State::Draining, ..member(1, 2, None) };
-    front.members(&mut desk, Roll::Changes, &[draining, member(2, 3, None)]);
-    (1..5).for_each(|rpc| front.taken(&mut desk, rpc, 0, Some(7), 101 * SEC));
+    front.roster_updated(&mut desk, RosterUpdate::Changes, &[draining, member(2, 3, None)]);
+    (1..5).for_each(|rpc| front.rpc_received(&mut desk, rpc, 0, Some(7), 101 * SEC));
     assert!(desk.picks[1..].iter().all(|p| p.1 == 2));
 }
 
@@ -1142,13 +1158,13 @@
 fn a_dispute_from_before_a_restart_does_not_count() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None), member(1, 2, Some(90 * SEC))], &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.5, 95 * SEC));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.5, 95 * SEC));
     for rpc in 0..100 {
         take(&mut front, &mut desk, rpc, 0);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
-        front.disputed(&mut desk, 1, 89 * SEC);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
+        front.answer_disputed(&mut desk, 1, 89 * SEC);
     }
-    front.woke(&mut desk, 0);
+    front.timer_fired(&mut desk, 0);
     assert!(desk.votes.iter().all(|v| v.2 != Verdict::Back));
 }
 
@@ -1160,16 +1176,16 @@
         // A first stage that changes little, then one that slows the earlier machine down.
         if rpc == 300 || rpc == 500 {
             let (stage, cap) = if rpc == 300 { (0, 0.05) } else { (1, 0.4) };
-            front.members(&mut desk, Roll::Changes, &[member(1, 2, None)]);
-            front.told(&mut desk, Reply::News, standing(2, stage, Phase::OnTrial, cap, 106 * SEC));
+            front.roster_updated(&mut desk, RosterUpdate::Changes, &[member(1, 2, None)]);
+            front.rollout_updated(&mut desk, Reply::News, standing(2, stage, Phase::OnTrial, cap, 106 * SEC));
         }
         desk.now += 20 * MS;
         take(&mut front, &mut desk, rpc, 2);
         let slowed = rpc >= 510 && desk.picks.iter().any(|p| p.0 == rpc && p.1 == 0);
         let how = if slowed && rpc % fails == 0 { Outcome::Error } else { Outcome::Ok };
-        front.ended(&mut desk, rpc, 0, how, if slowed { 900 * MS } else { 30 * MS }, true);
+        front.pick_ended(&mut desk, rpc, 0, how, if slowed { 900 * MS } else { 30 * MS }, true);
         if rpc % 25 == 24 {
-            front.woke(&mut desk, 0);
+            front.timer_fired(&mut desk, 0);
         }
     }
     desk.votes.last().map(|v| v.2)
@@ -1188,21 +1204,25 @@
 #[test]
 fn a_build_that_slows_every_machine_is_sent_back_by_fronts_that_get_few_answers() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
-    let mut post = Post { fronts: 6, ..post() };
+    let mut post = FrontConfig { fronts: 6, ..post() };
     (post.rollout.control, post.rollout.back_votes) = (Control::ByCount, 2);
     let mut front = front(post, &(0..4).map(|i| member(i, 1, None)).collect::<Vec<_>>(), &mut desk);
     for rpc in 0..520 {
         if rpc == 240 || rpc == 280 {
             let (stage, cap) = if rpc == 240 { (0, 0.1) } else { (1, 0.5) };
-            front.members(&mut desk, Roll::Changes, &(4..8).map(|i| member(i, 2, None)).collect::<Vec<_>>());
+            front.roster_updated(
+                &mut desk,
+                RosterUpdate::Changes,
+                &(4..8).map(|i| member(i, 2, None)).collect::<Vec<_>>(),
+            );
             let since = desk.now;
-            front.told(&mut desk, Reply::News, standing(2, stage, Phase::OnTrial, cap, since));
+            front.rollout_updated(&mut desk, Reply::News, standing(2, stage, Phase::OnTrial, cap, since));
         }
         desk.now += SEC / 4;
         take(&mut front, &mut desk, rpc, 0);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, if rpc >= 284 { 450 * MS } else { 150 * MS }, true);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, if rpc >= 284 { 450 * MS } else { 150 * MS }, true);
         if rpc % 2 == 1 {
-            front.woke(&mut desk, 0);
+            front.timer_fired(&mut desk, 0);
         }
     }
     assert!(desk.votes.iter().any(|vote| vote.2 == Verdict::Back));
@@ -1218,14 +1238,14 @@
     for rpc in (0..).take_while(|rpc| *rpc < 600 || 112 * SEC + (rpc - 600) as Ns * apart < end) {
         if rpc == 600 {
             let fresh: Vec<Member> = (3..6).map(|i| member(i, 2, None)).collect();
-            front.members(&mut desk, Roll::Whole, &fresh);
-            front.told(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 112 * SEC));
+            front.roster_updated(&mut desk, RosterUpdate::Full, &fresh);
+            front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 112 * SEC));
         }
         desk.now += if rpc < 600 { 20 * MS } else { apart };
         take(&mut front, &mut desk, rpc, 2);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, if late(rpc) { 900 * MS } else { 30 * MS }, true);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, if late(rpc) { 900 * MS } else { 30 * MS }, true);
         if desk.now % (SEC / 2) == 0 {
-            front.woke(&mut desk, 0);
+            front.timer_fired(&mut desk, 0);
         }
     }
     desk.votes.last().map(|v| v.2)
@@ -1261,7 +1281,7 @@
             let before = desk.picks.len();
             take(front, desk, rpc, 0);
             if desk.picks.len() > before {
-                front.ended(desk, rpc, 0, Outcome::Ok, 10 * MS, true);
+                front.pick_ended(desk, rpc, 0, Outcome::Ok, 10 * MS, true);
             }
         }
     };
@@ -1289,12 +1309,12 @@
     };
     for rpc in 0..600 {
         given(&mut front, &mut desk, rpc, rpc % 3);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 10 * MS, true);
     }
     assert_eq!(given(&mut front, &mut desk, 600, 0), 250 * MS, "half the soft deadline");
     assert!(given(&mut front, &mut desk, 601, 2) > 900 * MS, "this one may not go again");
     desk.now += 250 * MS;
-    front.ended(&mut desk, 600, 0, Outcome::TimedOut, 250 * MS, false);
+    front.pick_ended(&mut desk, 600, 0, Outcome::TimedOut, 250 * MS, false);
     assert_eq!(desk.picks.last().unwrap().0, 600);
     assert!(*desk.time_outs.last().unwrap() > 600 * MS, "the second has what is left");
     for rpc in 602..640 {
@@ -1309,17 +1329,17 @@
 fn a_late_end_of_a_former_process_does_not_count_for_the_new_one() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None), member(1, 1, None)], &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::Withdrawn, 0.0, 0));
     (0..2).for_each(|rpc| take(&mut front, &mut desk, rpc, 2));
     // One of them starts anew and is warm by now; then the pick at its former process breaks.
     let anew = desk.picks[0].1;
     desk.now += 60 * SEC;
-    front.members(&mut desk, Roll::Changes, &[member(anew, 1, Some(110 * SEC))]);
-    front.ended(&mut desk, 0, 0, Outcome::Broken, 60 * SEC, false);
+    front.roster_updated(&mut desk, RosterUpdate::Changes, &[member(anew, 1, Some(110 * SEC))]);
+    front.pick_ended(&mut desk, 0, 0, Outcome::Broken, 60 * SEC, false);
     desk.picks.clear();
     for rpc in 2..10 {
         take(&mut front, &mut desk, rpc, 2);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, 30 * MS, true);
     }
     // The other one still holds an RPC.
     assert!(desk.picks.len() == 8 && desk.picks.iter().all(|p| p.1 == anew), "{:?}", desk.picks);
@@ -1332,16 +1352,20 @@
     let mut post = post();
     post.rollout.one_way = true;
     let mut front = front(post, &[member(0, 1, None), member(1, 2, None)], &mut desk);
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 0));
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 0));
     for key in 0..MOST_KEYS as u64 + 1_000 {
         desk.picks.clear();
-        front.taken(&mut desk, 0, 0, Some(key), 101 * SEC);
-        front.ended(&mut desk, 0, 0, Outcome::Ok, MS, true);
+        front.rpc_received(&mut desk, 0, 0, Some(key), 101 * SEC);
+        front.pick_ended(&mut desk, 0, 0, Outcome::Ok, MS, true);
     }
     assert_eq!(front.bound.len(), MOST_KEYS);
-    front.members(&mut desk, Roll::Changes, &[Member { state: State::Gone, ..member(1, 2, None) }]);
+    front.roster_updated(
+        &mut desk,
+        RosterUpdate::Changes,
+        &[Member { state: State::Gone, ..member(1, 2, None) }],
+    );
     desk.picks.clear();
-    front.taken(&mut desk, 0, 0, Some(MOST_KEYS as u64 + 7), 101 * SEC);
+    front.rpc_received(&mut desk, 0, 0, Some(MOST_KEYS as u64 + 7), 101 * SEC);
     assert_eq!((desk.picks.len(), desk.pushed_back.len()), (0, 1));
 }
 
@@ -1350,12 +1374,12 @@
 fn sums_of_wild_counts_stay_where_they_end() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &fleet(2), &mut desk);
-    (0..3).for_each(|_| front.tallied(&mut desk, 2, 0, u32::MAX, u32::MAX));
+    (0..3).for_each(|_| front.platform_counted(&mut desk, 2, 0, u32::MAX, u32::MAX));
     let mut wild = Tally::default().note(2);
     wild[2..6].copy_from_slice(&[0x7f, 0x80, 0xff, 0xc0]); // infinite, and no number
-    front.heard(&mut desk, 0, &wild);
-    front.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.1, 100 * SEC));
-    front.woke(&mut desk, 0);
+    front.note_received(&mut desk, 0, &wild);
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.1, 100 * SEC));
+    front.timer_fired(&mut desk, 0);
     assert!(Tally::read(&wild).is_none());
     let many = sample(&vec![Some(50 * MS); 70_000]);
     assert!(z(&many, &many).abs() < 1e-9);
@@ -1366,17 +1390,19 @@
 #[test]
 fn a_tokened_rpc_stays_in_its_group_and_in_the_time_of_its_first_pick() {
     let apart = |m: usize| Member { zone: m as u32, cell: m as u32, ..member(m, 1, None) };
-    for (group, picks, aborted) in [(Group::Zone, 1, 1), (Group::Cell, 1, 1), (Group::All, 2, 0)] {
+    for (group, picks, aborted) in
+        [(DedupScope::Zone, 1, 1), (DedupScope::Cell, 1, 1), (DedupScope::All, 2, 0)]
+    {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
         let mut post = post();
-        post.methods[1].group = group;
+        post.methods[1].dedup_scope = group;
         let mut front = front(post, &[apart(0), apart(1)], &mut desk);
-        front.taken(&mut desk, 0, 1, None, 105 * SEC);
+        front.rpc_received(&mut desk, 0, 1, None, 105 * SEC);
         desk.now += SEC / 2;
-        front.ended(&mut desk, 0, 0, Outcome::Broken, SEC / 2, false);
+        front.pick_ended(&mut desk, 0, 0, Outcome::Broken, SEC / 2, false);
         assert_eq!((desk.picks.len(), desk.aborted.len()), (picks, aborted), "{group:?}");
         desk.now += 7 * SEC / 10;
-        front.ended(&mut desk, 0, 1, Outcome::Broken, 7 * SEC / 10, false);
+        front.pick_ended(&mut desk, 0, 1, Outcome::Broken, 7 * SEC / 10, false);
         assert_eq!(desk.picks.len(), picks, "{group:?}: the first pick's token is forgotten by now");
     }
 }
@@ -1386,10 +1412,10 @@
 fn a_machine_that_a_whole_roster_leaves_out_gets_nothing() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &[member(0, 1, None), member(1, 1, None)], &mut desk);
-    front.members(&mut desk, Roll::Whole, &[member(0, 1, None)]);
+    front.roster_updated(&mut desk, RosterUpdate::Full, &[member(0, 1, None)]);
     for rpc in 0..20 {
         take(&mut front, &mut desk, rpc, 0);
-        front.ended(&mut desk, rpc, 0, Outcome::Ok, MS, true);
+        front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, MS, true);
     }
     assert!(desk.picks.len() == 20 && desk.picks.iter().all(|p| p.1 == 0));
 }
@@ -1407,17 +1433,17 @@
             let before = desk.picks.len();
             take(front, desk, 0, 0);
             if desk.picks.len() > before {
-                front.ended(desk, 0, 0, Outcome::Ok, MS, true);
+                front.pick_ended(desk, 0, 0, Outcome::Ok, MS, true);
             }
             if i % 25 == 24 && apart > 5 * MS {
-                front.woke(desk, 0);
+                front.timer_fired(desk, 0);
             }
         }
         desk.picks.len() as f64
     };
     assert!(run(&mut front, &mut desk, 1_000, 20 * MS) > 990.0); // 25 a second and machine
     let cold = member(2, 1, Some(desk.now));
-    front.members(&mut desk, Roll::Whole, &[cold]);
+    front.roster_updated(&mut desk, RosterUpdate::Full, &[cold]);
     let picks = run(&mut front, &mut desk, 800, 5 * MS / 2);
     // Two seconds at half to three quarters of 25, twice that, and a pick.
     assert!((20.0..=2.0 * 2.0 * 25.0 * 0.75 + 1.0).contains(&picks), "{picks}");
@@ -1428,10 +1454,10 @@
 fn repeats_at_a_build_on_trial_and_each_method_keep_to_the_cap() {
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut alone = front(post(), &[member(0, 2, None), member(1, 2, None)], &mut desk);
-    alone.told(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.1, 0));
+    alone.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.1, 0));
     take(&mut alone, &mut desk, 0, 0);
     for pick in 0..3 {
-        alone.ended(&mut desk, 0, pick, Outcome::Error, MS, false);
+        alone.pick_ended(&mut desk, 0, pick, Outcome::Error, MS, false);
     }
     assert_eq!((desk.picks.len(), desk.pushed_back.len()), (2, 1), "two are free");
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
@@ -1441,7 +1467,7 @@
     let mut at_trial = [0; 2];
     for rpc in 0..60 {
         take(&mut each, &mut desk, rpc, rpc / 50);
-        each.ended(&mut desk, rpc, 0, Outcome::Ok, MS, true);
+        each.pick_ended(&mut desk, rpc, 0, Outcome::Ok, MS, true);
         at_trial[rpc / 50] += desk.picks.last().map_or(0, |p| p.1);
     }
     assert_eq!(at_trial, [7, 3]);
@@ -1455,27 +1481,27 @@
     let start = |cap: f64| {
         let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
         let mut front = front(post.clone(), &fleet(4), &mut desk);
-        front.told(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, cap, 90 * SEC));
+        front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, cap, 90 * SEC));
         (front, desk)
     };
     let goes = |front: &mut Front, desk: &mut Desk, rpc: usize, key: u64| {
         let before = desk.picks.len();
         let deadline = desk.now + SEC;
-        front.taken(desk, rpc, 0, Some(key), deadline);
+        front.rpc_received(desk, rpc, 0, Some(key), deadline);
         desk.picks.get(before).map(|p| p.1)
     };
     let (mut front, mut desk) = start(1.0);
-    front.bound_elsewhere(7, 2);
-    front.bound_elsewhere(8, 1);
+    front.key_bound_by_peer(7, 2);
+    front.key_bound_by_peer(8, 1);
     assert!(goes(&mut front, &mut desk, 0, 7).unwrap() >= 2);
     // A build that is withdrawn frees its keys, told before or after.
-    front.told(&mut desk, Reply::News, standing(2, 1, Phase::Withdrawn, 0.0, 100 * SEC));
-    front.bound_elsewhere(9, 2);
+    front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::Withdrawn, 0.0, 100 * SEC));
+    front.key_bound_by_peer(9, 2);
     assert!(goes(&mut front, &mut desk, 1, 7).unwrap() < 2 && goes(&mut front, &mut desk, 2, 9).unwrap() < 2);
     // No room at the trial, and not sure of the key: pushed back, provably never run.
     let (mut front, mut desk) = start(0.0);
-    front.keys_known(false);
+    front.set_keys_known(false);
     assert_eq!((goes(&mut front, &mut desk, 0, 5), desk.pushed_back.len()), (None, 1));
-    front.keys_known(true);
+    front.set_keys_known(true);
     assert!(goes(&mut front, &mut desk, 1, 5).unwrap() < 2);
 }
--- a/terms/src/lib.rs
+++ b/terms/src/lib.rs
@@ -1,5 +1,5 @@
 //! What a front is told at start, as the simulator's pairs or the platform's JSON give it, made into the
-//! module's [`Post`]: once, for the adapter and the node alike. What is not asked for is skipped.
+//! module's [`FrontConfig`]: once, for the adapter and the node alike. What is not asked for is skipped.
 //!
 //! ```
 //! let told = serde_json::json!({ "balancers": 3, "lanes": [{ "aimMs": 330.0, "idempotency": "free" }] });
@@ -7,7 +7,9 @@
 //! let post = rockpick_terms::post(7, &terms).unwrap();
 //! assert_eq!((post.fronts, post.methods[0].soft_deadline), (3, 330_000_000));
 //! ```
-use rockpick::{Control, Group, Guard, Method, Ns, Post, Repeat, Rights, Rollout};
+use rockpick::{
+    Control, DedupScope, FrontConfig, Idempotency, Method, Ns, Permissions, Rollout, SafetyLimits,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -133,7 +135,7 @@
 ///
 /// # Errors
 /// The first field that can't be read.
-pub fn post(seed: u64, terms: &Terms) -> Result<Post, Wrong> {
+pub fn post(seed: u64, terms: &Terms) -> Result<FrontConfig, Wrong> {
     let rows = terms.int("lanes.count")?;
     if rows > MOST_METHODS {
         return Err(Wrong { field: "lanes.count".into(), why: format!("{rows}, at most {MOST_METHODS}") });
@@ -143,22 +145,22 @@
         Ok(Method {
             soft_deadline: terms.time(&at("aimMs"))?,
             utility: terms.num(&at("importance"))?,
-            repeat: terms.get(&at("idempotency"), Repeat::NonIdempotent, |word| match word {
-                "free" => Some(Repeat::Idempotent),
-                "guarded" => Some(Repeat::Tokened),
-                "single_shot" => Some(Repeat::NonIdempotent),
+            idempotency: terms.get(&at("idempotency"), Idempotency::NonIdempotent, |word| match word {
+                "free" => Some(Idempotency::Idempotent),
+                "guarded" => Some(Idempotency::Tokened),
+                "single_shot" => Some(Idempotency::NonIdempotent),
                 _ => None,
             })?,
-            group: terms.get(&at("keyScope"), Group::Cell, |word| match word {
-                "all" => Some(Group::All),
-                "zone" => Some(Group::Zone),
-                "cell" => Some(Group::Cell),
+            dedup_scope: terms.get(&at("keyScope"), DedupScope::Cell, |word| match word {
+                "all" => Some(DedupScope::All),
+                "zone" => Some(DedupScope::Zone),
+                "cell" => Some(DedupScope::Cell),
                 _ => None,
             })?,
-            remembered: terms.time(&at("windowMs"))?,
+            dedup_window: terms.time(&at("windowMs"))?,
         })
     });
-    Ok(Post {
+    Ok(FrontConfig {
         fronts: terms.int("balancers")?,
         rank: terms.int("rank")?,
         zone: terms.int("locality")?,
@@ -187,9 +189,9 @@
             call_timeout: terms.time("extra.apiTimeoutMs")?,
             on_votes: terms.int("extra.votesToGo")?,
             back_votes: terms.int("extra.toAbort")?,
-            calls: terms.num("extra.apiRate")?,
+            platform_call_rate: terms.num("extra.apiRate")?,
         },
-        guard: Guard {
+        limits: SafetyLimits {
             ask_within: terms.time("invariants.askWithinMs")?,
             told_within: 0,
             drain_grace: terms.time("invariants.drainGraceMs")?,
@@ -198,7 +200,7 @@
             overload_factor: terms.get("invariants.overloadFactor", 1.0, number)?,
             fall_time: terms.time("invariants.fallMs")?,
         },
-        rights: Rights {
+        permissions: Permissions {
             most_picks: terms.get("permissions.attemptsCap", 1, |w| number(w).map(|x| x as u32))?,
             notes: terms.flag("permissions.peers")?,
             longest_wait: if terms.flag("permissions.retryAfter")? {
@@ -226,7 +228,7 @@
         let a = post(7, &Terms::of_json(&told)).unwrap();
         let b = post(7, &Terms::of_pairs(pairs).unwrap()).unwrap();
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
-        assert_eq!((a.rollout.caps, a.rights.longest_wait), (vec![0.14, 1.0], 2_000_000_000));
+        assert_eq!((a.rollout.caps, a.permissions.longest_wait), (vec![0.14, 1.0], 2_000_000_000));
     }
 
     #[test]
