--- a/src/failure_odds.rs
+++ b/src/failure_odds.rs
@@ -1,13 +1,13 @@
-//! How likely a count of failures is by chance alone: arithmetic, no decision.
+//! Probability that a number of failures arises by chance; arithmetic without decisions.
 use crate::tally::Count;
 
-/// Failures and picks that are added to the earlier build's: where it shows nothing, one failure in 300 is granted, as so
-/// little is not none.
+/// Added to the earlier build's failures and picks: an earlier build without failures is assumed to fail
+/// once in 300 picks, as few picks without a failure do not show a failure rate of zero.
 const PRIOR_FAILURES: f64 = 0.5;
 const PRIOR_PICKS: f64 = 150.0;
 
-/// The chance of so many failures of `new`, or more, at `old`'s rate (the upper tail of a Poisson distribution). One
-/// failure alone may always be chance.
+/// Probability of at least as many failures as `new` has, at the failure rate of `old` (the upper tail of a
+/// Poisson distribution). A single failure can always be chance.
 pub fn chance_of(new: Count, old: Count) -> f64 {
     let [picks, failures] = new;
     let rate = (f64::from(old[1]) + PRIOR_FAILURES) / (f64::from(old[0]) + PRIOR_PICKS);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,13 +1,13 @@
-//! What crosses the border of the decision module: types and the trait [`Actions`], no decisions.
+//! Types at the interface of the decision module, and the trait [`Actions`]; no decisions.
 
-/// A point in time or a span, in whole nanoseconds.
+/// A point in time or a duration, in whole nanoseconds.
 pub type Ns = i64;
 
-/// May an RPC of this method run again?
+/// Whether an RPC of this method may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
     Idempotent,
-    /// Repeats are recognised, inside a group of machines and for a time.
+    /// Machines recognise repeats by a token, within a group of machines and for a limited time.
     Tokened,
     #[default]
     NonIdempotent,
@@ -22,7 +22,7 @@
     Cell,
 }
 
-/// One row a method.
+/// Settings of one method.
 #[derive(Clone, Debug, Default)]
 pub struct Method {
     pub soft_deadline: Ns,
@@ -41,11 +41,11 @@
     Automatic,
 }
 
-/// How a build comes in, as told at start.
+/// How a build is rolled out, as configured at start-up.
 #[derive(Clone, Debug, Default)]
 pub struct Rollout {
     pub control: Control,
-    /// Earlier machines stay until the release.
+    /// Whether machines of the earlier build stay until the release.
     pub parallel: bool,
     /// The cap of each stage.
     pub caps: Vec<f64>,
@@ -58,21 +58,22 @@
     pub dwell: Ns,
     pub vote_life: Ns,
     pub call_timeout: Ns,
-    /// Fronts that send a build on, or back, together.
+    /// Number of fronts that must vote alike to send a build on, or back.
     pub on_votes: u32,
     pub back_votes: u32,
-    /// Calls a second that the platform takes of all fronts; 0: not told.
+    /// Calls per second that the platform accepts from all fronts together; 0 if unknown.
     pub platform_call_rate: f64,
 }
 
-/// The figures of the five rules.
+/// The parameters of the five rules.
 #[derive(Clone, Debug, Default)]
 pub struct SafetyLimits {
-    /// Without a watch, news must be asked for this often.
+    /// Without a watch, the roster and the rollout must be requested at least this often.
     pub ask_within: Ns,
-    /// A change of the roster counts as told so long after it was made, heard or not; 0: only what is heard counts.
+    /// How long after a change of the roster this front counts as informed of it, whether it heard of it or
+    /// not; 0: only what it has heard counts.
     pub told_within: Ns,
-    /// New picks may go to a machine for so long after its drain was told.
+    /// How long new picks may still go to a machine after its drain was announced.
     pub drain_grace: Ns,
     pub cold_from: f64,
     pub cold_time: Ns,
@@ -85,23 +86,23 @@
 pub struct Permissions {
     pub most_picks: u32,
     pub notes: bool,
-    /// Longest wait that a client obeys after a pushback; 0: none is told.
+    /// Longest wait that clients honour after a pushback; 0: none is suggested.
     pub longest_wait: Ns,
 }
 
-/// All that a front is told at start.
+/// Everything a front is configured with at start-up.
 #[derive(Clone, Debug, Default)]
 pub struct FrontConfig {
     pub fronts: u32,
-    /// This front's place among them, from 0.
+    /// This front's index among them, from 0.
     pub rank: u32,
     pub zone: u32,
     pub seed: u64,
-    /// The roster answers only when asked.
+    /// Whether the roster must be requested instead of being pushed.
     pub ask_roster: bool,
     pub step: Ns,
     pub cross_zone_price: f64,
-    /// Of a new connection, for each RPC.
+    /// Cost of a new connection, charged per RPC.
     pub handshake_price: f64,
     pub methods: Vec<Method>,
     pub rollout: Rollout,
@@ -117,22 +118,22 @@
     Gone,
 }
 
-/// One line of the roster.
+/// One entry of the roster.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Member {
     pub machine: usize,
-    /// The same at every front: 16 bits drawn from its name.
+    /// A 16-bit hash of its name, the same at every front.
     pub tag: u32,
     pub zone: u32,
     pub cell: u32,
     pub build: u32,
     pub state: State,
     pub weight: f64,
-    /// Its last start; none: long ago.
+    /// Its last start; `None` if that was long ago.
     pub started: Option<Ns>,
 }
 
-/// Kinds of roster news.
+/// Kinds of roster updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RosterUpdate {
     Changes,
@@ -155,7 +156,7 @@
 }
 
 impl Outcome {
-    /// Whether the machine may have run what it was sent; all others provably never ran.
+    /// Whether the machine may have run the RPC; with the other outcomes it certainly did not.
     pub fn may_have_run(self) -> bool {
         !matches!(self, Outcome::Full | Outcome::Unreachable | Outcome::Void)
     }
@@ -170,13 +171,13 @@
 }
 
 impl Phase {
-    /// Whether a build may stay, as far as is told: it is not being taken back.
+    /// Whether the build is not being sent back or withdrawn, as far as was announced.
     pub fn stays(self) -> bool {
         matches!(self, Phase::OnTrial | Phase::Released)
     }
 }
 
-/// Where the newest build stands, as the platform last told.
+/// State of the rollout of the newest build, as last announced by the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutStatus {
     pub build: u32,
@@ -194,7 +195,7 @@
     Back,
 }
 
-/// What a call to the platform came to, or news that it sent by itself.
+/// Result of a call to the platform, or news that it sent on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     News,
@@ -203,7 +204,8 @@
     Refused,
 }
 
-/// Through this the decisions act. RPCs and machines are the small indices given at the door.
+/// The actions that decisions can take. RPCs and machines are given by the small indices that the caller
+/// assigns.
 pub trait Actions {
     fn now(&self) -> Ns;
     fn pick(&mut self, rpc: usize, machine: usize, time_out: Ns);
@@ -217,7 +219,8 @@
     fn watch(&mut self, on: bool);
     fn fetch(&mut self);
     fn vote(&mut self, build: u32, stage: u32, verdict: Verdict);
-    /// A build has answered a one-way key for the first time here: other fronts may want to know.
+    /// Called when a build has answered a one-way key for the first time at this front, so that other
+    /// fronts can be told.
     fn key_bound(&mut self, _key: u64, _build: u32) {}
     fn log(&mut self, text: &str);
 }
--- a/src/latency_histogram.rs
+++ b/src/latency_histogram.rs
@@ -1,14 +1,14 @@
-//! Histograms of the times that picks took: no decision.
+//! Histograms of pick latencies; no decisions.
 use crate::interface::Ns;
 
 const MS: f64 = 1e6;
 /// Upper end of the first bucket.
 const SHORTEST_MS: f64 = 4.0;
 const BUCKETS_PER_DOUBLING: f64 = 3.0;
-/// Buckets up to 5 s, and a last one that holds failures: they rank slowest.
+/// Buckets up to 5 s, and a last one for failures, which rank slowest.
 const BUCKETS: usize = 32;
 
-/// Counts of outcomes by the time they took, in logarithmic buckets.
+/// Counts of outcomes by latency, in logarithmic buckets.
 #[derive(Clone, Default)]
 pub struct LatencyHistogram([u32; BUCKETS]);
 
@@ -19,7 +19,7 @@
 }
 
 impl LatencyHistogram {
-    /// Adds an outcome; a failure has no time.
+    /// Adds an outcome; `None` is a failure.
     pub fn add(&mut self, took: Option<Ns>) {
         self.0[took.map_or(BUCKETS - 1, Self::bucket)] += 1;
     }
@@ -29,7 +29,7 @@
         self.0.iter().sum()
     }
 
-    /// The sum of several histograms, bucket by bucket.
+    /// Sums several histograms bucket by bucket.
     pub fn sum<'a>(histograms: impl Iterator<Item = &'a LatencyHistogram>) -> LatencyHistogram {
         histograms.fold(LatencyHistogram::default(), |sum, other| {
             LatencyHistogram(std::array::from_fn(|i| sum.0[i] + other.0[i]))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! rockpick watches over software updates from a tier of fronts: each front routes RPCs between the
-//! builds of a fleet and votes on the build on trial. [`Front`] (in `logic`) takes every decision and
-//! acts through [`Actions`]; `interface` holds the types that cross the border, and nothing else.
+//! rockpick supervises software updates from a tier of fronts: each front routes RPCs between the builds of a
+//! fleet and votes on the build on trial. [`Front`] (in `logic`) takes every decision and acts through
+//! [`Actions`]; `interface` holds the types shared with callers, and nothing else.
 //!
 //! ```
 //! use rockpick::{RankSum, LatencyHistogram};
@@ -16,10 +16,11 @@
 mod latency_histogram;
 mod logic;
 mod rank_sum;
-mod ring;
+mod rng;
 mod tally;
 #[cfg(test)]
 mod tests;
+mod time_buckets;
 
 pub use interface::*;
 pub use latency_histogram::LatencyHistogram;
--- a/src/rank_sum.rs
+++ b/src/rank_sum.rs
@@ -1,19 +1,19 @@
-//! The Mann–Whitney U test over histograms: arithmetic, no decision.
+//! The Mann–Whitney U test over histograms; arithmetic without decisions.
 
-/// A rank-sum test. Tests of several methods, loads or fronts add up, each ranked by itself, so that like is held
-/// against like.
+/// Sum of rank-sum tests. Each method, load class and front is ranked on its own, so that only comparable
+/// outcomes are compared.
 #[derive(Clone, Copy, Default)]
 pub struct RankSum {
-    /// How far U lies beyond its middle: above 0 where the new side is the slower one.
+    /// U minus its expected value: above 0 if the new side is slower.
     pub excess: f64,
     pub variance: f64,
-    /// Pairs of a new and an earlier outcome that were compared.
+    /// Number of pairs of a new and an earlier outcome that were compared.
     pub pairs: f64,
 }
 
 impl RankSum {
-    /// Ranks pairs of histograms (new, earlier) whose buckets ascend; ties share their middle rank. A pair with an
-    /// empty side says nothing.
+    /// Ranks pairs of histograms (new, earlier) with ascending buckets; ties share the mean rank. A pair
+    /// with an empty side contributes nothing.
     pub fn of_pairs<'a, H: AsRef<[u32]> + 'a>(pairs: impl Iterator<Item = (&'a H, &'a H)>) -> RankSum {
         pairs.fold(RankSum::default(), |sum, (new, old)| sum.plus(new.as_ref(), old.as_ref()))
     }
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Standard deviations beyond the middle.
+    /// Standard deviations above the expected value.
     pub fn z(self) -> f64 {
         self.excess / self.variance.max(1e-9).sqrt()
     }
 
-    /// How much oftener than half the new side is the slower one, from -0.5 to 0.5.
+    /// By how much the probability that the new side is slower exceeds one half, from -0.5 to 0.5.
     pub fn effect_size(self) -> f64 {
         self.excess / self.pairs.max(1.0)
     }
 
-    /// The figures in the order in which notes carry them.
+    /// The components in the order of the note format.
     pub fn to_array(self) -> [f64; 3] {
         [self.excess, self.variance, self.pairs]
     }
--- a/src/tally.rs
+++ b/src/tally.rs
@@ -1,88 +1,89 @@
-//! What is counted, and the note that carries it to peers; no decision.
+//! Counts of outcomes, and the note that carries them to peers; no decisions.
 use std::collections::BTreeMap;
 
 /// Picks and failures.
 pub type Count = [u32; 2];
 
-/// Counts told by others may be wild, and must not run over to small ones.
-pub fn add(a: Count, b: Count) -> Count {
+/// Adds with saturation: counts reported by others may be arbitrarily large and must not wrap around.
+pub fn add_counts(a: Count, b: Count) -> Count {
     [a[0].saturating_add(b[0]), a[1].saturating_add(b[1])]
 }
 
-pub fn sum<'a>(counts: impl Iterator<Item = &'a Count>) -> Count {
-    counts.fold([0, 0], |sum, c| add(sum, *c))
+pub fn sum_counts<'a>(counts: impl Iterator<Item = &'a Count>) -> Count {
+    counts.fold([0, 0], |sum, c| add_counts(sum, *c))
 }
 
-pub fn share(c: Count) -> f64 {
+pub fn failure_rate(c: Count) -> f64 {
     f64::from(c[1]) / f64::from(c[0].max(1))
 }
 
-/// Counts by row: all picks, disputed answers, answers of warm machines past the soft deadline, then a row a
-/// method; methods beyond share the last row.
+/// Counts by row: all picks, disputed answers, answers of warm machines after the soft deadline, then one
+/// row per method; surplus methods share the last row.
 pub const ROWS: usize = 9;
 pub const ALL: usize = 0;
 pub const DISPUTES: usize = 1;
 pub const LATE: usize = 2;
 pub type Counts = [Count; ROWS];
 
-pub fn row_of(method: usize) -> usize {
+pub fn method_row(method: usize) -> usize {
     (method + 3).min(ROWS - 1)
 }
 
-pub fn merge(a: Counts, b: &Counts) -> Counts {
-    std::array::from_fn(|row| add(a[row], b[row]))
+pub fn merge_rows(a: Counts, b: &Counts) -> Counts {
+    std::array::from_fn(|row| add_counts(a[row], b[row]))
 }
 
-/// What one front or several have counted: picks by side and row, then three rank tests of times (new against
-/// earlier; earlier against those before the trial, and those of a lesser share); failures by tag and row.
+/// Counts of one or several fronts. `values` holds picks by side and row, followed by three rank tests of
+/// latencies: new against earlier build; earlier build against the time before the trial; earlier build
+/// against the time when the trial had a smaller share. `failures` holds failures by machine tag and row.
 #[derive(Clone, Default)]
 pub struct Tally {
-    pub words: [f32; WORDS],
-    pub failed: BTreeMap<(u32, usize), u32>,
+    pub values: [f32; VALUES],
+    pub failures: BTreeMap<(u32, usize), u32>,
 }
 
-pub const WORDS: usize = 2 * ROWS + 9;
+pub const VALUES: usize = 2 * ROWS + 9;
 
 impl Tally {
-    /// Adds what was counted of one machine.
-    pub fn count(&mut self, side: usize, tag: u32, counts: Counts) {
+    /// Adds the counts of one machine.
+    pub fn add_machine(&mut self, side: usize, tag: u32, counts: Counts) {
         for (row, [picks, failed]) in counts.into_iter().enumerate() {
-            self.words[ROWS * side + row] += picks as f32;
+            self.values[ROWS * side + row] += picks as f32;
             if failed > 0 {
-                *self.failed.entry((tag, row)).or_default() += failed;
+                *self.failures.entry((tag, row)).or_default() += failed;
             }
         }
     }
 
     pub fn add(&mut self, other: &Tally) {
-        self.words.iter_mut().zip(&other.words).for_each(|(a, b)| *a += b);
-        other.failed.iter().for_each(|(at, n)| *self.failed.entry(*at).or_default() += n);
+        self.values.iter_mut().zip(&other.values).for_each(|(a, b)| *a += b);
+        other.failures.iter().for_each(|(at, n)| *self.failures.entry(*at).or_default() += n);
     }
 
-    /// The three figures of a rank test.
-    pub fn test(&self, i: usize) -> [f64; 3] {
-        std::array::from_fn(|j| self.words[2 * ROWS + 3 * i + j].into())
+    /// The three components of a rank test.
+    pub fn rank_test(&self, i: usize) -> [f64; 3] {
+        std::array::from_fn(|j| self.values[2 * ROWS + 3 * i + j].into())
     }
 
-    /// A note: the build, the upper halves of the words, then machines that failed.
-    pub fn note(&self, build: u32) -> Vec<u8> {
-        let words = self.words.iter().map(|w| (w.to_bits() >> 16) as u16);
-        let mut note: Vec<u8> = [build as u16].into_iter().chain(words).flat_map(u16::to_be_bytes).collect();
-        for ((tag, row), n) in self.failed.iter().take((256 - note.len()) / 4) {
+    /// Encodes a note: the build, the upper 16 bits of each value, then the machines that failed.
+    pub fn encode(&self, build: u32) -> Vec<u8> {
+        let values = self.values.iter().map(|w| (w.to_bits() >> 16) as u16);
+        let mut note: Vec<u8> = [build as u16].into_iter().chain(values).flat_map(u16::to_be_bytes).collect();
+        for ((tag, row), n) in self.failures.iter().take((256 - note.len()) / 4) {
             note.extend([(tag >> 8) as u8, *tag as u8, *row as u8, (*n).min(255) as u8]);
         }
         note
     }
 
-    pub fn read(note: &[u8]) -> Option<(u32, Tally)> {
-        let (head, tail) = note.split_at_checked(2 + 2 * WORDS)?;
+    pub fn decode(note: &[u8]) -> Option<(u32, Tally)> {
+        let (head, tail) = note.split_at_checked(2 + 2 * VALUES)?;
         let word = |b: &[u8]| u32::from(b[0]) << 8 | u32::from(b[1]);
-        let words: [f32; WORDS] = std::array::from_fn(|i| f32::from_bits(word(&head[2 * i + 2..]) << 16));
-        // One infinite word would stay in whatever it is added to.
-        if !words.iter().all(|w| w.is_finite()) {
+        let values: [f32; VALUES] = std::array::from_fn(|i| f32::from_bits(word(&head[2 * i + 2..]) << 16));
+        // An infinite value would persist in every sum it is added to.
+        if !values.iter().all(|w| w.is_finite()) {
             return None;
         }
-        let failed = tail.chunks_exact(4).map(|b| ((word(b), b[2].into()), b[3].into())).collect();
-        Some((word(head), Tally { words, failed }))
+        let failures = tail.chunks_exact(4).map(|b| ((word(b), b[2].into()), b[3].into())).collect();
+        Some((word(head), Tally { values, failures }))
     }
 }
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -1,8 +1,9 @@
 //! Each test builds the state it needs and calls one function.
 use crate::logic::*;
 use crate::rank_sum::RankSum;
-use crate::ring::{Chance, Ring};
+use crate::rng::Rng;
 use crate::tally::*;
+use crate::time_buckets::TimeBuckets;
 use crate::*;
 
 const MS: Ns = 1_000_000;
@@ -149,7 +150,7 @@
 /// Waits are drawn in nanoseconds: beyond 4.3 s the product ran over 64 bits (a panic here, a short wait in a release build).
 #[test]
 fn waits_beyond_four_seconds_are_drawn_from_their_whole_span() {
-    let mut chance = Chance(7);
+    let mut chance = Rng(7);
     let drawn: Vec<usize> = (0..1_000).map(|_| chance.below(30 * SEC as usize)).collect();
     assert!(drawn.iter().all(|wait| *wait < 30 * SEC as usize));
     let late = drawn.iter().filter(|wait| **wait > 15 * SEC as usize).count();
@@ -174,13 +175,13 @@
 
 #[test]
 fn a_ring_forgets_what_is_older_than_its_buckets() {
-    let mut ring = Ring::<u32>::new(10, 3);
-    *ring.at(5) += 1;
-    *ring.at(15) += 2;
-    assert_eq!(ring.last(25, 3).sum::<u32>(), 3);
-    assert_eq!(ring.last(35, 3).sum::<u32>(), 2);
-    *ring.at(95) += 4;
-    assert_eq!(ring.last(95, 3).sum::<u32>(), 4);
+    let mut ring = TimeBuckets::<u32>::new(10, 3);
+    *ring.current(5) += 1;
+    *ring.current(15) += 2;
+    assert_eq!(ring.recent(25, 3).sum::<u32>(), 3);
+    assert_eq!(ring.recent(35, 3).sum::<u32>(), 2);
+    *ring.current(95) += 4;
+    assert_eq!(ring.recent(95, 3).sum::<u32>(), 4);
 }
 
 /// Rule 5, also for a build that is listed before it is announced: free, and a tenth of 100 RPCs.
@@ -831,7 +832,7 @@
             front.pick_ended(&mut desk, rpc, 0, Outcome::Ok, took, true);
             if rpc % 25 == 24 {
                 if heard {
-                    front.note_received(&mut desk, 1, &Tally::default().note(2));
+                    front.note_received(&mut desk, 1, &Tally::default().encode(2));
                 }
                 front.timer_fired(&mut desk, 0);
             }
@@ -1007,9 +1008,9 @@
     front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
     for peer in 0..12 {
         let mut tally = Tally::default();
-        (tally.words[ALL], tally.words[ROWS + ALL]) = (20.0, 200.0);
-        tally.failed.insert((20 + peer, ALL), 3);
-        front.note_received(&mut desk, peer as usize, &tally.note(2));
+        (tally.values[ALL], tally.values[ROWS + ALL]) = (20.0, 200.0);
+        tally.failures.insert((20 + peer, ALL), 3);
+        front.note_received(&mut desk, peer as usize, &tally.encode(2));
     }
     front.timer_fired(&mut desk, 0);
     assert_eq!(desk.votes, [(2, 1, Verdict::Back)]);
@@ -1023,9 +1024,9 @@
     let mut front = front(FrontConfig { rank: 2, ..quiet() }, &fleet(40), &mut desk);
     let note = |new: f32, old: f32, failures: u32| {
         let mut tally = Tally::default();
-        (tally.words[ALL], tally.words[ROWS + ALL]) = (new, old);
-        tally.failed.extend((20..40).map(|tag| ((tag, ALL), failures)));
-        tally.note(2)
+        (tally.values[ALL], tally.values[ROWS + ALL]) = (new, old);
+        tally.failures.extend((20..40).map(|tag| ((tag, ALL), failures)));
+        tally.encode(2)
     };
     front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::OnTrial, 0.5, 100 * SEC));
     front.note_received(&mut desk, 1, &note(20.0, 2000.0, 0));
@@ -1042,14 +1043,14 @@
 #[test]
 fn a_note_carries_its_counts_and_rests_within_its_size() {
     let mut tally = Tally::default();
-    (tally.words[3], tally.words[2 * ROWS]) = (200.0, -1.5);
-    tally.failed.extend((0..300).map(|tag| ((tag, 1), 2)));
-    let note = tally.note(513);
+    (tally.values[3], tally.values[2 * ROWS]) = (200.0, -1.5);
+    tally.failures.extend((0..300).map(|tag| ((tag, 1), 2)));
+    let note = tally.encode(513);
     assert!(note.len() <= 256);
-    let (build, read) = Tally::read(&note).expect("a whole note");
-    assert_eq!((build, read.words), (513, tally.words));
-    assert_eq!(read.failed.get(&(7, 1)), Some(&2));
-    assert!(Tally::read(&note[..20]).is_none());
+    let (build, read) = Tally::decode(&note).expect("a whole note");
+    assert_eq!((build, read.values), (513, tally.values));
+    assert_eq!(read.failures.get(&(7, 1)), Some(&2));
+    assert!(Tally::decode(&note[..20]).is_none());
 }
 
 /// What a front makes of tallies of both builds, with four machines each, when its only pick at the trial ended so.
@@ -1353,19 +1354,19 @@
     post.rollout.one_way = true;
     let mut front = front(post, &[member(0, 1, None), member(1, 2, None)], &mut desk);
     front.rollout_updated(&mut desk, Reply::News, standing(2, 1, Phase::Released, 1.0, 0));
-    for key in 0..MOST_KEYS as u64 + 1_000 {
+    for key in 0..MAX_BOUND_KEYS as u64 + 1_000 {
         desk.picks.clear();
         front.rpc_received(&mut desk, 0, 0, Some(key), 101 * SEC);
         front.pick_ended(&mut desk, 0, 0, Outcome::Ok, MS, true);
     }
-    assert_eq!(front.bound.len(), MOST_KEYS);
+    assert_eq!(front.bound_keys.len(), MAX_BOUND_KEYS);
     front.roster_updated(
         &mut desk,
         RosterUpdate::Changes,
         &[Member { state: State::Gone, ..member(1, 2, None) }],
     );
     desk.picks.clear();
-    front.rpc_received(&mut desk, 0, 0, Some(MOST_KEYS as u64 + 7), 101 * SEC);
+    front.rpc_received(&mut desk, 0, 0, Some(MAX_BOUND_KEYS as u64 + 7), 101 * SEC);
     assert_eq!((desk.picks.len(), desk.pushed_back.len()), (0, 1));
 }
 
@@ -1375,12 +1376,12 @@
     let mut desk = Desk { now: 100 * SEC, ..Desk::default() };
     let mut front = front(post(), &fleet(2), &mut desk);
     (0..3).for_each(|_| front.platform_counted(&mut desk, 2, 0, u32::MAX, u32::MAX));
-    let mut wild = Tally::default().note(2);
+    let mut wild = Tally::default().encode(2);
     wild[2..6].copy_from_slice(&[0x7f, 0x80, 0xff, 0xc0]); // infinite, and no number
     front.note_received(&mut desk, 0, &wild);
     front.rollout_updated(&mut desk, Reply::News, standing(2, 0, Phase::OnTrial, 0.1, 100 * SEC));
     front.timer_fired(&mut desk, 0);
-    assert!(Tally::read(&wild).is_none());
+    assert!(Tally::decode(&wild).is_none());
     let many = sample(&vec![Some(50 * MS); 70_000]);
     assert!(z(&many, &many).abs() < 1e-9);
 }
