--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,26 +1,29 @@
-//! The simulator's wire on standard input and output; every decision is the module's.
-mod read;
-mod seat;
+//! Speaks the simulator's line protocol on standard input and output. All decisions are made by the decision
+//! module.
+mod hosted_front;
+mod line_reader;
 
-use read::{Bad, Line};
-use seat::{Listed, Seat};
+use hosted_front::{HostedFront, RosterEntry};
+use line_reader::{Line, LineError};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
 #[derive(Default)]
-struct Host {
+struct Adapter {
     now: i64,
-    lists: BTreeMap<u8, Vec<Listed>>,
+    lists: BTreeMap<u8, Vec<RosterEntry>>,
+    /// The list being received: its id, and how many entries are still to come.
     filling: Option<(u8, usize)>,
-    seats: BTreeMap<u32, Seat>,
+    fronts: BTreeMap<u32, HostedFront>,
+    /// Names of unknown messages that were reported.
     unknown: BTreeSet<String>,
     out: String,
 }
 
-impl Host {
-    /// Takes one line; true when a batch is complete and its reply stands in `out`.
-    fn line(&mut self, text: &str) -> Result<bool, Bad> {
+impl Adapter {
+    /// Handles one line; returns true at the end of a batch, when `out` holds the reply.
+    fn handle_line(&mut self, text: &str) -> Result<bool, LineError> {
         let mut line = Line::new(text);
         let name = line.name();
         match name {
@@ -36,32 +39,32 @@
                 self.filling = Some((list, entries));
             }
             "ITEM" => {
-                let entry = Listed::read(&mut line)?;
+                let entry = RosterEntry::read(&mut line)?;
                 let Some((list, left)) = self.filling.as_mut().filter(|(_, left)| *left > 0) else {
-                    return Err(line.bad("membersList", "an entry without a list"));
+                    return Err(line.error("membersList", "entry outside of a list"));
                 };
                 *left -= 1;
                 self.lists.entry(*list).or_default().push(entry);
             }
             "POWER_ON" => {
                 let front = line.int("frontId")?;
-                let seat = Seat::start(self.now, front, &mut line, &mut self.out)?;
-                self.seats.insert(front, seat);
+                let hosted = HostedFront::start(self.now, front, &mut line, &mut self.out)?;
+                self.fronts.insert(front, hosted);
             }
             "STOP" => {
-                self.seats.remove(&line.int("frontId")?);
+                self.fronts.remove(&line.int("frontId")?);
             }
             "PEERS_KNOWN" | "REQ" | "ACCEPTED" | "RESULT" | "ABANDONED" | "WAKE" | "HEALTH" | "INBOX"
             | "PHASE_TOLD" | "PLATFORM_SAW" | "DISPUTED" => {
                 let front = line.int("frontId")?;
-                let Some(seat) = self.seats.get_mut(&front) else {
-                    return Err(line.bad("frontId", "no such front runs"));
+                let Some(hosted) = self.fronts.get_mut(&front) else {
+                    return Err(line.error("frontId", "front is not running"));
                 };
-                seat.event(self.now, name, &mut line, &self.lists, &mut self.out)?;
+                hosted.event(self.now, name, &mut line, &self.lists, &mut self.out)?;
             }
             other => {
                 if self.unknown.insert(other.to_string()) {
-                    eprintln!("unknown message {other}: skipped");
+                    eprintln!("ignoring unknown message {other}");
                 }
             }
         }
@@ -70,7 +73,7 @@
 }
 
 fn main() -> ExitCode {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut input = std::io::stdin().lock();
     let mut output = std::io::stdout().lock();
     let mut text = String::new();
@@ -81,21 +84,21 @@
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => {}
             Err(err) => {
-                eprintln!("standard input: {err}");
+                eprintln!("failed to read standard input: {err}");
                 return ExitCode::from(2);
             }
         }
         number += 1;
-        match host.line(text.trim_end_matches(['\n', '\r'])) {
+        match adapter.handle_line(text.trim_end_matches(['\n', '\r'])) {
             Ok(false) => {}
             Ok(true) => {
-                if output.write_all(host.out.as_bytes()).and_then(|()| output.flush()).is_err() {
+                if output.write_all(adapter.out.as_bytes()).and_then(|()| output.flush()).is_err() {
                     return ExitCode::SUCCESS;
                 }
-                host.out.clear();
+                adapter.out.clear();
             }
-            Err(bad) => {
-                eprintln!("line {number}: {bad}");
+            Err(err) => {
+                eprintln!("line {number}: {err}");
                 return ExitCode::from(2);
             }
         }
@@ -106,8 +109,8 @@
 mod tests {
     use super::*;
 
-    fn feed(host: &mut Host, text: &str) -> Result<(), String> {
-        text.lines().try_for_each(|line| host.line(line).map(drop).map_err(|bad| bad.to_string()))
+    fn feed(adapter: &mut Adapter, text: &str) -> Result<(), String> {
+        text.lines().try_for_each(|line| adapter.handle_line(line).map(drop).map_err(|err| err.to_string()))
     }
 
     const START: &str = "TICK 1000.0\nPOWER_ON 3 7 balancers=2 lanes.count=1 lanes.0.aimMs=100.0 \
@@ -116,28 +119,28 @@
 
     #[test]
     fn an_rpc_is_picked_and_its_slot_freed_after_its_last_result() {
-        let mut host = Host::default();
+        let mut adapter = Adapter::default();
         let events = format!("{START}REQ 3 00000000000000aa 0 0 - 1500.0 - 0\n");
-        feed(&mut host, &events).unwrap();
-        assert!(host.out.contains("PASS_ON 3 00000000000000aa "), "{}", host.out);
-        assert_eq!(host.seats[&3].open(), 1);
-        feed(&mut host, "RESULT 3 00000000000000aa 0 machine_a success 18.5 1 -").unwrap();
-        assert_eq!(host.seats[&3].open(), 0);
+        feed(&mut adapter, &events).unwrap();
+        assert!(adapter.out.contains("PASS_ON 3 00000000000000aa "), "{}", adapter.out);
+        assert_eq!(adapter.fronts[&3].open(), 1);
+        feed(&mut adapter, "RESULT 3 00000000000000aa 0 machine_a success 18.5 1 -").unwrap();
+        assert_eq!(adapter.fronts[&3].open(), 0);
     }
 
     #[test]
-    fn a_malformed_field_is_named() {
-        let mut host = Host::default();
-        feed(&mut host, START).unwrap();
-        let said = feed(&mut host, "REQ 3 zz 0 0 - 1500.0 - 0").unwrap_err();
-        assert!(said.contains("REQ") && said.contains("req"), "{said}");
+    fn the_error_names_the_malformed_field() {
+        let mut adapter = Adapter::default();
+        feed(&mut adapter, START).unwrap();
+        let error = feed(&mut adapter, "REQ 3 zz 0 0 - 1500.0 - 0").unwrap_err();
+        assert!(error.contains("REQ") && error.contains("req"), "{error}");
     }
 
     #[test]
-    fn unknown_messages_are_skipped_and_a_stopped_front_is_forgotten() {
-        let mut host = Host::default();
-        feed(&mut host, START).unwrap();
-        feed(&mut host, "NOVELTY 3 1 2\nSTOP 3").unwrap();
-        assert!(host.seats.is_empty());
+    fn unknown_messages_are_ignored_and_a_stopped_front_is_removed() {
+        let mut adapter = Adapter::default();
+        feed(&mut adapter, START).unwrap();
+        feed(&mut adapter, "NOVELTY 3 1 2\nSTOP 3").unwrap();
+        assert!(adapter.fronts.is_empty());
     }
 }
