--- a/adapter/src/hosted_front.rs
+++ b/adapter/src/hosted_front.rs
@@ -5,8 +5,8 @@
     Actions, Front, FrontConfig, Member, Ns, Outcome, Phase, Reply, RolloutStatus, RosterUpdate, State,
     Verdict,
 };
-use rockpick_door::{tag, Door};
-use rockpick_terms::{nanos, number, Terms};
+use rockpick_front_settings::{nanos, number, Terms};
+use rockpick_id_table::{tag, IdTable};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -41,7 +41,7 @@
 struct ActionWriter<'a> {
     now: Ns,
     front: u32,
-    ids: &'a mut Door,
+    ids: &'a mut IdTable,
     out: &'a mut String,
 }
 
@@ -138,7 +138,7 @@
 
 pub struct HostedFront {
     number: u32,
-    ids: Door,
+    ids: IdTable,
     front: Option<Front>,
 }
 
@@ -164,13 +164,13 @@
 fn read_config(line: &mut Line) -> Result<FrontConfig, LineError> {
     let seed = line
         .required("rngSeed", |w| w.parse::<u64>().ok().or_else(|| w.parse::<i64>().ok().map(|x| x as u64)))?;
-    Ok(rockpick_terms::post(seed, &Terms::of_pairs(line.rest())?)?)
+    Ok(rockpick_front_settings::post(seed, &Terms::of_pairs(line.rest())?)?)
 }
 
 impl HostedFront {
     pub fn start(now: Ns, number: u32, line: &mut Line, out: &mut String) -> Result<Self, LineError> {
         let config = read_config(line)?;
-        let mut hosted = HostedFront { number, ids: Door::default(), front: None };
+        let mut hosted = HostedFront { number, ids: IdTable::default(), front: None };
         hosted.call(now, out, |front, actions| *front = Some(Front::start(config, actions)));
         Ok(hosted)
     }
--- a/adapter/src/line_reader.rs
+++ b/adapter/src/line_reader.rs
@@ -1,5 +1,5 @@
 //! Reads the fields of one line of input in order, and base64.
-use rockpick_terms::{nanos, Wrong};
+use rockpick_front_settings::{nanos, Wrong};
 use std::fmt;
 use std::str::FromStr;
 
