--- a/front-settings/src/lib.rs
+++ b/front-settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! Parses a front's settings, given as the simulator's key=value pairs or the platform's JSON, into the decision module's
-//! [`Post`], for both the adapter and the node. Unknown settings are ignored.
+//! [`FrontConfig`], for both the adapter and the node. Unknown settings are ignored.
 //!
 //! ```
 //! let json = serde_json::json!({ "balancers": 3, "lanes": [{ "aimMs": 330.0, "idempotency": "free" }] });
@@ -7,7 +7,9 @@
 //! let post = rockpick_front_settings::parse_post(7, &settings).unwrap();
 //! assert_eq!((post.fronts, post.methods[0].soft_deadline), (3, 330_000_000));
 //! ```
-use rockpick::{Control, Group, Guard, Method, Ns, Post, Repeat, Rights, Rollout};
+use rockpick::{
+    Control, DedupScope, FrontConfig, Idempotency, Method, Ns, Permissions, Rollout, SafetyLimits,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -134,7 +136,7 @@
 ///
 /// # Errors
 /// The first field that can't be parsed.
-pub fn parse_post(seed: u64, settings: &SettingsMap) -> Result<Post, FieldError> {
+pub fn parse_post(seed: u64, settings: &SettingsMap) -> Result<FrontConfig, FieldError> {
     let rows = settings.integer("lanes.count")?;
     if rows > MAX_METHODS {
         return Err(FieldError {
@@ -147,22 +149,26 @@
         Ok(Method {
             soft_deadline: settings.duration(&at("aimMs"))?,
             utility: settings.float(&at("importance"))?,
-            repeat: settings.parse(&at("idempotency"), Repeat::NonIdempotent, |text| match text {
-                "free" => Some(Repeat::Idempotent),
-                "guarded" => Some(Repeat::Tokened),
-                "single_shot" => Some(Repeat::NonIdempotent),
+            idempotency: settings.parse(
+                &at("idempotency"),
+                Idempotency::NonIdempotent,
+                |text| match text {
+                    "free" => Some(Idempotency::Idempotent),
+                    "guarded" => Some(Idempotency::Tokened),
+                    "single_shot" => Some(Idempotency::NonIdempotent),
+                    _ => None,
+                },
+            )?,
+            dedup_scope: settings.parse(&at("keyScope"), DedupScope::Cell, |text| match text {
+                "all" => Some(DedupScope::All),
+                "zone" => Some(DedupScope::Zone),
+                "cell" => Some(DedupScope::Cell),
                 _ => None,
             })?,
-            group: settings.parse(&at("keyScope"), Group::Cell, |text| match text {
-                "all" => Some(Group::All),
-                "zone" => Some(Group::Zone),
-                "cell" => Some(Group::Cell),
-                _ => None,
-            })?,
-            remembered: settings.duration(&at("windowMs"))?,
+            dedup_window: settings.duration(&at("windowMs"))?,
         })
     });
-    Ok(Post {
+    Ok(FrontConfig {
         fronts: settings.integer("balancers")?,
         rank: settings.integer("rank")?,
         zone: settings.integer("locality")?,
@@ -191,9 +197,9 @@
             call_timeout: settings.duration("extra.apiTimeoutMs")?,
             on_votes: settings.integer("extra.votesToGo")?,
             back_votes: settings.integer("extra.toAbort")?,
-            calls: settings.float("extra.apiRate")?,
+            platform_call_rate: settings.float("extra.apiRate")?,
         },
-        guard: Guard {
+        limits: SafetyLimits {
             ask_within: settings.duration("invariants.askWithinMs")?,
             told_within: 0,
             drain_grace: settings.duration("invariants.drainGraceMs")?,
@@ -202,7 +208,7 @@
             overload_factor: settings.parse("invariants.overloadFactor", 1.0, number)?,
             fall_time: settings.duration("invariants.fallMs")?,
         },
-        rights: Rights {
+        permissions: Permissions {
             most_picks: settings.parse("permissions.attemptsCap", 1, |w| number(w).map(|x| x as u32))?,
             notes: settings.flag("permissions.peers")?,
             longest_wait: if settings.flag("permissions.retryAfter")? {
@@ -230,7 +236,7 @@
         let a = parse_post(7, &SettingsMap::from_json(&json)).unwrap();
         let b = parse_post(7, &SettingsMap::from_pairs(pairs).unwrap()).unwrap();
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
-        assert_eq!((a.rollout.caps, a.rights.longest_wait), (vec![0.14, 1.0], 2_000_000_000));
+        assert_eq!((a.rollout.caps, a.permissions.longest_wait), (vec![0.14, 1.0], 2_000_000_000));
     }
 
     #[test]
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,5 +1,5 @@
 //! A node's configuration, as read at its start and again at a reload.
-use rockpick::{Ns, Post};
+use rockpick::{FrontConfig, Ns};
 use rockpick_front_settings::{parse_post, FieldError, SettingsMap};
 use rockpick_net::MS;
 use rockpick_platform::rollout_api::{self, BuildStatus};
@@ -22,7 +22,7 @@
     pub initial_status: Option<BuildStatus>,
     pub initial_roster: Value,
     pub sockets: usize,
-    pub post: Post,
+    pub post: FrontConfig,
     /// Name of each method, and the longest deadline of its clients.
     pub methods: Vec<(String, Ns)>,
     pub zones: Vec<String>,
@@ -85,7 +85,7 @@
             .parse("invariants.drainGraceMs", Ns::MAX, rockpick_front_settings::nanos)
             .map_err(settings_error)?;
         let mut post = parse_post(seed, &settings).map_err(settings_error)?;
-        post.guard.told_within = roster::CHANGE_KNOWN_WITHIN;
+        post.limits.told_within = roster::CHANGE_KNOWN_WITHIN;
         Ok(Config {
             name: text_field("name", "PROXY_NAME")?,
             listen: address("listen", &text_field("listen", "PROXY_LISTEN")?)?,
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -1,6 +1,6 @@
 //! Pool of connections to machines, with a limit on their number. It does not choose the machines.
 use crate::effects::{Effects, Pick};
-use rockpick::{Ns, Outcome, Repeat};
+use rockpick::{Idempotency, Ns, Outcome};
 use rockpick_net::{Id, MS, SEC};
 use rockpick_pg::{self as pg, Response, ResponseReader};
 use rockpick_platform::statement;
@@ -246,8 +246,8 @@
         let Some(open) = self.open[rpc].as_ref() else { return max };
         let method = &self.config.post.methods[open.method];
         let first = open.picks.iter().filter(|p| p.may_have_run).map(|p| p.sent).min();
-        let first_run = first.filter(|_| method.repeat == Repeat::Tokened);
-        let window_left = |at: Ns| at + method.remembered - 2 * self.config.post.step - self.net.now();
+        let first_run = first.filter(|_| method.idempotency == Idempotency::Tokened);
+        let window_left = |at: Ns| at + method.dedup_window - 2 * self.config.post.step - self.net.now();
         first_run.map_or(max, |at| window_left(at).min(max))
     }
 
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -2,11 +2,11 @@
 //! links are established while the old ones still serve.
 use crate::effects::{Effects, ROLLOUT_API_TIMER};
 use rand::Rng;
-use rockpick::{Member, Ns, Outcome, Reply, Roll, Standing, State, Verdict};
+use rockpick::{Member, Ns, Outcome, Reply, RolloutStatus, RosterUpdate, State, Verdict};
 use rockpick_net::http;
 use rockpick_net::{take_line, Call, End, Id, MS, SEC};
 use rockpick_platform::rollout_api::{self, BuildStatus, Line};
-use rockpick_platform::roster::{self, RosterUpdate};
+use rockpick_platform::roster::{self, RosterMessage};
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -135,15 +135,15 @@
 
 /// A link's news for the decision module.
 pub enum ModuleEvent {
-    Members(Roll, Vec<Member>),
-    Status(Reply, Option<Standing>),
+    Members(RosterUpdate, Vec<Member>),
+    Status(Reply, Option<RolloutStatus>),
     Tallied { build: u32, method: usize, picks: u32, not_ok: u32 },
     Disputed { machine: usize, sent: Ns },
 }
 
-pub fn to_standing(now: Ns, status: BuildStatus) -> Standing {
+pub fn to_standing(now: Ns, status: BuildStatus) -> RolloutStatus {
     let BuildStatus { build, stage, phase, cap, age } = status;
-    Standing { build, stage, phase, cap, since: now - age }
+    RolloutStatus { build, stage, phase, cap, since: now - age }
 }
 
 impl Effects {
@@ -222,13 +222,13 @@
                 // is current.
                 Ok(None) if heartbeat && !self.discovery.watches[at].active => {
                     self.watch_active(at);
-                    events.push(ModuleEvent::Members(Roll::Changes, Vec::new()));
+                    events.push(ModuleEvent::Members(RosterUpdate::Changes, Vec::new()));
                 }
                 Ok(None) => {}
                 Ok(Some(json)) => match roster::parse_update(&json, &mut self.config.zones) {
                     Some(update) => {
                         self.watch_active(at);
-                        let roll = if update.whole { Roll::Whole } else { Roll::Changes };
+                        let roll = if update.whole { RosterUpdate::Full } else { RosterUpdate::Changes };
                         events.push(self.apply_update(roll, update));
                     }
                     None => malformed = true,
@@ -275,7 +275,7 @@
         // A list that is older than a watch's updates must not undo them. In that case a watch is being established
         // and will report the current state.
         let update = update.filter(|t| t.whole && t.seq >= self.discovery.seq);
-        update.map(|update| self.apply_update(Roll::Whole, update)).into_iter().collect()
+        update.map(|update| self.apply_update(RosterUpdate::Full, update)).into_iter().collect()
     }
 
     fn end_watch(&mut self, call: Id) -> Option<ModuleEvent> {
@@ -288,19 +288,19 @@
         }
         self.end_call(call);
         // The end of an older watch does not matter while a newer one is being established.
-        newest.then(|| ModuleEvent::Members(Roll::Failed, Vec::new()))
+        newest.then(|| ModuleEvent::Members(RosterUpdate::Failed, Vec::new()))
     }
 
     /// Applies an update to the tables, and converts it for the module.
-    pub fn apply_update(&mut self, roll: Roll, update: RosterUpdate) -> ModuleEvent {
-        let RosterUpdate { seq, whole, records, malformed } = update;
+    pub fn apply_update(&mut self, roll: RosterUpdate, update: RosterMessage) -> ModuleEvent {
+        let RosterMessage { seq, whole, records, malformed } = update;
         self.discovery.updates += 1;
         if malformed > 0 {
             tracing::warn!(event = "skipped malformed roster records", odd = malformed, seq);
         }
         // An update that is older than the known state, from a link that lags behind, must not undo newer changes.
         if !whole && seq < self.discovery.seq {
-            return ModuleEvent::Members(Roll::Changes, Vec::new());
+            return ModuleEvent::Members(RosterUpdate::Changes, Vec::new());
         }
         self.discovery.seq = seq;
         let mut members = Vec::with_capacity(records.len());
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -8,7 +8,7 @@
 };
 use crate::lateness::Lateness;
 use crate::Config;
-use rockpick::{Front, Ns, Outcome, Reply, Roll};
+use rockpick::{Front, Ns, Outcome, Reply, RosterUpdate};
 use rockpick_net::{Bound, Event, Id, Net, MS, SEC};
 use rockpick_peers::{Company, Peers};
 use rockpick_pg as pg;
@@ -130,7 +130,7 @@
             peers,
         };
         if let Some(update) = initial_roster {
-            let event = node.effects.apply_update(Roll::Saved, update);
+            let event = node.effects.apply_update(RosterUpdate::Saved, update);
             node.deliver(event);
         }
         if let Some(initial_status) = initial_status {
@@ -202,7 +202,7 @@
 
     fn end_pick(&mut self, rpc: usize, pick: usize, how: Outcome, row: Option<&[u8]>) {
         if let Some((took, last)) = self.effects.pick_ended(rpc, pick, how, row) {
-            self.front.ended(&mut self.effects, rpc, pick, how, took, last);
+            self.front.pick_ended(&mut self.effects, rpc, pick, how, took, last);
             self.effects.release_rpc(rpc);
         }
     }
@@ -213,7 +213,7 @@
                 PickEvent::Ended(how, row) => self.end_pick(rpc, pick, how, row.as_deref()),
                 PickEvent::ConnectionReady => {
                     let machine = self.effects.open[rpc].as_ref().map(|open| open.picks[pick].machine);
-                    let valid = machine.is_some_and(|machine| self.front.stands(rpc, machine));
+                    let valid = machine.is_some_and(|machine| self.front.may_send(rpc, machine));
                     if self.effects.use_opened(conn, rpc, pick, valid) {
                         // Processes what the machine sent after its startup response.
                         self.machine_bytes(conn, &[]);
@@ -229,7 +229,7 @@
     fn deliver(&mut self, event: ModuleEvent) {
         let (front, effects) = (&mut self.front, &mut self.effects);
         match event {
-            ModuleEvent::Members(roll, members) => front.members(effects, roll, &members),
+            ModuleEvent::Members(roll, members) => front.roster_updated(effects, roll, &members),
             ModuleEvent::Status(reply, news) => {
                 let news = match &mut self.peers {
                     Some(peers) => news.map(|s| peers.stands(s)),
@@ -238,12 +238,12 @@
                 if let Some(s) = news {
                     tracing::info!(event = "build status", build = s.build, stage = s.stage, phase = ?s.phase, cap = s.cap, reply = ?reply);
                 }
-                front.told(effects, reply, news);
+                front.rollout_updated(effects, reply, news);
             }
             ModuleEvent::Tallied { build, method, picks, not_ok } => {
-                front.tallied(effects, build, method, picks, not_ok)
+                front.platform_counted(effects, build, method, picks, not_ok)
             }
-            ModuleEvent::Disputed { machine, sent } => front.disputed(effects, machine, sent),
+            ModuleEvent::Disputed { machine, sent } => front.answer_disputed(effects, machine, sent),
         }
     }
 
@@ -295,7 +295,7 @@
                     .for_each(|event| self.deliver(event));
             }
             Event::Woke { tag } if tag & MODULE_TIMER != 0 => {
-                self.front.woke(&mut self.effects, tag & !MODULE_TIMER)
+                self.front.timer_fired(&mut self.effects, tag & !MODULE_TIMER)
             }
             Event::Woke { tag: DEADLINE_TIMER } => self.expire_deadlines(),
             Event::Woke { tag: PEERS_TIMER } => {
@@ -386,9 +386,15 @@
         if client_deadline <= self.effects.net.now() + ANSWER_MARGIN {
             // There is no time left for a pick and the way back. Nothing was sent, so the client may safely repeat
             // the RPC.
-            rockpick::Ctl::push_back(&mut self.effects, rpc, 0);
+            rockpick::Actions::push_back(&mut self.effects, rpc, 0);
         } else {
-            self.front.taken(&mut self.effects, rpc, method, Some(key), client_deadline - ANSWER_MARGIN);
+            self.front.rpc_received(
+                &mut self.effects,
+                rpc,
+                method,
+                Some(key),
+                client_deadline - ANSWER_MARGIN,
+            );
             self.process_pending();
         }
         self.effects.release_rpc(rpc);
@@ -398,7 +404,7 @@
         if !self.effects.ids.finished(rpc) {
             self.effects.counters.left += 1;
             self.effects.ids.finish(rpc);
-            self.front.left(rpc);
+            self.front.rpc_closed(rpc);
         }
         self.effects.release_rpc(rpc);
     }
