--- a/cli/src/ask.rs
+++ b/cli/src/ask.rs
@@ -1,6 +1,6 @@
 //! Calls to the controller from the command line.
 use crate::Bad2;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_net::http::Response;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -40,9 +40,9 @@
     }
 }
 
-pub fn settings(to: SocketAddr) -> Result<Charter, Bad2> {
+pub fn settings(to: SocketAddr) -> Result<Settings, Bad2> {
     let text = json(to, "/settings")?["settings"].to_string();
-    Charter::read(text.as_bytes()).map_err(|wrong| Bad2(format!("{}: {}", wrong[0].field, wrong[0].why)))
+    Settings::read(text.as_bytes()).map_err(|wrong| Bad2(format!("{}: {}", wrong[0].field, wrong[0].why)))
 }
 
 /// Names and addresses of the fronts that have watched.
--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -3,7 +3,7 @@
 use crate::Bad2;
 use clap::Args;
 use hdrhistogram::Histogram;
-use rockpick_control::{Charter, Controller};
+use rockpick_control::{Controller, Settings};
 use rockpick_net::{http, Call, End, Event, Net, Ns, MS, SEC};
 use rockpick_peers::{Circle, Company, Peers};
 use serde_json::Value;
@@ -293,7 +293,7 @@
         });
         let controller = from.recv().map_err(|err| Bad2(err.to_string()))?;
         // One that is told that it is alone has nothing to take from others.
-        let mut charter = Charter::example(if self.peers.is_some() { 2 } else { 1 }, 2);
+        let mut charter = Settings::example(if self.peers.is_some() { 2 } else { 1 }, 2);
         charter.rollout.tally_sample = 0.0;
         charter.rollout.one_way = self.peers.is_some();
         let text = serde_json::to_string(&charter).map_err(|err| Bad2(err.to_string()))?;
--- a/cli/src/fleet.rs
+++ b/cli/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::bench::{cpu, spawn, Proc};
 use crate::Bad2;
 use clap::Args;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::os::unix::process::CommandExt;
@@ -133,7 +133,7 @@
             std::fs::write(&at, script).map_err(say)?;
             repo(&program, &self.out, &["add", "--build", build], &[&at])?;
         }
-        let mut charter = Charter::example(1, self.agents);
+        let mut charter = Settings::example(1, self.agents);
         (charter.rollout.stages, charter.rollout.caps) = (vec![1.0], vec![0.5]);
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut fleet = Fleet { at, controller: None, agents: Vec::new(), out: self.out.clone() };
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -19,8 +19,7 @@
 mod tenants;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use rockpick_control::charter::plain;
-use rockpick_control::Charter;
+use rockpick_control::settings::plain;
 use rockpick_net::{MS, SEC};
 use rockpick_standin::{Bad, Clients, Load, Machine};
 use std::net::SocketAddr;
@@ -731,14 +730,14 @@
 fn settings(what: Settings) -> Result<ExitCode, Bad2> {
     match what {
         Settings::Example { fronts, places } => {
-            let charter = Charter::example(fronts, places);
+            let charter = rockpick_control::Settings::example(fronts, places);
             if let Some(wrong) = charter.check().first() {
                 return Err(Bad2(format!("{}: {}", wrong.field, wrong.why)));
             }
             println!("{}", serde_json::to_string_pretty(&charter).unwrap_or_default());
             Ok(ExitCode::SUCCESS)
         }
-        Settings::Check { file } => match Charter::read(&read(&file)?) {
+        Settings::Check { file } => match rockpick_control::Settings::read(&read(&file)?) {
             Ok(_) => {
                 println!("good");
                 Ok(ExitCode::SUCCESS)
--- a/cli/tests/agent.rs
+++ b/cli/tests/agent.rs
@@ -2,7 +2,7 @@
 mod peers;
 
 use peers::*;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use serde_json::Value;
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
@@ -48,7 +48,7 @@
         assert!(rockpick(&["repo", "init", "--dir", &repo, "--keys", &keys]).status.success());
         builds.iter().for_each(|(build, more)| yard.add(*build, more));
         yard.control();
-        let mut charter = Charter::example(1, places);
+        let mut charter = Settings::example(1, places);
         charter.guard.drain_grace_ms = 300;
         charter.methods.iter_mut().for_each(|m| (m.soft_deadline_ms, m.deadline_ms) = (200, 400));
         let settings = serde_json::to_string(&charter).unwrap();
--- a/cli/tests/company.rs
+++ b/cli/tests/company.rs
@@ -2,7 +2,7 @@
 mod peers;
 
 use peers::*;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_storm::relay::Relay;
 use rockpick_storm::Way;
 use rustix::process::Signal;
@@ -154,7 +154,7 @@
 /// The gap that was: a front that returns has forgotten which keys the build on trial has answered.
 #[test]
 fn one_way_keys_hold_over_lives_and_fronts() {
-    let mut charter = Charter::example(2, 4);
+    let mut charter = Settings::example(2, 4);
     charter.rollout.told_every_ms = 100;
     charter.rollout.tally_every_ms = 0;
     (charter.rollout.one_way, charter.rollout.free) = (true, 2.0);
@@ -208,7 +208,7 @@
 #[test]
 fn a_build_withdrawn_elsewhere_gets_no_more_picks_here() {
     let charter = || {
-        let mut charter = Charter::example(2, 4);
+        let mut charter = Settings::example(2, 4);
         (charter.rollout.told_every_ms, charter.rollout.tally_every_ms) = (5_000, 0);
         (charter.rollout.free, charter.rollout.window_ms) = (100.0, 500);
         charter
@@ -319,7 +319,7 @@
 
 impl Keyed {
     fn begin() -> Keyed {
-        let mut charter = Charter::example(3, 4);
+        let mut charter = Settings::example(3, 4);
         (charter.rollout.told_every_ms, charter.rollout.tally_every_ms) = (100, 0);
         (charter.rollout.one_way, charter.rollout.free, charter.rollout.window_ms) = (true, 10_000.0, 500);
         let machines = [Scripted::begin(Does::Answers), Scripted::begin(Does::Answers)];
--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -3,7 +3,7 @@
 mod peers;
 
 use peers::*;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_net::{Event, Net, Ns, MS, SEC};
 use rockpick_rehearse::call;
 use rockpick_standin::DirectoryServer;
@@ -249,7 +249,7 @@
     let d = directory(false, false).filled();
     let dir = tempfile::tempdir().unwrap();
     let controller = start(&["controller"]);
-    let mut charter = Charter::example(1, 2);
+    let mut charter = Settings::example(1, 2);
     let unknown = rockpick_tenant::books::Callers::Refused;
     charter.directory = Some(Books { unknown, ..d.books() });
     let put = call(controller.at, "PUT", "/settings", &serde_json::to_string(&charter).unwrap()).unwrap();
--- a/cli/tests/front.rs
+++ b/cli/tests/front.rs
@@ -2,14 +2,14 @@
 mod peers;
 
 use peers::*;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rustix::process::Signal;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-fn charter() -> Charter {
-    let mut charter = Charter::example(1, 4);
+fn charter() -> Settings {
+    let mut charter = Settings::example(1, 4);
     charter.rollout.told_every_ms = 100;
     charter.rollout.tally_every_ms = 0;
     charter.rollout.free = 0.0;
--- a/cli/tests/hardening.rs
+++ b/cli/tests/hardening.rs
@@ -3,7 +3,7 @@
 
 use peers::*;
 use rockpick_control::keep::open;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -11,8 +11,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-fn charter() -> Charter {
-    let mut charter = Charter::example(1, 4);
+fn charter() -> Settings {
+    let mut charter = Settings::example(1, 4);
     charter.rollout.told_every_ms = 100;
     charter.rollout.tally_every_ms = 0;
     charter
@@ -416,7 +416,7 @@
 #[test]
 fn a_machine_is_new_after_a_kill_and_drained_at_a_sigterm() {
     let controller = start(&["controller"]);
-    assert_eq!(put(controller.at, &Charter::example(1, 1)).status, 200);
+    assert_eq!(put(controller.at, &Settings::example(1, 1)).status, 200);
     let at = controller.at.to_string();
     let machine = || start(&["machine", "--controller", &at, "--name", "m", "--place", "p0", "--build", "1"]);
     let listed = || get(controller.at, "/roster")["roster"]["members"][0].clone();
--- a/cli/tests/peers/mod.rs
+++ b/cli/tests/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Scripted peers for tests of the running binary: a controller that tells what the test says, machines
 //! that answer as the test says, processes that end with the test.
 #![allow(dead_code)]
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -100,12 +100,12 @@
     /// Connections that asked to watch.
     pub watches: Arc<AtomicU64>,
     /// The settings and their version; how many answers to who asks for them are nonsense first.
-    pub settings: Arc<Mutex<(u64, Charter, u32)>>,
+    pub settings: Arc<Mutex<(u64, Settings, u32)>>,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Teller {
-    pub fn begin(charter: Charter) -> Teller {
+    pub fn begin(charter: Settings) -> Teller {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let teller = Teller {
             at: listener.local_addr().unwrap(),
@@ -128,7 +128,7 @@
     }
 
     /// Gives other settings, and tells of them; the first `nonsense` answers to who asks are none.
-    pub fn gives(&self, charter: Charter, nonsense: u32) -> u64 {
+    pub fn gives(&self, charter: Settings, nonsense: u32) -> u64 {
         let mut settings = self.settings.lock().unwrap();
         *settings = (settings.0 + 1, charter, nonsense);
         self.tell(json!({ "settings_version": settings.0 }));
@@ -163,7 +163,7 @@
 }
 
 fn serve(
-    io: TcpStream, settings: &Mutex<(u64, Charter, u32)>, posted: [&Mutex<Vec<Value>>; 2],
+    io: TcpStream, settings: &Mutex<(u64, Settings, u32)>, posted: [&Mutex<Vec<Value>>; 2],
     watches: &AtomicU64, lines: &Mutex<Vec<String>>,
 ) {
     let mut out = io.try_clone().unwrap();
@@ -303,7 +303,7 @@
     rustix::process::kill_process(pid, signal).unwrap();
 }
 
-pub fn put(at: SocketAddr, charter: &Charter) -> rockpick_net::http::Response {
+pub fn put(at: SocketAddr, charter: &Settings) -> rockpick_net::http::Response {
     rockpick_rehearse::call(at, "PUT", "/settings", &serde_json::to_string(charter).unwrap()).unwrap()
 }
 
--- a/cli/tests/whole.rs
+++ b/cli/tests/whole.rs
@@ -2,7 +2,7 @@
 mod peers;
 
 use peers::*;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use std::process::Command;
 
 fn rehearse(args: &[&str]) -> (i32, String) {
@@ -47,7 +47,7 @@
     let state = state.to_string_lossy().into_owned();
     let controller = start(&["controller", "--state", &state]);
     let at = controller.at.to_string();
-    let settings = serde_json::to_string(&Charter::example(30, 2)).unwrap();
+    let settings = serde_json::to_string(&Settings::example(30, 2)).unwrap();
     assert_eq!(rockpick_rehearse::call(controller.at, "PUT", "/settings", &settings).unwrap().status, 200);
     let names: Vec<String> = (0..30).map(|i| format!("f{i}")).collect();
     let fronts: Vec<Proc> =
@@ -59,7 +59,7 @@
     until("all watch again", || all(controller.at));
     assert_eq!(get(controller.at, "/status")["settings_version"], 1, "its settings were kept");
     // New settings reach every front in its running.
-    let mut charter = Charter::example(30, 2);
+    let mut charter = Settings::example(30, 2);
     charter.rollout.free = 3.0;
     let settings = serde_json::to_string(&charter).unwrap();
     assert_eq!(rockpick_rehearse::call(controller.at, "PUT", "/settings", &settings).unwrap().status, 200);
--- a/control/src/desk.rs
+++ b/control/src/desk.rs
@@ -1,8 +1,8 @@
 //! The controller without its sockets: each request gets an answer, each pass the lines that watchers are
 //! due. Time is told by the caller; the only file is the snapshot, written by [`Desk::save`]'s caller.
-use crate::charter::{plain, Charter, Wrong, MOST_STAGES};
 use crate::release::{Moot, Moved, Release, Running, MOST_BUILD};
 use crate::roster::{Beat, Order, Roster, SETTLE};
+use crate::settings::{plain, Settings, Wrong, MOST_STAGES};
 use rockpick::{Ns, Phase, State, Verdict};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -30,7 +30,7 @@
     serial: Option<u64>,
     staged: bool,
     fronts: u64,
-    charter: u64,
+    settings: u64,
 }
 
 #[derive(Clone, Serialize, Deserialize)]
@@ -46,7 +46,8 @@
 #[derive(Clone, Serialize, Deserialize)]
 struct Snapshot {
     version: u64,
-    charter: Charter,
+    #[serde(rename = "charter")]
+    settings: Settings,
     earlier: u32,
     newest: Option<Kept>,
     /// Of the last order; none given later may have a lower one.
@@ -71,7 +72,7 @@
 
 #[derive(Default)]
 pub struct Desk {
-    pub charter: Option<Charter>,
+    pub settings: Option<Settings>,
     pub version: u64,
     pub release: Option<Release>,
     pub roster: Roster,
@@ -182,10 +183,10 @@
         let mut desk = Desk { born: now, tallied: now, told: now, bucket, ..Desk::default() };
         let Some(text) = snapshot else { return Ok(desk) };
         let kept: Snapshot = serde_json::from_slice(text).map_err(|err| format!("the snapshot: {err}"))?;
-        if let Some(Wrong { field, why }) = kept.charter.check().first() {
+        if let Some(Wrong { field, why }) = kept.settings.check().first() {
             return Err(format!("the snapshot: {field}: {why}"));
         }
-        let mut release = Release::new(&kept.charter);
+        let mut release = Release::new(&kept.settings);
         let newest = match &kept.newest {
             None => None,
             Some(k) => {
@@ -206,13 +207,13 @@
         };
         release.restore(now, kept.earlier, newest);
         desk.generation = kept.generation;
-        (desk.charter, desk.version, desk.release) = (Some(kept.charter), kept.version, Some(release));
+        (desk.settings, desk.version, desk.release) = (Some(kept.settings), kept.version, Some(release));
         Ok(desk)
     }
 
     /// The text to keep.
     pub fn save(&mut self, now: Ns) -> Option<Vec<u8>> {
-        let (charter, release) = (self.charter.clone()?, self.release.as_ref()?);
+        let (settings, release) = (self.settings.clone()?, self.release.as_ref()?);
         self.dirty = false;
         let newest = release.newest.as_ref().map(|t| Kept {
             build: t.build,
@@ -222,7 +223,7 @@
             ran_ms: ms(t.ran),
         });
         let (version, earlier, generation) = (self.version, release.earlier, self.generation);
-        let kept = Snapshot { version, charter, earlier, newest, generation };
+        let kept = Snapshot { version, settings, earlier, newest, generation };
         serde_json::to_vec_pretty(&kept).ok()
     }
 
@@ -232,8 +233,8 @@
 
     /// Works out what should run where; each change of it is an order of its own.
     fn order(&mut self) {
-        let (Some(release), Some(charter)) = (&self.release, &self.charter) else { return };
-        let want = release.wanted(charter, &self.roster.running());
+        let (Some(release), Some(settings)) = (&self.release, &self.settings) else { return };
+        let want = release.wanted(settings, &self.roster.running());
         if want != self.want {
             (self.want, self.dirty) = (want, true);
             self.generation += 1;
@@ -241,16 +242,16 @@
     }
 
     fn stage(&self, now: Ns) -> Value {
-        let (Some(release), Some(charter)) = (&self.release, &self.charter) else { return Value::Null };
-        let (build, stage, phase, cap, since) = release.standing(charter);
+        let (Some(release), Some(settings)) = (&self.release, &self.settings) else { return Value::Null };
+        let (build, stage, phase, cap, since) = release.standing(settings);
         json!({ "build": build, "stage": stage, "phase": phase_word(phase), "cap": cap, "age_ms": ms(now - since),
             "earlier": release.earlier })
     }
 
     fn member(&self, now: Ns, name: &str) -> Value {
-        let (m, charter) = (&self.roster.machines[name], self.charter.as_ref());
-        let place = charter.and_then(|c| c.places.get(m.place));
-        let zone = place.and_then(|p| charter.map(|c| c.zone(&p.zone))).unwrap_or(0);
+        let (m, settings) = (&self.roster.machines[name], self.settings.as_ref());
+        let place = settings.and_then(|c| c.places.get(m.place));
+        let zone = place.and_then(|p| settings.map(|c| c.zone(&p.zone))).unwrap_or(0);
         json!({ "name": name, "addr": m.addr, "place": place.map(|p| &p.name), "zone": zone,
             "cell": place.map_or(0, |p| p.cell), "weight": place.map_or(1.0, |p| p.weight), "build": m.build,
             "run": m.run, "state": state_word(m.state), "age_ms": ms(now - m.started) })
@@ -285,16 +286,16 @@
         };
         if method == "GET" {
             return match parts.as_slice() {
-                ["settings"] => match &self.charter {
-                    Some(charter) => {
-                        Answer::Now(200, json!({ "version": self.version, "settings": charter }))
+                ["settings"] => match &self.settings {
+                    Some(settings) => {
+                        Answer::Now(200, json!({ "version": self.version, "settings": settings }))
                     }
                     None => no(404, "settings", "none were given yet"),
                 },
                 ["status"] => Answer::Now(200, self.status(now)),
-                ["stage"] if self.charter.is_some() => Answer::Now(200, self.stage(now)),
-                ["roster"] if self.charter.is_some() => Answer::Now(200, self.roster_line(now, None)),
-                ["wanted"] if self.charter.is_some() => Answer::Now(200, self.wanted_line()),
+                ["stage"] if self.settings.is_some() => Answer::Now(200, self.stage(now)),
+                ["roster"] if self.settings.is_some() => Answer::Now(200, self.roster_line(now, None)),
+                ["wanted"] if self.settings.is_some() => Answer::Now(200, self.wanted_line()),
                 ["watch"] => self.watch(conn, asked("front"), asked("http"), asked("notes")),
                 ["stage" | "roster" | "wanted"] => no(409, "settings", "none were given yet"),
                 _ => no(404, "path", "no such thing here"),
@@ -303,7 +304,7 @@
         if method != "POST" {
             return no(405, "method", "GET, POST and PUT are known");
         }
-        if self.charter.is_none() {
+        if self.settings.is_none() {
             return no(409, "settings", "none were given yet");
         }
         match parts.as_slice() {
@@ -318,32 +319,32 @@
     }
 
     fn put_settings(&mut self, body: &[u8]) -> Answer {
-        let charter = match Charter::read(body) {
-            Ok(charter) => charter,
+        let settings = match Settings::read(body) {
+            Ok(settings) => settings,
             Err(wrong) => {
                 tracing::info!(event = "settings refused", field = wrong[0].field, why = wrong[0].why);
                 return Answer::Now(422, json!({ "errors": wrong }));
             }
         };
         match &mut self.release {
-            None => self.release = Some(Release::new(&charter)),
+            None => self.release = Some(Release::new(&settings)),
             Some(release) => {
                 // Machines are known by their places' numbers: those in use must stay where they are.
-                let old = self.charter.as_ref().map_or(&[][..], |c| &c.places);
-                let same = old.iter().zip(&charter.places).all(|(a, b)| a.name == b.name);
-                if !same || old.len() > charter.places.len() {
+                let old = self.settings.as_ref().map_or(&[][..], |c| &c.places);
+                let same = old.iter().zip(&settings.places).all(|(a, b)| a.name == b.name);
+                if !same || old.len() > settings.places.len() {
                     return no(409, "places", "places may be added at the end, not moved or taken away");
                 }
-                if let Err(why) = release.under(&charter) {
+                if let Err(why) = release.under(&settings) {
                     return no(409, "rollout.stages", why);
                 }
             }
         }
         // Names that no longer are a front's would gather over years of settings.
-        let named: BTreeSet<&String> = charter.fronts.iter().map(|f| &f.name).collect();
+        let named: BTreeSet<&String> = settings.fronts.iter().map(|f| &f.name).collect();
         self.fronts.retain(|name, _| named.contains(name));
         self.fronts_serial += 1;
-        self.charter = Some(charter);
+        self.settings = Some(settings);
         self.version += 1;
         self.dirty = true;
         tracing::info!(event = "settings", version = self.version);
@@ -382,13 +383,13 @@
         let Some(verdict) = verdict_of(field!(json, "verdict", Value::as_str)) else {
             return no(400, "verdict", "on, hold, back or none");
         };
-        let (Some(release), Some(charter)) = (&mut self.release, &self.charter) else {
+        let (Some(release), Some(settings)) = (&mut self.release, &self.settings) else {
             return no(409, "settings", "none were given yet");
         };
-        if !charter.fronts.iter().any(|f| f.name == front) {
+        if !settings.fronts.iter().any(|f| f.name == front) {
             return no(403, "front", "not among the fronts");
         }
-        let rate = charter.rollout.votes_a_second;
+        let rate = settings.rollout.votes_a_second;
         let saved = (now - self.bucket.1) as f64 / SEC as f64 * rate;
         self.bucket = ((self.bucket.0 + saved).min(2.0 * rate), now);
         if self.bucket.0 < 1.0 {
@@ -396,7 +397,7 @@
             return no(429, "votes", "too many a second");
         }
         self.bucket.0 -= 1.0;
-        match release.vote(now, charter.rollout.control(), front, build, stage, verdict) {
+        match release.vote(now, settings.rollout.control(), front, build, stage, verdict) {
             Ok(()) => {
                 self.votes[0] += 1;
                 tracing::info!(event = "vote", front, build, stage, verdict = verdict_word(verdict));
@@ -419,7 +420,7 @@
         let Some(rows) = json.get("rows").and_then(Value::as_array).filter(|r| r.len() <= MOST_ROWS) else {
             return no(400, "rows", "a list of at most 512 is wanted");
         };
-        let methods = self.charter.as_ref().map_or(0, |c| c.methods.len());
+        let methods = self.settings.as_ref().map_or(0, |c| c.methods.len());
         let mut read = Vec::new();
         for (i, row) in rows.iter().enumerate() {
             let at = |j: usize| row.get(j).and_then(Value::as_u64).filter(|n| *n < 1 << 32);
@@ -479,15 +480,15 @@
             return Answer::Now(200, json!({ "order": "stop" }));
         }
         let known = self.roster.machines.get(name).map(|m| (m.run, m.state));
-        let Some(charter) = &self.charter else { return no(409, "settings", "none were given yet") };
+        let Some(settings) = &self.settings else { return no(409, "settings", "none were given yet") };
         let run = beat.run;
         // Before the first order after a start nobody is told to go.
         let all = Running::from([(
-            charter.places.iter().position(|p| p.name == beat.place).unwrap_or(0),
+            settings.places.iter().position(|p| p.name == beat.place).unwrap_or(0),
             beat.build,
         )]);
         let wanted = if self.want.is_empty() { &all } else { &self.want };
-        match self.roster.beat(now, charter, wanted, beat) {
+        match self.roster.beat(now, settings, wanted, beat) {
             Err(why) => no(409, "place", why),
             Ok(order) => {
                 let state = self.roster.machines[name].state;
@@ -507,8 +508,8 @@
     /// An agent's word for its place, and the order for it. What runs is the agent's to say; what should run
     /// is the order's; machines that serve or drain beat through it.
     fn agent(&mut self, now: Ns, place: &str, json: &Value) -> Answer {
-        let Some(charter) = &self.charter else { return no(409, "settings", "none were given yet") };
-        let Some(index) = charter.places.iter().position(|p| p.name == place) else {
+        let Some(settings) = &self.settings else { return no(409, "settings", "none were given yet") };
+        let Some(index) = settings.places.iter().position(|p| p.name == place) else {
             return no(404, "place", "no such place");
         };
         let generation = field!(json, "generation", Value::as_u64);
@@ -571,7 +572,7 @@
             return no(503, "watch", "too many watchers");
         }
         let front = front.unwrap_or("").to_string();
-        let known = self.charter.as_ref().is_some_and(|c| c.fronts.iter().any(|f| f.name == front));
+        let known = self.settings.as_ref().is_some_and(|c| c.fronts.iter().any(|f| f.name == front));
         if !front.is_empty() && known {
             let at = FrontAt { http: http.unwrap_or("").into(), notes: notes.unwrap_or("").into() };
             let fits = |a: &str| a.is_empty() || a.parse::<std::net::SocketAddr>().is_ok();
@@ -583,7 +584,7 @@
             tracing::info!(event = "front watches", front);
         }
         // The version is told first of all: settings may have changed while the front was away.
-        let watcher = Watcher { front, serial: None, staged: false, fronts: 0, charter: 0 };
+        let watcher = Watcher { front, serial: None, staged: false, fronts: 0, settings: 0 };
         self.watchers.insert(conn, watcher);
         Answer::Watch
     }
@@ -594,7 +595,7 @@
 
     fn wanted_line(&self) -> Value {
         let (wanted, present) = (&self.want, self.roster.present());
-        let places = self.charter.as_ref().map_or(&[][..], |c| &c.places);
+        let places = self.settings.as_ref().map_or(&[][..], |c| &c.places);
         let line = |(p, b): &(usize, u32)| json!({ "place": places.get(*p).map(|p| &p.name), "build": b, "present": present.contains(&(*p, *b)) });
         json!({ "wanted": wanted.iter().map(line).collect::<Vec<_>>() })
     }
@@ -623,8 +624,8 @@
     }
 
     /// Where fronts are that have watched, by their place in the settings.
-    fn fronts_line(&self, charter: &Charter) -> String {
-        let seated = charter.fronts.iter().zip(0..).filter_map(|(f, rank)| {
+    fn fronts_line(&self, settings: &Settings) -> String {
+        let seated = settings.fronts.iter().zip(0..).filter_map(|(f, rank)| {
             let at = self.fronts.get(&f.name)?;
             Some(json!({ "name": f.name, "rank": rank, "http": at.http, "notes": at.notes }))
         });
@@ -639,16 +640,16 @@
                 tracing::info!(event = "machine", machine = name, state = state_word(state));
             }
             let running = self.roster.running();
-            if let (Some(release), Some(charter)) = (&mut self.release, &self.charter) {
-                release.cold = self.roster.cold(now, charter.guard.cold_time_ms as Ns * MS);
-                if let Some(moved) = release.tick(now, charter, &running) {
+            if let (Some(release), Some(settings)) = (&mut self.release, &self.settings) {
+                release.cold = self.roster.cold(now, settings.guard.cold_time_ms as Ns * MS);
+                if let Some(moved) = release.tick(now, settings, &running) {
                     log(&moved);
                     (self.dirty, self.stage_changed) = (true, true);
                 }
             }
         }
-        let Some(charter) = &self.charter else { return Vec::new() };
-        let r = &charter.rollout;
+        let Some(settings) = &self.settings else { return Vec::new() };
+        let r = &settings.rollout;
         let every = r.told_every_ms as Ns * MS;
         let tell_stage = std::mem::take(&mut self.stage_changed) || now - self.told >= every;
         if tell_stage {
@@ -682,12 +683,12 @@
                 lines.push((*conn, line.clone()));
                 w.staged = true;
             }
-            if w.charter != self.version {
+            if w.settings != self.version {
                 lines.push((*conn, json!({ "settings_version": self.version }).to_string()));
-                w.charter = self.version;
+                w.settings = self.version;
             }
             if w.fronts != self.fronts_serial {
-                lines.push((*conn, fronts.get_or_insert_with(|| self.fronts_line(charter)).clone()));
+                lines.push((*conn, fronts.get_or_insert_with(|| self.fronts_line(settings)).clone()));
                 w.fronts = self.fronts_serial;
             }
             match w.serial {
@@ -727,22 +728,22 @@
 
     fn seated() -> Desk {
         let mut desk = Desk::open(0, None).unwrap();
-        let charter = serde_json::to_value(Charter::example(2, 4)).unwrap();
-        assert_eq!(say(&mut desk, 0, "PUT", "/settings", charter).0, 200);
+        let settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
+        assert_eq!(say(&mut desk, 0, "PUT", "/settings", settings).0, 200);
         desk
     }
 
     #[test]
     fn a_refused_setting_changes_nothing_and_names_its_field() {
         let mut desk = seated();
-        let mut charter = serde_json::to_value(Charter::example(2, 4)).unwrap();
-        charter["guard"]["cold_from"] = json!(7);
-        let (status, said) = say(&mut desk, 0, "PUT", "/settings", charter.clone());
+        let mut settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
+        settings["guard"]["cold_from"] = json!(7);
+        let (status, said) = say(&mut desk, 0, "PUT", "/settings", settings.clone());
         assert_eq!((status, said["errors"][0]["field"].as_str()), (422, Some("guard.cold_from")));
-        charter["guard"]["cold_from"] = json!(0.5);
-        charter["places"].as_array_mut().unwrap().pop();
-        assert_eq!(say(&mut desk, 0, "PUT", "/settings", charter).0, 409);
-        assert_eq!((desk.version, desk.charter.clone().unwrap()), (1, Charter::example(2, 4)));
+        settings["guard"]["cold_from"] = json!(0.5);
+        settings["places"].as_array_mut().unwrap().pop();
+        assert_eq!(say(&mut desk, 0, "PUT", "/settings", settings).0, 409);
+        assert_eq!((desk.version, desk.settings.clone().unwrap()), (1, Settings::example(2, 4)));
     }
 
     #[test]
@@ -803,9 +804,9 @@
         say(&mut desk, 0, "POST", "/builds", json!({"build":2,"later":1}));
         let vote = json!({"front":"f0","build":2,"stage":0,"verdict":"on","later":1});
         assert_eq!(say(&mut desk, 0, "POST", "/votes", vote).0, 200);
-        let mut charter = serde_json::to_value(Charter::example(2, 4)).unwrap();
-        charter["guard"]["later"] = json!(1);
-        let (status, said) = say(&mut desk, 0, "PUT", "/settings", charter);
+        let mut settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
+        settings["guard"]["later"] = json!(1);
+        let (status, said) = say(&mut desk, 0, "PUT", "/settings", settings);
         assert_eq!((status, said["errors"][0]["field"].as_str()), (422, Some("guard.later")));
         let mut kept: Value = serde_json::from_slice(&desk.save(0).unwrap()).unwrap();
         kept["later"] = json!(1);
@@ -835,9 +836,9 @@
     fn names_of_fronts_that_settings_no_longer_hold_are_forgotten() {
         let mut desk = seated();
         for i in 0..100 {
-            let mut charter = Charter::example(2, 4);
-            charter.fronts[0].name = format!("g{i}");
-            assert_eq!(say(&mut desk, 0, "PUT", "/settings", serde_json::to_value(charter).unwrap()).0, 200);
+            let mut settings = Settings::example(2, 4);
+            settings.fronts[0].name = format!("g{i}");
+            assert_eq!(say(&mut desk, 0, "PUT", "/settings", serde_json::to_value(settings).unwrap()).0, 200);
             say(&mut desk, 0, "GET", &format!("/watch?front=g{i}"), json!(null));
         }
         assert_eq!(desk.fronts.len(), 1);
--- a/control/src/files.rs
+++ b/control/src/files.rs
@@ -1,6 +1,6 @@
 //! Files of the repository by HTTP, whole or by a range of bytes (RFC 9110 section 14). Only plain names below
 //! `metadata/` and `targets/` are known, so no path leads out of the folder.
-use crate::charter::plain;
+use crate::settings::plain;
 use rockpick_net::http::Request;
 use std::fs::File;
 use std::io::{ErrorKind, Seek, SeekFrom};
--- a/control/src/release.rs
+++ b/control/src/release.rs
@@ -1,6 +1,6 @@
 //! The release state machine: offers, stages, votes, going back. No I/O and no clock: every call is told
 //! the time and what runs where.
-use crate::charter::Charter;
+use crate::settings::Settings;
 use rockpick::{Control, Ns, Phase, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -71,35 +71,35 @@
 }
 
 /// Takes places zone by zone in turn, so that every stage meets every zone.
-fn order(charter: &Charter) -> Vec<usize> {
-    let mut zones: Vec<Vec<usize>> = vec![Vec::new(); charter.zones.len()];
-    for (i, place) in charter.places.iter().enumerate() {
-        zones[charter.zone(&place.zone) as usize].push(i);
+fn order(settings: &Settings) -> Vec<usize> {
+    let mut zones: Vec<Vec<usize>> = vec![Vec::new(); settings.zones.len()];
+    for (i, place) in settings.places.iter().enumerate() {
+        zones[settings.zone(&place.zone) as usize].push(i);
     }
     let rounds = zones.iter().map(Vec::len).max().unwrap_or(0);
     (0..rounds).flat_map(|r| zones.iter().filter_map(move |z| z.get(r).copied())).collect()
 }
 
 impl Release {
-    pub fn new(charter: &Charter) -> Release {
+    pub fn new(settings: &Settings) -> Release {
         Release {
-            earlier: charter.first_build,
+            earlier: settings.first_build,
             newest: None,
-            order: order(charter),
+            order: order(settings),
             unfit: BTreeSet::new(),
             cold: Running::new(),
             ticked: 0,
         }
     }
 
-    /// Goes on under another charter; the trial's stage must exist there.
-    pub fn under(&mut self, charter: &Charter) -> Result<(), &'static str> {
-        let stages = charter.rollout.stages.len();
+    /// Goes on under another settings; the trial's stage must exist there.
+    pub fn under(&mut self, settings: &Settings) -> Result<(), &'static str> {
+        let stages = settings.rollout.stages.len();
         let on_trial = self.newest.as_ref().filter(|t| t.phase == Phase::OnTrial);
         if on_trial.is_some_and(|t| t.stage as usize >= stages) {
             return Err("the build on trial is past the last of these stages");
         }
-        self.order = order(charter);
+        self.order = order(settings);
         Ok(())
     }
 
@@ -183,11 +183,11 @@
     }
 
     /// Lets time pass: counts standing votes, runs the stage's clock, moves on or back.
-    pub fn tick(&mut self, now: Ns, charter: &Charter, running: &Running) -> Option<Moved> {
+    pub fn tick(&mut self, now: Ns, settings: &Settings, running: &Running) -> Option<Moved> {
         let span = (now - std::mem::replace(&mut self.ticked, now)).max(0);
-        let r = &charter.rollout;
+        let r = &settings.rollout;
         let life = r.vote_life_ms as Ns * MS;
-        let wanted = self.chosen(charter);
+        let wanted = self.chosen(settings);
         let earlier = self.earlier;
         let t = self.newest.as_mut()?;
         t.votes.retain(|_, v| now - v.at < life);
@@ -244,9 +244,9 @@
     }
 
     /// The places that the present stage gives to the newest build.
-    fn chosen(&self, charter: &Charter) -> Vec<usize> {
+    fn chosen(&self, settings: &Settings) -> Vec<usize> {
         let Some(t) = &self.newest else { return Vec::new() };
-        let share = charter.rollout.stages.get(t.stage as usize).copied().unwrap_or(1.0);
+        let share = settings.rollout.stages.get(t.stage as usize).copied().unwrap_or(1.0);
         let many = (share * self.order.len() as f64 - 1e-9).ceil() as usize;
         let fit = self.order.iter().filter(|p| !self.unfit.contains(p)).copied();
         let chosen: Vec<usize> = fit.take(many.clamp(1, self.order.len())).collect();
@@ -260,9 +260,9 @@
 
     /// In place, every replacement takes a machine's capacity away for as long as the new one is cold: of the
     /// builds that should come, only so many are wanted at a time that the told share goes on serving.
-    fn paced(&self, charter: &Charter, running: &Running, build: u32, wanted: Running) -> Running {
+    fn paced(&self, settings: &Settings, running: &Running, build: u32, wanted: Running) -> Running {
         let most =
-            ((1.0 - charter.rollout.serving_share) * self.order.len() as f64).floor().max(1.0) as usize;
+            ((1.0 - settings.rollout.serving_share) * self.order.len() as f64).floor().max(1.0) as usize;
         let mut busy = self.cold.iter().filter(|(_, b)| *b == build).count();
         let comes = |&(p, b): &(usize, u32)| {
             b != build || running.contains(&(p, b)) || {
@@ -279,14 +279,14 @@
     }
 
     /// What should run where, given what runs: machines not in it are drained.
-    pub fn wanted(&self, charter: &Charter, running: &Running) -> Running {
-        let wanted = self.all_wanted(charter, running);
-        let Some(t) = self.newest.as_ref().filter(|_| !charter.rollout.parallel) else { return wanted };
+    pub fn wanted(&self, settings: &Settings, running: &Running) -> Running {
+        let wanted = self.all_wanted(settings, running);
+        let Some(t) = self.newest.as_ref().filter(|_| !settings.rollout.parallel) else { return wanted };
         let build = if t.phase == Phase::GoingBack { self.earlier } else { t.build };
-        self.paced(charter, running, build, wanted)
+        self.paced(settings, running, build, wanted)
     }
 
-    fn all_wanted(&self, charter: &Charter, running: &Running) -> Running {
+    fn all_wanted(&self, settings: &Settings, running: &Running) -> Running {
         let all = || self.order.iter().copied();
         let earlier = all().map(|p| (p, self.earlier));
         let Some(t) = &self.newest else { return earlier.collect() };
@@ -299,8 +299,8 @@
                 all().map(|p| (p, t.build)).chain(left.collect::<Vec<_>>()).collect()
             }
             Phase::OnTrial => {
-                let chosen: BTreeSet<usize> = self.chosen(charter).into_iter().collect();
-                let parallel = charter.rollout.parallel;
+                let chosen: BTreeSet<usize> = self.chosen(settings).into_iter().collect();
+                let parallel = settings.rollout.parallel;
                 let stays = |p: usize| parallel || !chosen.contains(&p) || !runs(p, t.build);
                 let old = earlier.filter(|(p, _)| stays(*p)).collect::<Vec<_>>();
                 chosen.iter().map(|p| (*p, t.build)).chain(old).collect()
@@ -315,10 +315,10 @@
     }
 
     /// Build, stage, phase, cap and since when: what fronts are told.
-    pub fn standing(&self, charter: &Charter) -> (u32, u32, Phase, f64, Ns) {
+    pub fn standing(&self, settings: &Settings) -> (u32, u32, Phase, f64, Ns) {
         let Some(t) = &self.newest else { return (self.earlier, 0, Phase::Released, 1.0, 0) };
         let cap = match t.phase {
-            Phase::OnTrial => charter.rollout.caps.get(t.stage as usize).copied().unwrap_or(0.0),
+            Phase::OnTrial => settings.rollout.caps.get(t.stage as usize).copied().unwrap_or(0.0),
             Phase::Released => 1.0,
             _ => 0.0,
         };
@@ -343,99 +343,99 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::charter::ControlBy;
+    use crate::settings::ControlBy;
 
     const SEC: Ns = 1_000 * MS;
 
-    fn charter(control: ControlBy, parallel: bool) -> Charter {
-        let mut charter = Charter::example(5, 10);
-        (charter.rollout.control, charter.rollout.parallel) = (control, parallel);
-        (charter.rollout.on_votes, charter.rollout.back_votes) = (3, 2);
-        charter.rollout.step_ms = 3_000;
-        charter
+    fn settings(control: ControlBy, parallel: bool) -> Settings {
+        let mut settings = Settings::example(5, 10);
+        (settings.rollout.control, settings.rollout.parallel) = (control, parallel);
+        (settings.rollout.on_votes, settings.rollout.back_votes) = (3, 2);
+        settings.rollout.step_ms = 3_000;
+        settings
     }
 
-    fn reconcile(release: &Release, charter: &Charter, running: &mut Running) {
-        *running = release.wanted(charter, running);
-        *running = release.wanted(charter, running);
+    fn reconcile(release: &Release, settings: &Settings, running: &mut Running) {
+        *running = release.wanted(settings, running);
+        *running = release.wanted(settings, running);
     }
 
     #[test]
     fn by_count_moves_on_with_enough_votes_after_the_dwell_and_no_sooner() {
-        let charter = charter(ControlBy::ByCount, true);
-        let (mut release, mut running) = (Release::new(&charter), Running::new());
-        reconcile(&release, &charter, &mut running);
+        let settings = settings(ControlBy::ByCount, true);
+        let (mut release, mut running) = (Release::new(&settings), Running::new());
+        reconcile(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
-        assert_eq!(release.wanted(&charter, &running).iter().filter(|(_, b)| *b == 2).count(), 1);
-        assert_eq!(release.wanted(&charter, &running).len(), 11, "the earlier machines stay");
-        release.tick(SEC, &charter, &running);
+        assert_eq!(release.wanted(&settings, &running).iter().filter(|(_, b)| *b == 2).count(), 1);
+        assert_eq!(release.wanted(&settings, &running).len(), 11, "the earlier machines stay");
+        release.tick(SEC, &settings, &running);
         for f in ["f0", "f1", "f2"] {
             release.vote(SEC, Control::ByCount, f, 2, 0, Verdict::On).unwrap();
         }
-        assert_eq!(release.tick(2 * SEC, &charter, &running), None, "its machine does not run yet");
-        reconcile(&release, &charter, &mut running);
-        assert_eq!(release.tick(2 * SEC, &charter, &running), None, "the clock starts here");
-        assert_eq!(release.tick(2 * SEC + 999 * MS, &charter, &running), None);
-        assert_eq!(release.tick(3 * SEC, &charter, &running).unwrap().stage, 1);
+        assert_eq!(release.tick(2 * SEC, &settings, &running), None, "its machine does not run yet");
+        reconcile(&release, &settings, &mut running);
+        assert_eq!(release.tick(2 * SEC, &settings, &running), None, "the clock starts here");
+        assert_eq!(release.tick(2 * SEC + 999 * MS, &settings, &running), None);
+        assert_eq!(release.tick(3 * SEC, &settings, &running).unwrap().stage, 1);
         assert_eq!(release.vote(3 * SEC, Control::ByCount, "f0", 2, 0, Verdict::On), Err(Moot::Stage));
         for at in [13, 14, 24, 25] {
-            reconcile(&release, &charter, &mut running);
+            reconcile(&release, &settings, &mut running);
             for f in ["f0", "f1", "f2"] {
                 let stage = release.newest.as_ref().unwrap().stage;
                 release.vote(at * SEC, Control::ByCount, f, 2, stage, Verdict::On).unwrap();
             }
-            release.tick(at * SEC, &charter, &running);
+            release.tick(at * SEC, &settings, &running);
         }
         assert_eq!(release.newest.as_ref().unwrap().phase, Phase::Released);
-        reconcile(&release, &charter, &mut running);
+        reconcile(&release, &settings, &mut running);
         assert!(running.iter().all(|(_, b)| *b == 2));
     }
 
     #[test]
     fn votes_lapse_and_only_enough_standing_ones_send_back_also_after_the_release() {
-        let charter = charter(ControlBy::ByCount, true);
-        let mut release = Release::new(&charter);
+        let settings = settings(ControlBy::ByCount, true);
+        let mut release = Release::new(&settings);
         release.restore(0, 1, Some((2, 2, Phase::Released, SEC, 0)));
         let mut running: Running = (0..10).map(|p| (p, 2)).collect();
         release.vote(0, Control::ByCount, "f0", 2, 0, Verdict::Back).unwrap();
         release.vote(5 * SEC, Control::ByCount, "f1", 2, 0, Verdict::Back).unwrap();
-        assert_eq!(release.tick(5 * SEC, &charter, &running), None, "f0's vote has lapsed");
+        assert_eq!(release.tick(5 * SEC, &settings, &running), None, "f0's vote has lapsed");
         release.vote(6 * SEC, Control::ByCount, "f0", 2, 0, Verdict::Back).unwrap();
-        assert_eq!(release.tick(6 * SEC, &charter, &running).unwrap().phase, Phase::GoingBack);
-        assert_eq!(release.standing(&charter).3, 0.0);
-        let wanted = release.wanted(&charter, &running);
+        assert_eq!(release.tick(6 * SEC, &settings, &running).unwrap().phase, Phase::GoingBack);
+        assert_eq!(release.standing(&settings).3, 0.0);
+        let wanted = release.wanted(&settings, &running);
         assert_eq!(wanted.len(), 20, "the bad ones stay until the earlier ones run");
         running = wanted;
-        running = release.wanted(&charter, &running);
-        assert_eq!(release.tick(7 * SEC, &charter, &running).unwrap().phase, Phase::Withdrawn);
+        running = release.wanted(&settings, &running);
+        assert_eq!(release.tick(7 * SEC, &settings, &running).unwrap().phase, Phase::Withdrawn);
         assert_eq!(release.vote(8 * SEC, Control::ByCount, "f0", 2, 0, Verdict::Back), Err(Moot::Build));
     }
 
     #[test]
     fn automatic_control_moves_by_time_and_stands_still_on_hold() {
-        let charter = charter(ControlBy::Automatic, false);
-        let (mut release, mut running) = (Release::new(&charter), Running::new());
-        reconcile(&release, &charter, &mut running);
+        let settings = settings(ControlBy::Automatic, false);
+        let (mut release, mut running) = (Release::new(&settings), Running::new());
+        reconcile(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
-        reconcile(&release, &charter, &mut running);
+        reconcile(&release, &settings, &mut running);
         assert_eq!(running.len(), 10, "in place: the earlier one leaves once its successor runs");
-        release.tick(0, &charter, &running);
+        release.tick(0, &settings, &running);
         assert_eq!(release.vote(0, Control::Automatic, "f0", 2, 0, Verdict::On), Err(Moot::Verdict));
-        release.tick(2 * SEC, &charter, &running);
+        release.tick(2 * SEC, &settings, &running);
         release.vote(2 * SEC, Control::Automatic, "f0", 2, 0, Verdict::Hold).unwrap();
-        assert_eq!(release.tick(5 * SEC, &charter, &running), None, "held");
-        assert_eq!(release.tick(8 * SEC, &charter, &running).unwrap().stage, 1, "the hold has lapsed");
+        assert_eq!(release.tick(5 * SEC, &settings, &running), None, "held");
+        assert_eq!(release.tick(8 * SEC, &settings, &running).unwrap().stage, 1, "the hold has lapsed");
     }
 
     #[test]
     fn in_place_only_so_many_are_cold_or_starting_at_once_and_unfit_places_count_for_nothing() {
-        let mut charter = charter(ControlBy::ByCount, false);
-        (charter.rollout.stages, charter.rollout.serving_share) = (vec![0.5, 0.8, 1.0], 0.75);
-        let mut release = Release::new(&charter);
+        let mut settings = settings(ControlBy::ByCount, false);
+        (settings.rollout.stages, settings.rollout.serving_share) = (vec![0.5, 0.8, 1.0], 0.75);
+        let mut release = Release::new(&settings);
         let mut running: Running = (0..10).map(|p| (p, 1)).collect();
         release.offer(0, 2).unwrap();
         let coming = |r: &Release, running: &Running| {
-            let wanted = r.wanted(&charter, running);
+            let wanted = r.wanted(&settings, running);
             assert!((0..10).all(|p| wanted.iter().any(|(q, _)| *q == p)), "every place goes on serving");
             wanted.into_iter().filter(|w| w.1 == 2 && !running.contains(w)).collect::<Vec<_>>()
         };
@@ -453,32 +453,32 @@
             for f in ["f0", "f1", "f2"] {
                 release.vote(at * SEC, Control::ByCount, f, 2, 0, Verdict::On).unwrap();
             }
-            assert_eq!(release.tick(at * SEC, &charter, &(0..10).map(|p| (p, 1)).collect()), None);
+            assert_eq!(release.tick(at * SEC, &settings, &(0..10).map(|p| (p, 1)).collect()), None);
         }
     }
 
     #[test]
     fn a_newer_offer_takes_off_one_on_trial_and_an_older_one_is_refused() {
-        let charter = charter(ControlBy::FirstVoice, true);
-        let mut release = Release::new(&charter);
+        let settings = settings(ControlBy::FirstVoice, true);
+        let mut release = Release::new(&settings);
         release.offer(0, 2).unwrap();
         assert_eq!(release.offer(SEC, 3).unwrap().unwrap().build, 2);
         assert!(release.offer(SEC, 3).is_err() && release.offer(SEC, 70_000).is_err());
         assert_eq!(release.earlier, 1);
-        assert!(!release.wanted(&charter, &Running::new()).iter().any(|(_, b)| *b == 2));
+        assert!(!release.wanted(&settings, &Running::new()).iter().any(|(_, b)| *b == 2));
     }
 
     /// Rule 5 begins here: what fronts are told is the cap of the very stage, and none once it goes back. And a
     /// front's second vote, of a later run too, takes the place of its first.
     #[test]
     fn each_stage_tells_its_own_cap_and_a_front_has_one_vote() {
-        let charter = Charter::example(4, 4);
-        let mut release = Release::new(&charter);
-        assert_eq!(release.standing(&charter).3, 1.0);
+        let settings = Settings::example(4, 4);
+        let mut release = Release::new(&settings);
+        assert_eq!(release.standing(&settings).3, 1.0);
         release.offer(0, 2).unwrap();
         for stage in 0..3 {
             release.newest.as_mut().unwrap().stage = stage;
-            assert_eq!(release.standing(&charter).3, charter.rollout.caps[stage as usize]);
+            assert_eq!(release.standing(&settings).3, settings.rollout.caps[stage as usize]);
         }
         release.newest.as_mut().unwrap().stage = 0;
         for verdict in [Verdict::On, Verdict::On, Verdict::Back] {
@@ -486,6 +486,6 @@
         }
         assert_eq!(release.votes(), [("f0".to_string(), Verdict::Back)]);
         release.back(0, 2, "a test").unwrap();
-        assert_eq!(release.standing(&charter).3, 0.0);
+        assert_eq!(release.standing(&settings).3, 0.0);
     }
 }
--- a/control/src/roster.rs
+++ b/control/src/roster.rs
@@ -1,6 +1,6 @@
 //! Which machines there are, as they report themselves; no I/O and no clock.
-use crate::charter::Charter;
 use crate::release::Running;
+use crate::settings::Settings;
 use rockpick::{Ns, State};
 use std::collections::BTreeMap;
 
@@ -63,9 +63,9 @@
 
 impl Roster {
     pub fn beat(
-        &mut self, now: Ns, charter: &Charter, wanted: &Running, beat: Beat,
+        &mut self, now: Ns, settings: &Settings, wanted: &Running, beat: Beat,
     ) -> Result<Order, &'static str> {
-        let Some(place) = charter.places.iter().position(|p| p.name == beat.place) else {
+        let Some(place) = settings.places.iter().position(|p| p.name == beat.place) else {
             return Err("no such place");
         };
         if self.machines.len() >= MOST && !self.machines.contains_key(beat.name) {
@@ -108,8 +108,8 @@
             self.serial += 1;
             m.changed = self.serial;
         }
-        let grace = charter.guard.drain_grace_ms as Ns * MS;
-        let deadline = charter.methods.iter().map(|r| r.deadline_ms).max().unwrap_or(0) as Ns * MS;
+        let grace = settings.guard.drain_grace_ms as Ns * MS;
+        let deadline = settings.methods.iter().map(|r| r.deadline_ms).max().unwrap_or(0) as Ns * MS;
         let order = match m.drained {
             None => Order::Serve,
             // Fronts send for the grace after they were told, and what they sent may run to its deadline.
@@ -189,46 +189,46 @@
 
     #[test]
     fn a_drained_machine_stops_after_the_grace_when_it_holds_nothing() {
-        let charter = Charter::example(1, 2);
+        let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        assert_eq!(roster.beat(0, &charter, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert_eq!(roster.beat(0, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
         assert_eq!(roster.sweep(SEC / 2, &Running::new()), [("a".to_string(), State::Draining)]);
         let none = Running::new();
-        assert_eq!(roster.beat(SEC, &charter, &none, beat("a", "p0", 0)), Ok(Order::Drain));
-        assert_eq!(roster.beat(3 * SEC, &charter, &none, beat("a", "p0", 1)), Ok(Order::Drain));
-        assert_eq!(roster.beat(4 * SEC, &charter, &none, beat("a", "p0", 0)), Ok(Order::Stop));
-        assert!(roster.beat(4 * SEC, &charter, &wanted, beat("b", "p9", 0)).is_err());
+        assert_eq!(roster.beat(SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Drain));
+        assert_eq!(roster.beat(3 * SEC, &settings, &none, beat("a", "p0", 1)), Ok(Order::Drain));
+        assert_eq!(roster.beat(4 * SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Stop));
+        assert!(roster.beat(4 * SEC, &settings, &wanted, beat("b", "p9", 0)).is_err());
     }
 
     /// Finding 25: the former process is heard of once more after the new one has come, then it is gone.
     #[test]
     fn a_late_beat_of_a_former_process_does_not_put_the_new_one_out() {
-        let charter = Charter::example(1, 2);
+        let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
         let former = Beat { run: 6, age: 9 * SEC, addr: "127.0.0.1:6", ..beat("a", "p0", 0) };
         let late = Beat { age: 10 * SEC, ..beat("a", "p0", 0) };
-        roster.beat(10 * SEC, &charter, &wanted, former).unwrap();
-        assert_eq!(roster.beat(11 * SEC, &charter, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
-        assert!(roster.beat(11 * SEC, &charter, &wanted, Beat { run: 6, ..late }).is_err());
+        roster.beat(10 * SEC, &settings, &wanted, former).unwrap();
+        assert_eq!(roster.beat(11 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert!(roster.beat(11 * SEC, &settings, &wanted, Beat { run: 6, ..late }).is_err());
         assert_eq!((roster.machines["a"].run, roster.machines["a"].started), (7, 11 * SEC));
         roster.leave("a", 7);
         assert!(roster
-            .beat(12 * SEC, &charter, &wanted, Beat { run: 5, age: 60 * SEC, ..beat("a", "p0", 0) })
+            .beat(12 * SEC, &settings, &wanted, Beat { run: 5, age: 60 * SEC, ..beat("a", "p0", 0) })
             .is_ok());
     }
 
     #[test]
     fn silence_is_gone_but_not_when_the_controller_itself_stood_still() {
-        let charter = Charter::example(1, 2);
+        let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        roster.beat(0, &charter, &wanted, beat("a", "p0", 0)).unwrap();
+        roster.beat(0, &settings, &wanted, beat("a", "p0", 0)).unwrap();
         roster.sweep(0, &wanted);
         assert_eq!(roster.sweep(60 * SEC, &wanted), [], "a minute's stall");
         for tenth in 1..40 {
             roster.sweep(60 * SEC + tenth * SEC / 10, &wanted);
         }
         assert_eq!(roster.machines["a"].state, State::Gone);
-        assert_eq!(roster.beat(65 * SEC, &charter, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert_eq!(roster.beat(65 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
         assert_eq!(roster.machines["a"].started, 0, "the same run keeps its start");
     }
 }
--- a/control/src/charter.rs
+++ b/control/src/settings.rs
@@ -19,7 +19,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Charter {
+pub struct Settings {
     pub methods: Vec<Row>,
     pub rollout: Stages,
     pub guard: Limits,
@@ -176,16 +176,16 @@
     !name.is_empty() && name.len() <= 64 && name.bytes().all(fits)
 }
 
-impl Charter {
+impl Settings {
     /// Reads and checks a document; every error names its field.
-    pub fn read(text: &[u8]) -> Result<Charter, Vec<Wrong>> {
+    pub fn read(text: &[u8]) -> Result<Settings, Vec<Wrong>> {
         let mut json = serde_json::Deserializer::from_slice(text);
-        let charter: Charter = serde_path_to_error::deserialize(&mut json)
+        let settings: Settings = serde_path_to_error::deserialize(&mut json)
             .map_err(|err| vec![Wrong { field: err.path().to_string(), why: err.inner().to_string() }])?;
         json.end().map_err(|err| vec![Wrong { field: ".".into(), why: err.to_string() }])?;
-        let wrong = charter.check();
+        let wrong = settings.check();
         if wrong.is_empty() {
-            Ok(charter)
+            Ok(settings)
         } else {
             Err(wrong)
         }
@@ -367,8 +367,8 @@
         })
     }
 
-    /// A small charter to begin with: `rockpick settings --example`, rehearsals and tests.
-    pub fn example(fronts: usize, places: usize) -> Charter {
+    /// A small settings to begin with: `rockpick settings --example`, rehearsals and tests.
+    pub fn example(fronts: usize, places: usize) -> Settings {
         let zones = ["north", "south"];
         let method = |name: &str, soft, deadline, utility, repeat| Row {
             name: name.into(),
@@ -381,7 +381,7 @@
         };
         let zone = |i: usize| zones[i % 2].to_string();
         let share = |part: f64| ((fronts as f64 * part).ceil() as u32).max(1);
-        Charter {
+        Settings {
             methods: vec![
                 method("lookup", 800, 3_000, 2.0, Repeats::Idempotent),
                 method("save", 800, 3_000, 2.0, Repeats::Tokened),
@@ -448,18 +448,18 @@
 
     #[test]
     fn errors_name_their_fields_by_path_and_all_at_once() {
-        let mut charter = Charter::example(2, 4);
-        assert_eq!(charter.check(), []);
-        charter.methods[1].utility = -1.0;
-        charter.rollout.caps.pop();
-        charter.places[3].zone = "west".into();
-        charter.guard.overload_factor = f64::NAN;
-        let fields: Vec<String> = charter.check().into_iter().map(|w| w.field).collect();
+        let mut settings = Settings::example(2, 4);
+        assert_eq!(settings.check(), []);
+        settings.methods[1].utility = -1.0;
+        settings.rollout.caps.pop();
+        settings.places[3].zone = "west".into();
+        settings.guard.overload_factor = f64::NAN;
+        let fields: Vec<String> = settings.check().into_iter().map(|w| w.field).collect();
         assert_eq!(fields, ["methods[1].utility", "rollout.caps", "guard.overload_factor", "places[3].zone"]);
-        let mut json = serde_json::to_value(Charter::example(2, 4)).unwrap();
+        let mut json = serde_json::to_value(Settings::example(2, 4)).unwrap();
         json["methods"][2]["repeat"] = "perhaps".into();
-        let wrong = Charter::read(json.to_string().as_bytes()).unwrap_err();
+        let wrong = Settings::read(json.to_string().as_bytes()).unwrap_err();
         assert_eq!(wrong[0].field, "methods[2].repeat");
-        assert!(Charter::read(b"{\"zoness\":1}").is_err() && Charter::read(b"[").is_err());
+        assert!(Settings::read(b"{\"zoness\":1}").is_err() && Settings::read(b"[").is_err());
     }
 }
--- a/emu/src/experiment.rs
+++ b/emu/src/experiment.rs
@@ -8,7 +8,7 @@
 use crate::world::{Day, Wires, World};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_rehearse::judge;
 use rockpick_rehearse::Plan;
 use rockpick_standin::{Arrivals, Load};
@@ -26,10 +26,10 @@
 ///
 /// # Errors
 /// Names the path or the field that can't be had.
-pub fn vary(charter: &Charter, changes: &[String]) -> Result<Charter, String> {
+pub fn vary(charter: &Settings, changes: &[String]) -> Result<Settings, String> {
     let mut json = serde_json::to_value(charter).map_err(|err| err.to_string())?;
     set(&mut json, changes.iter().filter(|c| !c.starts_with(PLAN)))?;
-    Charter::read(json.to_string().as_bytes()).map_err(|w| format!("{}: {}", w[0].field, w[0].why))
+    Settings::read(json.to_string().as_bytes()).map_err(|w| format!("{}: {}", w[0].field, w[0].why))
 }
 
 fn set<'a>(json: &mut Value, changes: impl Iterator<Item = &'a String>) -> Result<(), String> {
@@ -152,7 +152,7 @@
 
     #[test]
     fn a_path_is_set_checked_and_named_when_wrong() {
-        let charter = Charter::example(2, 4);
+        let charter = Settings::example(2, 4);
         let longer =
             vary(&charter, &["rollout.dwell_ms=3000".into(), "rollout.stages.0=0.25".into()]).unwrap();
         assert_eq!((longer.rollout.dwell_ms, longer.rollout.stages[0]), (3_000, 0.25));
--- a/emu/src/line.rs
+++ b/emu/src/line.rs
@@ -1,6 +1,6 @@
 //! A day's result, as it is kept: a line of JSON each. Emulated days, rehearsals and load have the same lines,
 //! all drawn from what clients and machines saw.
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_rehearse::day::Act;
 use rockpick_rehearse::judge::{Evidence, Judgement, Saw};
 use rockpick_standin::shop::Did;
@@ -58,7 +58,7 @@
     }
 
     /// Sums up a day that was judged; `script` tells which builds were bad.
-    pub fn of(charter: &Charter, evidence: &Evidence, judgement: &Judgement, script: &[(f64, Act)]) -> Line {
+    pub fn of(charter: &Settings, evidence: &Evidence, judgement: &Judgement, script: &[(f64, Act)]) -> Line {
         // To twelve places, which are read back from text to the bit: a cut-off run goes on to the same end.
         let service = (judgement.service * 1e12).round() / 1e12;
         let mut line = Line { service, broken: Some(judgement.breaches.len()), ..Line::default() };
@@ -125,7 +125,7 @@
     }
 
     /// Service by the second in which RPCs were first sent, and times of those that ended ok.
-    fn clients(&mut self, charter: &Charter, evidence: &Evidence, begin: i64) {
+    fn clients(&mut self, charter: &Settings, evidence: &Evidence, begin: i64) {
         let mut sums: Vec<[f64; 2]> = Vec::new();
         let (mut first, mut times) = (BTreeMap::new(), Vec::new());
         for l in &evidence.clients {
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -7,7 +7,7 @@
 use rockpick::{Front, Member, Ns, Outcome as End, Phase, Reply as Word, Roll, Standing, State, Verdict};
 use rockpick_control::release::{Release, Running};
 use rockpick_control::roster::{Beat, Order, Roster};
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_front::fresh;
 use rockpick_ldap::message::{Attribute, Entry as Record};
 use rockpick_ldap::News;
@@ -151,7 +151,7 @@
 /// What is played.
 #[derive(Clone)]
 pub struct Day {
-    pub charter: Charter,
+    pub charter: Settings,
     pub load: Load,
     /// Mean work of an RPC, ms.
     pub work_ms: f64,
@@ -199,7 +199,7 @@
 
 /// A fleet and its day.
 pub struct World {
-    pub charter: Charter,
+    pub charter: Settings,
     pub crowd: Crowd,
     now: Ns,
     heap: BinaryHeap<Reverse<Entry>>,
--- a/emu/tests/days.rs
+++ b/emu/tests/days.rs
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_comparison_stops_when_it_is_settled() {
-    let free = rockpick_control::Charter::example(2, 2).rollout.free;
+    let free = rockpick_control::Settings::example(2, 2).rollout.free;
     let study = study(&[&format!("rollout.free={free}"), "plan.rate=20"]);
     let mut heard = 0;
     let (verdicts, lines) = study
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -4,11 +4,11 @@
 use crate::wire::{back_lines, read_note, wait_lines, What, Wire, LAPSE, LOG_LINES, MODULE, PEERS, TICK};
 use crate::{fresh, Opening};
 use rockpick::{Front, Member, Ns, Outcome, Reply, Roll, Standing, State};
-use rockpick_control::charter::{plain, Repeats, Wrong, MOST_WEIGHT, MOST_ZONES};
 use rockpick_control::desk::{phase_of, phase_word, state_of, MOST_ROWS};
 use rockpick_control::keep::Writer;
 use rockpick_control::release::MOST_BUILD;
-use rockpick_control::Charter;
+use rockpick_control::settings::{plain, Repeats, Wrong, MOST_WEIGHT, MOST_ZONES};
+use rockpick_control::Settings;
 use rockpick_net::http::Request;
 use rockpick_net::{take_line, Bound, End, Event, Id, Net, Often, MS, SEC};
 use rockpick_peers::{Company, Peers, Seal};
@@ -87,7 +87,7 @@
     let at = bound.at;
     let (notes, notes_at) = net.datagrams(SocketAddr::new(at.ip(), 0)).map_err(say)?;
     let no_settings = kept.is_none();
-    let charter = kept.as_ref().map_or_else(|| Charter::example(1, 1), |k| k.settings.clone());
+    let charter = kept.as_ref().map_or_else(|| Settings::example(1, 1), |k| k.settings.clone());
     // Without settings it is not known how many there are.
     let told = kept.as_ref().map_or(0, |k| k.settings.fronts.len() as u32);
     let peers = match &opening.peers {
@@ -681,7 +681,7 @@
             if self.lives.len() >= MOST_LIVES {
                 return;
             }
-            match Charter::read(settings.to_string().as_bytes()) {
+            match Settings::read(settings.to_string().as_bytes()) {
                 Ok(charter) => {
                     self.begin(charter, version);
                     self.dirty = true;
@@ -696,7 +696,7 @@
         self.newer = false;
     }
 
-    fn begin(&mut self, charter: Charter, version: u64) {
+    fn begin(&mut self, charter: Settings, version: u64) {
         let opening = &self.wire.opening;
         let Some(post) = charter.post(&opening.name, opening.seed ^ (self.wire.life + 1)) else {
             if !std::mem::replace(&mut self.no_settings, true) || self.version != version {
--- a/front/src/saved.rs
+++ b/front/src/saved.rs
@@ -1,6 +1,6 @@
 //! The snapshot from which a front comes up at once, controller present or not.
 use rockpick_control::keep;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::path::Path;
@@ -9,7 +9,7 @@
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Saved {
     pub settings_version: u64,
-    pub settings: Charter,
+    pub settings: Settings,
     /// The stage as last told, `age_ms` as of saving.
     pub stage: Option<Value>,
     /// The roster's lines, `age_ms` as of saving.
--- a/front/src/shelf.rs
+++ b/front/src/shelf.rs
@@ -1,6 +1,6 @@
 //! Tenants at a front: the link to the directory, the keeper of versions, and the limits. RPCs read the
 //! version in force and wait for nothing; what a tenant may take is decided in `rockpick_tenant::limit`.
-use rockpick_control::{keep, Charter};
+use rockpick_control::{keep, Settings};
 use rockpick_ldap::message::{uuid, uuid_text};
 use rockpick_net::http::Request;
 use rockpick_net::{Event, Net, Ns, MS};
@@ -56,13 +56,13 @@
     }
 }
 
-fn utilities(charter: &Charter) -> Vec<f64> {
+fn utilities(charter: &Settings) -> Vec<f64> {
     charter.methods.iter().map(|m| m.utility).collect()
 }
 
 impl Shelf {
     /// What the settings ask for, if they do.
-    pub fn new(now: Ns, charter: &Charter, name: &str, state: &Option<PathBuf>, seed: u64) -> Option<Shelf> {
+    pub fn new(now: Ns, charter: &Settings, name: &str, state: &Option<PathBuf>, seed: u64) -> Option<Shelf> {
         let books = charter.directory.clone()?;
         let fronts = charter.fronts.len();
         let link = Link::new(now, books.clone(), fronts, seed)
@@ -87,7 +87,7 @@
     }
 
     /// Do other settings mean the same here?
-    pub fn same(&self, charter: &Charter) -> bool {
+    pub fn same(&self, charter: &Settings) -> bool {
         charter.directory.as_ref() == Some(&self.books)
             && charter.fronts.len() == self.fronts
             && utilities(charter) == self.utilities
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rockpick::{Ctl, Ns, Outcome, Standing, Verdict};
 use rockpick_control::desk::verdict_word;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_door::Door;
 use rockpick_net::http::{self, Lines, Request, Response};
 use rockpick_net::{Call, Event, Id, Net, Often, MS, SEC};
@@ -118,7 +118,7 @@
     pub net: Net,
     pub door: Door,
     pub opening: Opening,
-    pub charter: Charter,
+    pub charter: Settings,
     pub life: u64,
     /// The life whose call is being made.
     pub acting: u64,
@@ -161,7 +161,7 @@
 
 impl Wire {
     pub fn new(
-        opening: Opening, charter: Charter, net: Net, notes: Id, at: SocketAddr, notes_at: SocketAddr,
+        opening: Opening, charter: Settings, net: Net, notes: Id, at: SocketAddr, notes_at: SocketAddr,
     ) -> Wire {
         let notes_real = notes_at;
         let notes_at = opening.notes_at.unwrap_or(notes_at).to_string();
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -7,7 +7,7 @@
 mod thread;
 
 use hdrhistogram::Histogram;
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_net::{Ns, MS, SEC};
 use rockpick_standin::crowd::Tolls;
 use rockpick_standin::{Arrivals, Load};
@@ -30,7 +30,7 @@
     pub fronts: Vec<SocketAddr>,
     /// Their names among the settings' fronts, in the same order.
     pub names: Vec<String>,
-    pub charter: Charter,
+    pub charter: Settings,
     pub load: Load,
     pub arrivals: Arrivals,
     pub lasts: Ns,
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -1,5 +1,5 @@
 //! The tool against small fronts made here, on loopback.
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_load::Course;
 use rockpick_net::{Event, Net, Ns, MS, SEC};
 use rockpick_standin::{Arrivals, Load};
@@ -32,7 +32,7 @@
 }
 
 fn course(fronts: Vec<SocketAddr>) -> Course {
-    let charter = Charter::example(fronts.len(), 2);
+    let charter = Settings::example(fronts.len(), 2);
     Course {
         names: charter.fronts.iter().map(|f| f.name.clone()).collect(),
         fronts,
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/crew.rs
@@ -4,7 +4,7 @@
 use crate::day::{self, Act, Plan};
 use crate::judge::{self, Judgement, Written};
 use crate::{call, watch};
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_standin::record::{clock, Record};
 use rockpick_storm::relay::Relay;
 use rockpick_storm::{Fault, Return, Way};
@@ -113,7 +113,7 @@
 
 struct Crew {
     plan: Plan,
-    charter: Charter,
+    charter: Settings,
     out: PathBuf,
     acts: Record,
     controller: Option<Proc>,
@@ -193,7 +193,7 @@
         self.out.join(format!("{name}.log"))
     }
 
-    fn assemble(plan: Plan, charter: Charter, out: PathBuf) -> Result<Crew, String> {
+    fn assemble(plan: Plan, charter: Settings, out: PathBuf) -> Result<Crew, String> {
         let say = |err: std::io::Error| err.to_string();
         let acts = Record::open(Some(&out.join("acts.jsonl"))).map_err(say)?;
         let relay = Relay::begin(2 * plan.fronts, plan.seed).map_err(say)?;
--- a/rehearse/src/day.rs
+++ b/rehearse/src/day.rs
@@ -235,8 +235,8 @@
 ///
 /// # Errors
 /// Names the argument that makes no sense.
-pub fn charter(plan: &Plan) -> Result<rockpick_control::Charter, String> {
-    let mut charter = rockpick_control::Charter::example(plan.fronts, plan.machines);
+pub fn charter(plan: &Plan) -> Result<rockpick_control::Settings, String> {
+    let mut charter = rockpick_control::Settings::example(plan.fronts, plan.machines);
     let control = serde_json::from_value(json!(plan.control));
     let unknown = |_| format!("--control {}: first-voice, by-count or automatic", plan.control);
     charter.rollout.control = control.map_err(unknown)?;
--- a/rehearse/src/judge.rs
+++ b/rehearse/src/judge.rs
@@ -4,8 +4,8 @@
 //!
 //! Times are one clock's, in ns: the machine's monotonic one, which all records share, or the emulator's. What
 //! two processes saw of one thing differs by their scheduling: [`SKEW`] is granted for that, never more.
-use rockpick_control::charter::{GroupOf, Repeats};
-use rockpick_control::Charter;
+use rockpick_control::settings::{GroupOf, Repeats};
+use rockpick_control::Settings;
 use rockpick_standin::shop::Did;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -270,7 +270,7 @@
 }
 
 /// Reads what a rehearsal's processes have written; lines of other kinds are passed over.
-pub fn read(charter: &Charter, written: &Written) -> Evidence {
+pub fn read(charter: &Settings, written: &Written) -> Evidence {
     let mut day = Evidence::default();
     let fronts: BTreeMap<&str, u16> =
         charter.fronts.iter().zip(0..).map(|(f, i)| (f.name.as_str(), i)).collect();
@@ -362,7 +362,7 @@
 }
 
 /// Keys that the newest build answered while it was on trial, in calm: no front may have lost them at the end of the day.
-pub fn kept_keys(charter: &Charter, day: &Evidence) -> BTreeMap<u64, u32> {
+pub fn kept_keys(charter: &Settings, day: &Evidence) -> BTreeMap<u64, u32> {
     let downs = Downs::of(&day.acts);
     let Some(newest) = day.told.iter().max_by_key(|l| l.t).filter(|l| l.phase < 2) else {
         return BTreeMap::new();
@@ -380,7 +380,7 @@
     kept.filter_map(|l| Some((l.key?, l.build))).collect()
 }
 
-pub fn judge(charter: &Charter, day: &Evidence) -> Judgement {
+pub fn judge(charter: &Settings, day: &Evidence) -> Judgement {
     let downs = Downs::of(&day.acts);
     let grace = charter.guard.drain_grace_ms as Ns * MS;
     let first = charter.rollout.caps.first().copied().unwrap_or(0.0);
@@ -407,7 +407,7 @@
 }
 
 struct Judge<'a> {
-    charter: &'a Charter,
+    charter: &'a Settings,
     day: &'a Evidence,
     /// In order of time.
     machines: Vec<&'a MachineLine>,
@@ -707,7 +707,7 @@
     }
 
     fn rules(written: &Written) -> Vec<u8> {
-        let mut rules: Vec<u8> = judge(&Charter::example(2, 4), &read(&Charter::example(2, 4), written))
+        let mut rules: Vec<u8> = judge(&Settings::example(2, 4), &read(&Settings::example(2, 4), written))
             .breaches
             .iter()
             .map(|b| b.rule)
@@ -784,7 +784,7 @@
     #[test]
     fn keys_hold_over_fronts_that_keep_company_unless_a_fault_came_before_they_were_told() {
         let charter = || {
-            let mut charter = Charter::example(2, 4);
+            let mut charter = Settings::example(2, 4);
             charter.rollout.one_way = true;
             charter
         };
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -5,8 +5,8 @@
 use crate::schedule::Arrivals;
 use hdrhistogram::Histogram;
 use rand::Rng;
-use rockpick_control::charter::{Repeats, Row};
-use rockpick_control::Charter;
+use rockpick_control::settings::{Repeats, Row};
+use rockpick_control::Settings;
 use rockpick_net::http::{self, Response};
 use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
 use serde_json::{json, Value};
@@ -22,7 +22,7 @@
 pub struct Clients {
     pub fronts: Vec<SocketAddr>,
     pub names: Vec<String>,
-    pub charter: Charter,
+    pub charter: Settings,
     pub load: Load,
     pub listen: SocketAddr,
     pub lasts: Ns,
--- a/standin/src/crowd.rs
+++ b/standin/src/crowd.rs
@@ -5,8 +5,8 @@
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_control::charter::{GroupOf, Repeats, Row};
-use rockpick_control::Charter;
+use rockpick_control::settings::{GroupOf, Repeats, Row};
+use rockpick_control::Settings;
 use rockpick_net::{Ns, MS};
 use serde_json::Value;
 
@@ -157,7 +157,7 @@
 }
 
 pub struct Crowd {
-    pub charter: Charter,
+    pub charter: Settings,
     pub schedule: Schedule,
     pub fronts: usize,
     pub retries: u32,
@@ -171,7 +171,7 @@
     /// # Errors
     /// None in practice: the histogram's bounds are fixed.
     pub fn new(
-        charter: Charter, load: Load, arrivals: Arrivals, fronts: usize, retries: u32, work_ms: f64,
+        charter: Settings, load: Load, arrivals: Arrivals, fronts: usize, retries: u32, work_ms: f64,
         seed: u64,
     ) -> Result<Crowd, String> {
         Ok(Crowd {
--- a/standin/src/schedule.rs
+++ b/standin/src/schedule.rs
@@ -3,7 +3,7 @@
 use crate::crowd::{Load, Rpc};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_control::Charter;
+use rockpick_control::Settings;
 use rockpick_net::{Ns, MS, SEC};
 use serde_json::Value;
 
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// A line that is none, named by its number; a record without RPCs.
-    pub fn replay(text: &str, charter: &Charter, fronts: &[String]) -> Result<Arrivals, String> {
+    pub fn replay(text: &str, charter: &Settings, fronts: &[String]) -> Result<Arrivals, String> {
         let mut pasts: Vec<(Ns, Past)> = Vec::new();
         let whole = text.rfind('\n').map_or(0, |end| end + 1);
         for (nth, line) in text[..whole].lines().enumerate() {
@@ -111,7 +111,7 @@
 pub struct Schedule {
     pub load: Load,
     arrivals: Arrivals,
-    charter: Charter,
+    charter: Settings,
     fronts: usize,
     work_ms: f64,
     chance: StdRng,
@@ -125,7 +125,7 @@
 
 impl Schedule {
     pub fn new(
-        charter: Charter, load: Load, arrivals: Arrivals, fronts: usize, work_ms: f64, seed: u64,
+        charter: Settings, load: Load, arrivals: Arrivals, fronts: usize, work_ms: f64, seed: u64,
     ) -> Schedule {
         let mut sum = 0.0;
         let zipf = (1..=load.keys.max(1)).map(|i| (sum += (i as f64).powf(-load.zipf), sum).1).collect();
@@ -237,7 +237,7 @@
 
     fn schedule(arrivals: Arrivals) -> Schedule {
         let load = Load { rate: 1_000.0, ..Load::default() };
-        Schedule::new(Charter::example(2, 2), load, arrivals, 2, 10.0, 3)
+        Schedule::new(Settings::example(2, 2), load, arrivals, 2, 10.0, 3)
     }
 
     #[test]
@@ -255,7 +255,7 @@
 
     #[test]
     fn a_record_plays_again_as_it_was_and_a_torn_end_is_left_out() {
-        let charter = Charter::example(2, 2);
+        let charter = Settings::example(2, 2);
         let names: Vec<String> = charter.fronts.iter().map(|f| f.name.clone()).collect();
         let line = |t: u64, nth: &str, key: u64| {
             serde_json::json!({ "t": t, "event": "sent", "rpc": "1-1", "try": nth, "front": "f1", "key": key.to_string(),
