--- a/cli/src/ask.rs
+++ b/cli/src/ask.rs
@@ -42,7 +42,7 @@
 
 pub fn settings(to: SocketAddr) -> Result<Settings, Bad2> {
     let text = json(to, "/settings")?["settings"].to_string();
-    Settings::read(text.as_bytes()).map_err(|wrong| Bad2(format!("{}: {}", wrong[0].field, wrong[0].why)))
+    Settings::parse(text.as_bytes()).map_err(|wrong| Bad2(format!("{}: {}", wrong[0].field, wrong[0].why)))
 }
 
 /// Names and addresses of the fronts that have watched.
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -19,7 +19,7 @@
 mod tenants;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use rockpick_control::settings::plain;
+use rockpick_control::settings::is_valid_name;
 use rockpick_net::{MS, SEC};
 use rockpick_standin::{Bad, Clients, Load, Machine};
 use std::net::SocketAddr;
@@ -491,7 +491,7 @@
 
 /// Names go into paths, targets and headers.
 fn named(flag: &str, name: &str) -> Result<(), Bad2> {
-    match plain(name) {
+    match is_valid_name(name) {
         true => Ok(()),
         false => Err(Bad2(format!("{flag} {name:?}: 1 to 64 letters, digits, '-', '_' or '.'"))),
     }
@@ -731,13 +731,13 @@
     match what {
         Settings::Example { fronts, places } => {
             let charter = rockpick_control::Settings::example(fronts, places);
-            if let Some(wrong) = charter.check().first() {
+            if let Some(wrong) = charter.validate().first() {
                 return Err(Bad2(format!("{}: {}", wrong.field, wrong.why)));
             }
             println!("{}", serde_json::to_string_pretty(&charter).unwrap_or_default());
             Ok(ExitCode::SUCCESS)
         }
-        Settings::Check { file } => match rockpick_control::Settings::read(&read(&file)?) {
+        Settings::Check { file } => match rockpick_control::Settings::parse(&read(&file)?) {
             Ok(_) => {
                 println!("good");
                 Ok(ExitCode::SUCCESS)
--- a/control/src/desk.rs
+++ b/control/src/desk.rs
@@ -1,8 +1,8 @@
 //! The controller without its sockets: each request gets an answer, each pass the lines that watchers are
 //! due. Time is told by the caller; the only file is the snapshot, written by [`Desk::save`]'s caller.
-use crate::release::{Moot, Moved, Release, Running, MOST_BUILD};
+use crate::release::{Moot, Moved, Release, Running, MAX_BUILD};
 use crate::roster::{Beat, Order, Roster, SETTLE};
-use crate::settings::{plain, Settings, Wrong, MOST_STAGES};
+use crate::settings::{is_valid_name, FieldError, Settings, MAX_STAGES};
 use rockpick::{Ns, Phase, State, Verdict};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -145,7 +145,7 @@
 }
 
 fn no(status: u16, field: &str, why: impl Into<String>) -> Answer {
-    Answer::Now(status, json!({ "errors": [Wrong { field: field.into(), why: why.into() }] }))
+    Answer::Now(status, json!({ "errors": [FieldError { field: field.into(), why: why.into() }] }))
 }
 
 fn log(moved: &Moved) {
@@ -160,7 +160,7 @@
 
 /// A build's number.
 fn build_of(value: &Value) -> Option<u32> {
-    small(value).filter(|n| *n <= MOST_BUILD)
+    small(value).filter(|n| *n <= MAX_BUILD)
 }
 
 /// A field of a body, or an answer that names it.
@@ -183,7 +183,7 @@
         let mut desk = Desk { born: now, tallied: now, told: now, bucket, ..Desk::default() };
         let Some(text) = snapshot else { return Ok(desk) };
         let kept: Snapshot = serde_json::from_slice(text).map_err(|err| format!("the snapshot: {err}"))?;
-        if let Some(Wrong { field, why }) = kept.settings.check().first() {
+        if let Some(FieldError { field, why }) = kept.settings.validate().first() {
             return Err(format!("the snapshot: {field}: {why}"));
         }
         let mut release = Release::new(&kept.settings);
@@ -193,8 +193,8 @@
                 let phase = phase_of(&k.phase).ok_or("the snapshot: newest.phase: not known")?;
                 let span = |ms: f64| (0.0..=1e12).contains(&ms);
                 for (good, field) in [
-                    ((1..=MOST_BUILD).contains(&k.build), "build"),
-                    ((k.stage as usize) < MOST_STAGES, "stage"),
+                    ((1..=MAX_BUILD).contains(&k.build), "build"),
+                    ((k.stage as usize) < MAX_STAGES, "stage"),
                     (span(k.age_ms), "age_ms"),
                     (span(k.ran_ms), "ran_ms"),
                 ] {
@@ -251,7 +251,7 @@
     fn member(&self, now: Ns, name: &str) -> Value {
         let (m, settings) = (&self.roster.machines[name], self.settings.as_ref());
         let place = settings.and_then(|c| c.places.get(m.place));
-        let zone = place.and_then(|p| settings.map(|c| c.zone(&p.zone))).unwrap_or(0);
+        let zone = place.and_then(|p| settings.map(|c| c.zone_index(&p.zone))).unwrap_or(0);
         json!({ "name": name, "addr": m.addr, "place": place.map(|p| &p.name), "zone": zone,
             "cell": place.map_or(0, |p| p.cell), "weight": place.map_or(1.0, |p| p.weight), "build": m.build,
             "run": m.run, "state": state_word(m.state), "age_ms": ms(now - m.started) })
@@ -319,7 +319,7 @@
     }
 
     fn put_settings(&mut self, body: &[u8]) -> Answer {
-        let settings = match Settings::read(body) {
+        let settings = match Settings::parse(body) {
             Ok(settings) => settings,
             Err(wrong) => {
                 tracing::info!(event = "settings refused", field = wrong[0].field, why = wrong[0].why);
@@ -410,7 +410,7 @@
                     Moot::Stage => "stage",
                     Moot::Verdict => "verdict",
                 };
-                let errors = [Wrong { field: field.into(), why: "moot: not the present one".into() }];
+                let errors = [FieldError { field: field.into(), why: "moot: not the present one".into() }];
                 Answer::Now(409, json!({ "counted": false, "errors": errors, "stage": self.stage(now) }))
             }
         }
@@ -457,7 +457,7 @@
     }
 
     fn beat(&mut self, now: Ns, name: &str, json: &Value) -> Answer {
-        if !plain(name) {
+        if !is_valid_name(name) {
             return no(400, "name", "1 to 64 letters, digits, '-', '_' or '.'");
         }
         let addr = field!(json, "addr", Value::as_str);
--- a/control/src/files.rs
+++ b/control/src/files.rs
@@ -1,6 +1,6 @@
 //! Files of the repository by HTTP, whole or by a range of bytes (RFC 9110 section 14). Only plain names below
 //! `metadata/` and `targets/` are known, so no path leads out of the folder.
-use crate::settings::plain;
+use crate::settings::is_valid_name;
 use rockpick_net::http::Request;
 use std::fs::File;
 use std::io::{ErrorKind, Seek, SeekFrom};
@@ -39,7 +39,7 @@
         _ => return no(404, "no such file"),
     };
     // Targets carry a hash of 64 digits before their name.
-    let known = |name: &str| plain(name) || name.len() <= 130 && name.split('.').all(plain);
+    let known = |name: &str| is_valid_name(name) || name.len() <= 130 && name.split('.').all(is_valid_name);
     if !known(name) || name.starts_with('.') {
         return no(404, "no such file");
     }
--- a/control/src/release.rs
+++ b/control/src/release.rs
@@ -10,7 +10,7 @@
 const START_WITHIN: Ns = 8_000 * MS;
 
 /// Highest number of a build: notes between fronts carry it in 16 bits.
-pub const MOST_BUILD: u32 = 65_535;
+pub const MAX_BUILD: u32 = 65_535;
 
 /// What runs: place and build.
 pub type Running = BTreeSet<(usize, u32)>;
@@ -74,7 +74,7 @@
 fn order(settings: &Settings) -> Vec<usize> {
     let mut zones: Vec<Vec<usize>> = vec![Vec::new(); settings.zones.len()];
     for (i, place) in settings.places.iter().enumerate() {
-        zones[settings.zone(&place.zone) as usize].push(i);
+        zones[settings.zone_index(&place.zone) as usize].push(i);
     }
     let rounds = zones.iter().map(Vec::len).max().unwrap_or(0);
     (0..rounds).flat_map(|r| zones.iter().filter_map(move |z| z.get(r).copied())).collect()
@@ -124,7 +124,7 @@
         if build <= last {
             return Err("a build's number must be above all before it");
         }
-        if build > MOST_BUILD {
+        if build > MAX_BUILD {
             return Err("builds go up to 65535");
         }
         let mut off = None;
@@ -343,11 +343,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::ControlBy;
+    use crate::settings::ControlKind;
 
     const SEC: Ns = 1_000 * MS;
 
-    fn settings(control: ControlBy, parallel: bool) -> Settings {
+    fn settings(control: ControlKind, parallel: bool) -> Settings {
         let mut settings = Settings::example(5, 10);
         (settings.rollout.control, settings.rollout.parallel) = (control, parallel);
         (settings.rollout.on_votes, settings.rollout.back_votes) = (3, 2);
@@ -362,7 +362,7 @@
 
     #[test]
     fn by_count_moves_on_with_enough_votes_after_the_dwell_and_no_sooner() {
-        let settings = settings(ControlBy::ByCount, true);
+        let settings = settings(ControlKind::ByCount, true);
         let (mut release, mut running) = (Release::new(&settings), Running::new());
         reconcile(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
@@ -393,7 +393,7 @@
 
     #[test]
     fn votes_lapse_and_only_enough_standing_ones_send_back_also_after_the_release() {
-        let settings = settings(ControlBy::ByCount, true);
+        let settings = settings(ControlKind::ByCount, true);
         let mut release = Release::new(&settings);
         release.restore(0, 1, Some((2, 2, Phase::Released, SEC, 0)));
         let mut running: Running = (0..10).map(|p| (p, 2)).collect();
@@ -413,7 +413,7 @@
 
     #[test]
     fn automatic_control_moves_by_time_and_stands_still_on_hold() {
-        let settings = settings(ControlBy::Automatic, false);
+        let settings = settings(ControlKind::Automatic, false);
         let (mut release, mut running) = (Release::new(&settings), Running::new());
         reconcile(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
@@ -429,7 +429,7 @@
 
     #[test]
     fn in_place_only_so_many_are_cold_or_starting_at_once_and_unfit_places_count_for_nothing() {
-        let mut settings = settings(ControlBy::ByCount, false);
+        let mut settings = settings(ControlKind::ByCount, false);
         (settings.rollout.stages, settings.rollout.serving_share) = (vec![0.5, 0.8, 1.0], 0.75);
         let mut release = Release::new(&settings);
         let mut running: Running = (0..10).map(|p| (p, 1)).collect();
@@ -459,7 +459,7 @@
 
     #[test]
     fn a_newer_offer_takes_off_one_on_trial_and_an_older_one_is_refused() {
-        let settings = settings(ControlBy::FirstVoice, true);
+        let settings = settings(ControlKind::FirstVoice, true);
         let mut release = Release::new(&settings);
         release.offer(0, 2).unwrap();
         assert_eq!(release.offer(SEC, 3).unwrap().unwrap().build, 2);
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -8,24 +8,24 @@
 const MS: Ns = 1_000_000;
 
 /// Most methods, zones, fronts and places: five times the largest fleet that was asked for.
-const MOST_METHODS: usize = 64;
-pub const MOST_ZONES: usize = 64;
-pub const MOST_WEIGHT: f64 = 1e6;
-const MOST_FRONTS: usize = 5_000;
-const MOST_PLACES: usize = 5_000;
-pub const MOST_STAGES: usize = 32;
+const MAX_METHODS: usize = 64;
+pub const MAX_ZONES: usize = 64;
+pub const MAX_WEIGHT: f64 = 1e6;
+const MAX_FRONTS: usize = 5_000;
+const MAX_PLACES: usize = 5_000;
+pub const MAX_STAGES: usize = 32;
 /// Longest time that a field takes: a day.
-const MOST_MS: u64 = 86_400_000;
+const MAX_MS: u64 = 86_400_000;
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    pub methods: Vec<Row>,
-    pub rollout: Stages,
-    pub guard: Limits,
-    pub rights: Allowed,
+    pub methods: Vec<MethodSettings>,
+    pub rollout: RolloutSettings,
+    pub guard: GuardSettings,
+    pub rights: RightsSettings,
     pub zones: Vec<String>,
-    pub fronts: Vec<FrontSeat>,
+    pub fronts: Vec<FrontSettings>,
     pub places: Vec<Place>,
     /// The build that all places run before the first offer.
     pub first_build: u32,
@@ -39,21 +39,21 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Row {
+pub struct MethodSettings {
     pub name: String,
     pub soft_deadline_ms: u64,
     pub deadline_ms: u64,
     pub utility: f64,
-    pub repeat: Repeats,
+    pub repeat: RepeatKind,
     #[serde(default)]
-    pub group: GroupOf,
+    pub group: GroupKind,
     #[serde(default)]
     pub remembered_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeats {
+pub enum RepeatKind {
     Idempotent,
     Tokened,
     NonIdempotent,
@@ -61,7 +61,7 @@
 
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum GroupOf {
+pub enum GroupKind {
     All,
     Zone,
     #[default]
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum ControlBy {
+pub enum ControlKind {
     FirstVoice,
     ByCount,
     Automatic,
@@ -78,8 +78,8 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Stages {
-    pub control: ControlBy,
+pub struct RolloutSettings {
+    pub control: ControlKind,
     /// Machines of the earlier build stay until the release.
     pub parallel: bool,
     /// Shares of the places, one a stage, rising.
@@ -127,7 +127,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Limits {
+pub struct GuardSettings {
     pub drain_grace_ms: u64,
     pub cold_from: f64,
     pub cold_time_ms: u64,
@@ -140,7 +140,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Allowed {
+pub struct RightsSettings {
     pub most_picks: u32,
     pub notes: bool,
     pub longest_wait_ms: u64,
@@ -148,7 +148,7 @@
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct FrontSeat {
+pub struct FrontSettings {
     pub name: String,
     pub zone: String,
 }
@@ -165,25 +165,26 @@
 
 /// A field that can't be taken, by its path.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-pub struct Wrong {
+pub struct FieldError {
     pub field: String,
     pub why: String,
 }
 
 /// Names go into paths, headers and logs, so they are plain.
-pub fn plain(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     !name.is_empty() && name.len() <= 64 && name.bytes().all(fits)
 }
 
 impl Settings {
     /// Reads and checks a document; every error names its field.
-    pub fn read(text: &[u8]) -> Result<Settings, Vec<Wrong>> {
+    pub fn parse(text: &[u8]) -> Result<Settings, Vec<FieldError>> {
         let mut json = serde_json::Deserializer::from_slice(text);
-        let settings: Settings = serde_path_to_error::deserialize(&mut json)
-            .map_err(|err| vec![Wrong { field: err.path().to_string(), why: err.inner().to_string() }])?;
-        json.end().map_err(|err| vec![Wrong { field: ".".into(), why: err.to_string() }])?;
-        let wrong = settings.check();
+        let settings: Settings = serde_path_to_error::deserialize(&mut json).map_err(|err| {
+            vec![FieldError { field: err.path().to_string(), why: err.inner().to_string() }]
+        })?;
+        json.end().map_err(|err| vec![FieldError { field: ".".into(), why: err.to_string() }])?;
+        let wrong = settings.validate();
         if wrong.is_empty() {
             Ok(settings)
         } else {
@@ -192,30 +193,30 @@
     }
 
     /// All that is wrong, not just the first.
-    pub fn check(&self) -> Vec<Wrong> {
+    pub fn validate(&self) -> Vec<FieldError> {
         let mut wrong = Vec::new();
         let mut must = |good: bool, field: String, why: &str| {
             if !good {
-                wrong.push(Wrong { field, why: why.into() });
+                wrong.push(FieldError { field, why: why.into() });
             }
         };
         let share = |x: f64| (0.0..=1.0).contains(&x);
-        must((1..=MOST_METHODS).contains(&self.methods.len()), "methods".into(), "1 to 64 are wanted");
+        must((1..=MAX_METHODS).contains(&self.methods.len()), "methods".into(), "1 to 64 are wanted");
         let mut names = BTreeSet::new();
         for (i, m) in self.methods.iter().enumerate() {
             let at = |f: &str| format!("methods[{i}].{f}");
-            must(plain(&m.name), at("name"), "1 to 64 letters, digits, '-', '_' or '.'");
+            must(is_valid_name(&m.name), at("name"), "1 to 64 letters, digits, '-', '_' or '.'");
             must(names.insert(&m.name), at("name"), "given twice");
             let aim = (1..=m.deadline_ms).contains(&m.soft_deadline_ms);
             must(aim, at("soft_deadline_ms"), "1 to deadline_ms");
-            must(m.deadline_ms <= MOST_MS, at("deadline_ms"), "a day at most");
+            must(m.deadline_ms <= MAX_MS, at("deadline_ms"), "a day at most");
             must(m.utility > 0.0 && m.utility <= 1e9, at("utility"), "above 0, at most 1e9");
-            let window = m.repeat != Repeats::Tokened || (1..=MOST_MS).contains(&m.remembered_ms);
+            let window = m.repeat != RepeatKind::Tokened || (1..=MAX_MS).contains(&m.remembered_ms);
             must(window, at("remembered_ms"), "wanted for a tokened method");
         }
         let r = &self.rollout;
         let at = |f: &str| format!("rollout.{f}");
-        must((1..=MOST_STAGES).contains(&r.stages.len()), at("stages"), "1 to 32 are wanted");
+        must((1..=MAX_STAGES).contains(&r.stages.len()), at("stages"), "1 to 32 are wanted");
         must(r.caps.len() == r.stages.len(), at("caps"), "one a stage is wanted");
         for (i, pair) in r.stages.windows(2).enumerate() {
             must(pair[0] <= pair[1], format!("rollout.stages[{}]", i + 1), "lower than the stage before");
@@ -227,12 +228,12 @@
             must(share(*c), format!("rollout.caps[{i}]"), "0 to 1");
         }
         must((0.0..=1e6).contains(&r.free), at("free"), "0 to 1e6");
-        must((32..=MOST_MS).contains(&r.window_ms), at("window_ms"), "32 ms to a day");
+        must((32..=MAX_MS).contains(&r.window_ms), at("window_ms"), "32 ms to a day");
         must(r.guarded_stages <= r.stages.len(), at("guarded_stages"), "more than there are stages");
-        must(r.dwell_ms <= MOST_MS, at("dwell_ms"), "a day at most");
-        let steps = r.control != ControlBy::Automatic || (1..=MOST_MS).contains(&r.step_ms);
+        must(r.dwell_ms <= MAX_MS, at("dwell_ms"), "a day at most");
+        let steps = r.control != ControlKind::Automatic || (1..=MAX_MS).contains(&r.step_ms);
         must(steps, at("step_ms"), "wanted under automatic control, a day at most");
-        must((100..=MOST_MS).contains(&r.vote_life_ms), at("vote_life_ms"), "100 ms to a day");
+        must((100..=MAX_MS).contains(&r.vote_life_ms), at("vote_life_ms"), "100 ms to a day");
         must((10..=60_000).contains(&r.call_timeout_ms), at("call_timeout_ms"), "10 ms to a minute");
         must(r.votes_a_second >= 1.0 && r.votes_a_second <= 1e6, at("votes_a_second"), "1 to 1e6");
         let fronts = self.fronts.len() as u32;
@@ -248,43 +249,39 @@
         must((0.0..1.0).contains(&r.serving_share), at("serving_share"), "0 to under 1");
         let g = &self.guard;
         let at = |f: &str| format!("guard.{f}");
-        must(g.drain_grace_ms <= MOST_MS, at("drain_grace_ms"), "a day at most");
+        must(g.drain_grace_ms <= MAX_MS, at("drain_grace_ms"), "a day at most");
         must(g.cold_from > 0.0 && g.cold_from <= 1.0, at("cold_from"), "above 0, at most 1");
-        must(g.cold_time_ms <= MOST_MS, at("cold_time_ms"), "a day at most");
+        must(g.cold_time_ms <= MAX_MS, at("cold_time_ms"), "a day at most");
         must(g.overload_factor >= 1.0 && g.overload_factor <= 1e3, at("overload_factor"), "1 to 1000");
-        must((1..=MOST_MS).contains(&g.fall_time_ms), at("fall_time_ms"), "1 ms to a day");
-        must((100..=MOST_MS).contains(&g.ask_within_ms), at("ask_within_ms"), "100 ms to a day");
+        must((1..=MAX_MS).contains(&g.fall_time_ms), at("fall_time_ms"), "1 ms to a day");
+        must((100..=MAX_MS).contains(&g.ask_within_ms), at("ask_within_ms"), "100 ms to a day");
         must(g.answer_margin_ms <= 10_000, at("answer_margin_ms"), "10 s at most");
         must((1..=64).contains(&self.rights.most_picks), "rights.most_picks".into(), "1 to 64");
-        must(self.rights.longest_wait_ms <= MOST_MS, "rights.longest_wait_ms".into(), "a day at most");
-        must((1..=MOST_ZONES).contains(&self.zones.len()), "zones".into(), "1 to 64 are wanted");
+        must(self.rights.longest_wait_ms <= MAX_MS, "rights.longest_wait_ms".into(), "a day at most");
+        must((1..=MAX_ZONES).contains(&self.zones.len()), "zones".into(), "1 to 64 are wanted");
         let zones: BTreeSet<&String> = self.zones.iter().collect();
         must(zones.len() == self.zones.len(), "zones".into(), "one given twice");
         for (i, z) in self.zones.iter().enumerate() {
-            must(plain(z), format!("zones[{i}]"), "1 to 64 letters, digits, '-', '_' or '.'");
+            must(is_valid_name(z), format!("zones[{i}]"), "1 to 64 letters, digits, '-', '_' or '.'");
         }
-        must((1..=MOST_FRONTS).contains(&self.fronts.len()), "fronts".into(), "1 to 5000 are wanted");
-        must((1..=MOST_PLACES).contains(&self.places.len()), "places".into(), "1 to 5000 are wanted");
+        must((1..=MAX_FRONTS).contains(&self.fronts.len()), "fronts".into(), "1 to 5000 are wanted");
+        must((1..=MAX_PLACES).contains(&self.places.len()), "places".into(), "1 to 5000 are wanted");
         let (fronts, places) = (self.fronts.iter().enumerate(), self.places.iter().enumerate());
         let named = fronts.map(|(i, f)| (format!("fronts[{i}]"), &f.name, &f.zone));
         let mut names = BTreeSet::new();
         for (at, name, zone) in named.chain(places.map(|(i, p)| (format!("places[{i}]"), &p.name, &p.zone))) {
-            must(plain(name), format!("{at}.name"), "1 to 64 letters, digits, '-', '_' or '.'");
+            must(is_valid_name(name), format!("{at}.name"), "1 to 64 letters, digits, '-', '_' or '.'");
             must(names.insert(name), format!("{at}.name"), "given twice");
             must(zones.contains(zone), format!("{at}.zone"), "not among zones");
         }
         for (i, p) in self.places.iter().enumerate() {
             must(
-                p.weight > 0.0 && p.weight <= MOST_WEIGHT,
+                p.weight > 0.0 && p.weight <= MAX_WEIGHT,
                 format!("places[{i}].weight"),
                 "above 0, at most 1e6",
             );
         }
-        must(
-            (1..=crate::release::MOST_BUILD).contains(&self.first_build),
-            "first_build".into(),
-            "1 to 65535",
-        );
+        must((1..=crate::release::MAX_BUILD).contains(&self.first_build), "first_build".into(), "1 to 65535");
         must(share(self.cross_zone_price), "cross_zone_price".into(), "0 to 1");
         for (field, why) in self.directory.iter().flat_map(Books::check) {
             must(false, format!("directory.{field}"), &why);
@@ -292,23 +289,23 @@
         wrong
     }
 
-    pub fn zone(&self, name: &str) -> u32 {
+    pub fn zone_index(&self, name: &str) -> u32 {
         self.zones.iter().position(|z| z == name).unwrap_or(0) as u32
     }
 
-    pub fn method(&self, name: &str) -> Option<usize> {
+    pub fn method_index(&self, name: &str) -> Option<usize> {
         self.methods.iter().position(|m| m.name == name)
     }
 
     /// What the front of this name is told at start.
-    pub fn post(&self, front: &str, seed: u64) -> Option<Post> {
+    pub fn front_config(&self, front: &str, seed: u64) -> Option<Post> {
         let rank = self.fronts.iter().position(|f| f.name == front)?;
         let ms = |n: u64| n as Ns * MS;
         let (r, g) = (&self.rollout, &self.guard);
         Some(Post {
             fronts: self.fronts.len() as u32,
             rank: rank as u32,
-            zone: self.zone(&self.fronts[rank].zone),
+            zone: self.zone_index(&self.fronts[rank].zone),
             seed,
             ask_roster: true,
             // The loop's turns are far shorter; this is what a time-out may be late by on a busy machine.
@@ -322,14 +319,14 @@
                     soft_deadline: ms(m.soft_deadline_ms),
                     utility: m.utility,
                     repeat: match m.repeat {
-                        Repeats::Idempotent => Repeat::Idempotent,
-                        Repeats::Tokened => Repeat::Tokened,
-                        Repeats::NonIdempotent => Repeat::NonIdempotent,
+                        RepeatKind::Idempotent => Repeat::Idempotent,
+                        RepeatKind::Tokened => Repeat::Tokened,
+                        RepeatKind::NonIdempotent => Repeat::NonIdempotent,
                     },
                     group: match m.group {
-                        GroupOf::All => Group::All,
-                        GroupOf::Zone => Group::Zone,
-                        GroupOf::Cell => Group::Cell,
+                        GroupKind::All => Group::All,
+                        GroupKind::Zone => Group::Zone,
+                        GroupKind::Cell => Group::Cell,
                     },
                     remembered: ms(m.remembered_ms),
                 })
@@ -370,25 +367,25 @@
     /// A small settings to begin with: `rockpick settings --example`, rehearsals and tests.
     pub fn example(fronts: usize, places: usize) -> Settings {
         let zones = ["north", "south"];
-        let method = |name: &str, soft, deadline, utility, repeat| Row {
+        let method = |name: &str, soft, deadline, utility, repeat| MethodSettings {
             name: name.into(),
             soft_deadline_ms: soft,
             deadline_ms: deadline,
             utility,
             repeat,
-            group: GroupOf::All,
+            group: GroupKind::All,
             remembered_ms: 5_000,
         };
         let zone = |i: usize| zones[i % 2].to_string();
         let share = |part: f64| ((fronts as f64 * part).ceil() as u32).max(1);
         Settings {
             methods: vec![
-                method("lookup", 800, 3_000, 2.0, Repeats::Idempotent),
-                method("save", 800, 3_000, 2.0, Repeats::Tokened),
-                method("lodge", 1_000, 3_000, 6.0, Repeats::NonIdempotent),
+                method("lookup", 800, 3_000, 2.0, RepeatKind::Idempotent),
+                method("save", 800, 3_000, 2.0, RepeatKind::Tokened),
+                method("lodge", 1_000, 3_000, 6.0, RepeatKind::NonIdempotent),
             ],
-            rollout: Stages {
-                control: ControlBy::ByCount,
+            rollout: RolloutSettings {
+                control: ControlKind::ByCount,
                 parallel: true,
                 stages: vec![0.1, 0.35, 1.0],
                 caps: vec![0.14, 0.49, 1.0],
@@ -410,7 +407,7 @@
                 tally_every_ms: 1_000,
                 tally_sample: 0.4,
             },
-            guard: Limits {
+            guard: GuardSettings {
                 drain_grace_ms: 1_000,
                 cold_from: 0.42,
                 cold_time_ms: 5_000,
@@ -419,9 +416,9 @@
                 ask_within_ms: 10_000,
                 answer_margin_ms: 40,
             },
-            rights: Allowed { most_picks: 3, notes: true, longest_wait_ms: 2_000 },
+            rights: RightsSettings { most_picks: 3, notes: true, longest_wait_ms: 2_000 },
             zones: zones.map(String::from).to_vec(),
-            fronts: (0..fronts).map(|i| FrontSeat { name: format!("f{i}"), zone: zone(i) }).collect(),
+            fronts: (0..fronts).map(|i| FrontSettings { name: format!("f{i}"), zone: zone(i) }).collect(),
             places: (0..places)
                 .map(|i| Place { name: format!("p{i}"), zone: zone(i), cell: (i / 4) as u32, weight: 1.0 })
                 .collect(),
@@ -432,12 +429,12 @@
     }
 }
 
-impl Stages {
+impl RolloutSettings {
     pub fn control(&self) -> Control {
         match self.control {
-            ControlBy::FirstVoice => Control::FirstVoice,
-            ControlBy::ByCount => Control::ByCount,
-            ControlBy::Automatic => Control::Automatic,
+            ControlKind::FirstVoice => Control::FirstVoice,
+            ControlKind::ByCount => Control::ByCount,
+            ControlKind::Automatic => Control::Automatic,
         }
     }
 }
@@ -449,17 +446,17 @@
     #[test]
     fn errors_name_their_fields_by_path_and_all_at_once() {
         let mut settings = Settings::example(2, 4);
-        assert_eq!(settings.check(), []);
+        assert_eq!(settings.validate(), []);
         settings.methods[1].utility = -1.0;
         settings.rollout.caps.pop();
         settings.places[3].zone = "west".into();
         settings.guard.overload_factor = f64::NAN;
-        let fields: Vec<String> = settings.check().into_iter().map(|w| w.field).collect();
+        let fields: Vec<String> = settings.validate().into_iter().map(|w| w.field).collect();
         assert_eq!(fields, ["methods[1].utility", "rollout.caps", "guard.overload_factor", "places[3].zone"]);
         let mut json = serde_json::to_value(Settings::example(2, 4)).unwrap();
         json["methods"][2]["repeat"] = "perhaps".into();
-        let wrong = Settings::read(json.to_string().as_bytes()).unwrap_err();
+        let wrong = Settings::parse(json.to_string().as_bytes()).unwrap_err();
         assert_eq!(wrong[0].field, "methods[2].repeat");
-        assert!(Settings::read(b"{\"zoness\":1}").is_err() && Settings::read(b"[").is_err());
+        assert!(Settings::parse(b"{\"zoness\":1}").is_err() && Settings::parse(b"[").is_err());
     }
 }
--- a/emu/src/experiment.rs
+++ b/emu/src/experiment.rs
@@ -29,7 +29,7 @@
 pub fn vary(charter: &Settings, changes: &[String]) -> Result<Settings, String> {
     let mut json = serde_json::to_value(charter).map_err(|err| err.to_string())?;
     set(&mut json, changes.iter().filter(|c| !c.starts_with(PLAN)))?;
-    Settings::read(json.to_string().as_bytes()).map_err(|w| format!("{}: {}", w[0].field, w[0].why))
+    Settings::parse(json.to_string().as_bytes()).map_err(|w| format!("{}: {}", w[0].field, w[0].why))
 }
 
 fn set<'a>(json: &mut Value, changes: impl Iterator<Item = &'a String>) -> Result<(), String> {
--- a/emu/src/line.rs
+++ b/emu/src/line.rs
@@ -65,7 +65,7 @@
         let picks: u64 = judgement.rows.values().map(|r| r.picks).sum();
         line.exposure = judgement.trial_picks as f64 / picks.max(1) as f64;
         for (name, row) in &judgement.rows {
-            let utility = charter.method(name).map_or(0.0, |m| charter.methods[m].utility);
+            let utility = charter.method_index(name).map_or(0.0, |m| charter.methods[m].utility);
             line.asked += utility * row.rpcs as f64;
             line.ok += row.ok;
             line.late += row.ok - row.in_time.min(row.ok);
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -326,7 +326,7 @@
             watch,
             limits,
         } = day;
-        if let Some(wrong) = charter.check().first() {
+        if let Some(wrong) = charter.validate().first() {
             return Err(format!("{}: {}", wrong.field, wrong.why));
         }
         let fronts = charter.fronts.len();
@@ -386,7 +386,7 @@
         world.pass();
         for front in 0..fronts as u32 {
             world.seats[front as usize].zone =
-                world.charter.zone(&world.charter.fronts[front as usize].zone) as usize;
+                world.charter.zone_index(&world.charter.fronts[front as usize].zone) as usize;
             world.start(front);
         }
         world.tell_stage();
@@ -651,7 +651,7 @@
     fn start(&mut self, front: u32) {
         let name = self.charter.fronts[front as usize].name.clone();
         let seed = self.chance.random();
-        let Some(post) = self.charter.post(&name, seed) else { return };
+        let Some(post) = self.charter.front_config(&name, seed) else { return };
         let now = self.now;
         let seat = &mut self.seats[front as usize];
         let (standing, roster, zone) = (seat.standing, std::mem::take(&mut seat.roster), seat.zone);
@@ -1011,7 +1011,7 @@
 
     fn boot(&mut self, place: usize, build: u32) {
         self.booting.remove(&(place, build));
-        let zone = self.charter.zone(&self.charter.places[place].zone);
+        let zone = self.charter.zone_index(&self.charter.places[place].zone);
         let index = *self.named.entry((place, build)).or_insert_with(|| {
             let name = format!("{}..{build}", self.charter.places[place].name);
             let tag = rockpick_door::tag(&name);
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -6,8 +6,8 @@
 use rockpick::{Front, Member, Ns, Outcome, Reply, Roll, Standing, State};
 use rockpick_control::desk::{phase_of, phase_word, state_of, MOST_ROWS};
 use rockpick_control::keep::Writer;
-use rockpick_control::release::MOST_BUILD;
-use rockpick_control::settings::{plain, Repeats, Wrong, MOST_WEIGHT, MOST_ZONES};
+use rockpick_control::release::MAX_BUILD;
+use rockpick_control::settings::{is_valid_name, FieldError, RepeatKind, MAX_WEIGHT, MAX_ZONES};
 use rockpick_control::Settings;
 use rockpick_net::http::Request;
 use rockpick_net::{take_line, Bound, End, Event, Id, Net, Often, MS, SEC};
@@ -361,7 +361,7 @@
         if self.wire.door.in_use() >= MOST_OPEN {
             return self.not_taken(conn, 503, "too many RPCs are open");
         }
-        let Some(method) = self.wire.charter.method(name) else {
+        let Some(method) = self.wire.charter.method_index(name) else {
             return self.not_taken(conn, 404, "no such method");
         };
         let row = &self.wire.charter.methods[method];
@@ -374,7 +374,8 @@
         if !fresh::in_time(left, self.wire.charter.guard.answer_margin_ms as Ns * MS) {
             return self.not_taken(conn, 503, "too little time is left to answer");
         }
-        if row.repeat == Repeats::Tokened && request.lines.get("idempotency-key").is_none_or(str::is_empty) {
+        if row.repeat == RepeatKind::Tokened && request.lines.get("idempotency-key").is_none_or(str::is_empty)
+        {
             return self.not_taken(conn, 400, "Idempotency-Key: wanted for this method");
         }
         let key = request.lines.get("rockpick-key").map(key_of);
@@ -524,7 +525,7 @@
                     row.get(i).and_then(Value::as_u64).map_or(0, |n| n.min(u32::MAX.into()) as u32)
                 };
                 let (build, method, picks, bad) = (at(0), at(1) as usize, at(2), at(3).min(at(2)));
-                if build <= MOST_BUILD && method < self.wire.charter.methods.len() {
+                if build <= MAX_BUILD && method < self.wire.charter.methods.len() {
                     self.each(|front, wire| front.tallied(wire, build, method, picks, bad));
                 }
             }
@@ -556,7 +557,7 @@
         let now = self.wire.net.now();
         let number = |name: &str| stage.get(name).and_then(Value::as_f64);
         Some(Standing {
-            build: number("build").filter(|b| (0.0..=MOST_BUILD.into()).contains(b))? as u32,
+            build: number("build").filter(|b| (0.0..=MAX_BUILD.into()).contains(b))? as u32,
             stage: number("stage")? as u32,
             phase: phase_of(stage.get("phase")?.as_str()?)?,
             cap: number("cap")?.clamp(0.0, 1.0),
@@ -681,13 +682,13 @@
             if self.lives.len() >= MOST_LIVES {
                 return;
             }
-            match Settings::read(settings.to_string().as_bytes()) {
+            match Settings::parse(settings.to_string().as_bytes()) {
                 Ok(charter) => {
                     self.begin(charter, version);
                     self.dirty = true;
                 }
                 Err(wrong) => {
-                    if let Some(Wrong { field, why }) = wrong.first() {
+                    if let Some(FieldError { field, why }) = wrong.first() {
                         tracing::warn!(event = "settings refused", field, why, version);
                     }
                 }
@@ -698,7 +699,7 @@
 
     fn begin(&mut self, charter: Settings, version: u64) {
         let opening = &self.wire.opening;
-        let Some(post) = charter.post(&opening.name, opening.seed ^ (self.wire.life + 1)) else {
+        let Some(post) = charter.front_config(&opening.name, opening.seed ^ (self.wire.life + 1)) else {
             if !std::mem::replace(&mut self.no_settings, true) || self.version != version {
                 tracing::warn!(
                     event = "not among the fronts",
@@ -892,14 +893,14 @@
         None => Ok(0.0),
         Some(value) => value.as_f64().filter(|x| (0.0..=most).contains(x)).ok_or(field),
     };
-    let weight = number("weight", MOST_WEIGHT)?;
+    let weight = number("weight", MAX_WEIGHT)?;
     Ok(Said {
-        name: word("name").ok().filter(|name| plain(name)).ok_or("name")?,
+        name: word("name").ok().filter(|name| is_valid_name(name)).ok_or("name")?,
         addr: line.get("addr").and_then(Value::as_str).and_then(|a| a.parse().ok()),
         state: state_of(word("state")?).ok_or("state")?,
-        zone: number("zone", MOST_ZONES as f64 - 1.0)? as u32,
+        zone: number("zone", MAX_ZONES as f64 - 1.0)? as u32,
         cell: number("cell", f64::from(u32::MAX))? as u32,
-        build: number("build", f64::from(MOST_BUILD))? as u32,
+        build: number("build", f64::from(MAX_BUILD))? as u32,
         weight: if weight > 0.0 { weight } else { 1.0 },
         run: line.get("run").and_then(Value::as_u64).unwrap_or(0),
         age: (number("age_ms", MOST_AGE)? * MS as f64) as Ns,
--- a/front/src/saved.rs
+++ b/front/src/saved.rs
@@ -40,7 +40,7 @@
         }
     };
     let saved: Saved = serde_json::from_slice(&text).map_err(|err| at(err.to_string()))?;
-    match saved.settings.check().first() {
+    match saved.settings.validate().first() {
         Some(wrong) => Err(at(format!("{}: {}", wrong.field, wrong.why))),
         None => Ok(Some(saved)),
     }
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/crew.rs
@@ -821,7 +821,7 @@
             Act::Storm { act, begins, .. } => self.storm(*act, *begins)?,
             Act::Part(parted) => {
                 self.note(if *parted { "part" } else { "join" }, "zones");
-                let zones = self.charter.fronts.iter().map(|f| self.charter.zone(&f.zone));
+                let zones = self.charter.fronts.iter().map(|f| self.charter.zone_index(&f.zone));
                 let zones = if *parted { zones.collect() } else { Vec::new() };
                 self.zones = zones;
                 self.links();
--- a/rehearse/src/judge.rs
+++ b/rehearse/src/judge.rs
@@ -4,7 +4,7 @@
 //!
 //! Times are one clock's, in ns: the machine's monotonic one, which all records share, or the emulator's. What
 //! two processes saw of one thing differs by their scheduling: [`SKEW`] is granted for that, never more.
-use rockpick_control::settings::{GroupOf, Repeats};
+use rockpick_control::settings::{GroupKind, RepeatKind};
 use rockpick_control::Settings;
 use rockpick_standin::shop::Did;
 use serde_json::Value;
@@ -275,7 +275,7 @@
     let fronts: BTreeMap<&str, u16> =
         charter.fronts.iter().zip(0..).map(|(f, i)| (f.name.as_str(), i)).collect();
     let front = |v: &Value| fronts.get(s(v, "front")).copied();
-    let method = |v: &Value| charter.method(s(v, "method")).map(|m| m as u16);
+    let method = |v: &Value| charter.method_index(s(v, "method")).map(|m| m as u16);
     let mut rpcs: BTreeMap<String, u64> = BTreeMap::new();
     let mut rpc = |v: &Value| {
         let next = rpcs.len() as u64;
@@ -501,15 +501,15 @@
         for (rpc, (method, picks)) in &rpcs {
             let row = &charter.methods[*method as usize];
             let began: Vec<&Seen> = picks.iter().filter(|p| p.began.is_some()).collect();
-            if row.repeat == Repeats::NonIdempotent && began.len() > 1 {
+            if row.repeat == RepeatKind::NonIdempotent && began.len() > 1 {
                 let at: Vec<&str> = began.iter().map(|p| self.machine(p.machine)).collect();
                 found.push(format!("{rpc} ({}, non-idempotent) ran at {}", row.name, at.join(" and ")));
             }
-            if let (Repeats::Tokened, Some(one)) = (row.repeat, began.first()) {
+            if let (RepeatKind::Tokened, Some(one)) = (row.repeat, began.first()) {
                 for p in picks.iter().filter(|p| p.arrived > one.arrived) {
                     let inside = match (row.group, place(one.machine), place(p.machine)) {
-                        (GroupOf::Zone, Some(a), Some(b)) => a.zone == b.zone,
-                        (GroupOf::Cell, Some(a), Some(b)) => a.cell == b.cell,
+                        (GroupKind::Zone, Some(a), Some(b)) => a.zone == b.zone,
+                        (GroupKind::Cell, Some(a), Some(b)) => a.cell == b.cell,
                         _ => true,
                     };
                     if !inside || p.arrived - one.arrived > row.remembered_ms as Ns * MS + SKEW {
@@ -533,9 +533,9 @@
         for l in self.day.clients.iter().filter(|l| l.saw == Saw::PushedBack) {
             let Some((method, picks)) = rpcs.get(&l.rpc) else { continue };
             let row = &charter.methods[*method as usize];
-            let narrow = row.repeat == Repeats::Tokened && row.group != GroupOf::All;
+            let narrow = row.repeat == RepeatKind::Tokened && row.group != GroupKind::All;
             let ran = picks.iter().any(|p| p.attempt == l.attempt && p.began.is_some_and(|b| b < l.t));
-            if ran && (row.repeat == Repeats::NonIdempotent || narrow) {
+            if ran && (row.repeat == RepeatKind::NonIdempotent || narrow) {
                 found.push(format!("{} ({}) was pushed back though it had run", l.rpc, row.name));
             }
         }
@@ -627,7 +627,7 @@
             trial_picks += 1;
             let guarded = (stages.stage(front, build, at).unwrap_or(0) as usize) < r.guarded_stages;
             let row = &self.charter.methods[l.method as usize];
-            if guarded && row.repeat != Repeats::Idempotent && said.insert((l.front, build, "guard")) {
+            if guarded && row.repeat != RepeatKind::Idempotent && said.insert((l.front, build, "guard")) {
                 found.push(format!("{front} sent {} to build {build} in a guarded stage", row.name));
             }
             let times = picks.entry((l.front, scope(l.method), build)).or_default();
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -5,7 +5,7 @@
 use crate::schedule::Arrivals;
 use hdrhistogram::Histogram;
 use rand::Rng;
-use rockpick_control::settings::{Repeats, Row};
+use rockpick_control::settings::{MethodSettings, RepeatKind};
 use rockpick_control::Settings;
 use rockpick_net::http::{self, Response};
 use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
@@ -55,7 +55,7 @@
 }
 
 /// A try as it goes over the wire: its RPC's name and the request. `left`: the time that the front is told.
-pub fn ask(row: &Row, rpc: &Rpc, seed: u64, left: Ns, to: SocketAddr) -> (String, Vec<u8>) {
+pub fn ask(row: &MethodSettings, rpc: &Rpc, seed: u64, left: Ns, to: SocketAddr) -> (String, Vec<u8>) {
     let id = format!("{seed}-{}", rpc.id);
     let (key, left) = (rpc.key.to_string(), (left as f64 / MS as f64).to_string());
     let (work, attempt) = (format!("{:.3}", rpc.work_ms), rpc.tries.to_string());
@@ -68,7 +68,7 @@
         ("Standin-Work-Ms", &*work),
         ("Standin-Try", &*attempt),
     ];
-    if row.repeat == Repeats::Tokened {
+    if row.repeat == RepeatKind::Tokened {
         lines.push(("Idempotency-Key", &*id));
     }
     if rpc.tries > 1 {
@@ -79,7 +79,7 @@
 }
 
 /// A record's line of a try that was sent; `left`: what time its client has for it.
-pub fn sent_line(row: &Row, rpc: &Rpc, id: &str, front: &str, left: Ns) -> Value {
+pub fn sent_line(row: &MethodSettings, rpc: &Rpc, id: &str, front: &str, left: Ns) -> Value {
     json!({ "event": "sent", "rpc": id, "try": rpc.tries.to_string(), "method": row.name,
         "key": rpc.key.to_string(), "front": front, "left_ms": left / MS, "leaves": rpc.leave,
         "tenant": rpc.tenant, "work_ms": rpc.work_ms })
@@ -87,7 +87,7 @@
 
 /// A record's line of how a try ended, around what is particular to that.
 pub fn end_line(
-    mut line: Value, row: &Row, rpc: &Rpc, seed: u64, front: &str, took: Ns, late: bool,
+    mut line: Value, row: &MethodSettings, rpc: &Rpc, seed: u64, front: &str, took: Ns, late: bool,
 ) -> Value {
     line["rpc"] = format!("{seed}-{}", rpc.id).into();
     line["try"] = rpc.tries.to_string().into();
--- a/standin/src/crowd.rs
+++ b/standin/src/crowd.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_control::settings::{GroupOf, Repeats, Row};
+use rockpick_control::settings::{GroupKind, MethodSettings, RepeatKind};
 use rockpick_control::Settings;
 use rockpick_net::{Ns, MS};
 use serde_json::Value;
@@ -185,7 +185,7 @@
         })
     }
 
-    pub fn row(&self, rpc: &Rpc) -> &Row {
+    pub fn row(&self, rpc: &Rpc) -> &MethodSettings {
         &self.charter.methods[rpc.method]
     }
 
@@ -256,11 +256,11 @@
         let row = self.row(rpc);
         let harmless = matches!(how, How::PushedBack | How::Unreachable | How::NotTaken);
         match row.repeat {
-            Repeats::Idempotent => true,
-            Repeats::Tokened => {
-                harmless || row.group == GroupOf::All && now - rpc.began < row.remembered_ms as Ns * MS
+            RepeatKind::Idempotent => true,
+            RepeatKind::Tokened => {
+                harmless || row.group == GroupKind::All && now - rpc.began < row.remembered_ms as Ns * MS
             }
-            Repeats::NonIdempotent => harmless,
+            RepeatKind::NonIdempotent => harmless,
         }
     }
 
--- a/standin/src/schedule.rs
+++ b/standin/src/schedule.rs
@@ -88,7 +88,7 @@
             let missing = |what: &str| format!("line {}: {what} is missing or not known", nth + 1);
             let text = |name: &str| v[name].as_str().ok_or_else(|| missing(name));
             let number = |name: &str| v[name].as_f64().filter(|x| *x >= 0.0).ok_or_else(|| missing(name));
-            let method = charter.method(text("method")?).ok_or_else(|| missing("method"))?;
+            let method = charter.method_index(text("method")?).ok_or_else(|| missing("method"))?;
             let front = fronts.iter().position(|f| v["front"] == f.as_str());
             let past = Past {
                 at: 0,
--- a/trust/src/repo.rs
+++ b/trust/src/repo.rs
@@ -7,7 +7,7 @@
 use crate::meta::{ROLES, SPEC};
 use ed25519_dalek::{Signer, SigningKey};
 use rockpick_control::keep;
-use rockpick_control::release::MOST_BUILD;
+use rockpick_control::release::MAX_BUILD;
 use serde::Serialize;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -234,8 +234,8 @@
     /// Takes a build in, as target `build-N`, packed if told; all roles below root sign.
     pub fn add(&self, keydir: &Path, build: u32, artefact: &Path, pack: bool) -> Result<String, String> {
         // What no controller can offer must not be signed for.
-        if !(1..=MOST_BUILD).contains(&build) {
-            return Err(format!("build {build}: 1 to {MOST_BUILD}"));
+        if !(1..=MAX_BUILD).contains(&build) {
+            return Err(format!("build {build}: 1 to {MAX_BUILD}"));
         }
         let size = fs::metadata(artefact).map_err(io(artefact))?.len();
         if size == 0 || size > MOST_ARTEFACT {
