--- a/agent/src/fetch.rs
+++ b/agent/src/fetch.rs
@@ -1,6 +1,6 @@
 //! One fetch: the refresh of what is trusted, then the artefact piece by piece. A state machine over HTTP
 //! answers; its caller makes the calls.
-use rockpick_control::keep;
+use rockpick_control::atomic_file;
 use rockpick_trust::client::{Refresh, Trusted, Want};
 use rockpick_trust::meta::File;
 use rockpick_trust::repo::MOST_ARTEFACT;
@@ -37,7 +37,7 @@
 pub fn trusted(dir: &Path) -> Result<Trusted, String> {
     let load = |role: &str| {
         let at = dir.join(format!("{role}.json"));
-        keep::load(&at).map_err(|err| format!("{}: {err}", at.display()))
+        atomic_file::load(&at).map_err(|err| format!("{}: {err}", at.display()))
     };
     let root = load("root")?.ok_or("no root is trusted here: give one with --root")?;
     Ok(Trusted {
@@ -60,7 +60,7 @@
     for ((role, new), old) in ROLES.iter().zip(files).zip(olds) {
         let at = dir.join(format!("{role}.json"));
         let done = match new {
-            Some(bytes) if new != old => keep::replace(&at, bytes),
+            Some(bytes) if new != old => atomic_file::replace(&at, bytes),
             None if old.is_some() => fs::remove_file(&at),
             _ => Ok(()),
         };
@@ -185,10 +185,10 @@
         fs::create_dir_all(folder).map_err(say)?;
     }
     let _ = fs::remove_file(&at);
-    keep::replace(&at, &plain).map_err(say)?;
+    atomic_file::replace(&at, &plain).map_err(say)?;
     fs::set_permissions(&at, fs::Permissions::from_mode(0o500)).map_err(say)?;
     let text = serde_json::json!({ "sha256": rockpick_trust::meta::sha256(&plain) }).to_string();
-    keep::replace(&told, text.as_bytes()).map_err(say)
+    atomic_file::replace(&told, text.as_bytes()).map_err(say)
 }
 
 /// Checks an artefact once more, before a start.
--- a/agent/src/hand.rs
+++ b/agent/src/hand.rs
@@ -116,7 +116,7 @@
             let at = trust.join("root.json");
             if !at.exists() {
                 let bytes = fs::read(root).map_err(|err| format!("{}: {err}", root.display()))?;
-                rockpick_control::keep::replace(&at, &bytes).map_err(say)?;
+                rockpick_control::atomic_file::replace(&at, &bytes).map_err(say)?;
             }
         }
         fetch::trusted(&trust)?;
@@ -161,7 +161,7 @@
     /// Comes back: what was ordered last, the artefacts, and the processes that still run, as they are.
     fn recall(&mut self) -> Result<(), String> {
         let file = self.agent.state.join("order.json");
-        if let Some(text) = rockpick_control::keep::load(&file).map_err(|err| err.to_string())? {
+        if let Some(text) = rockpick_control::atomic_file::load(&file).map_err(|err| err.to_string())? {
             let kept: Value =
                 serde_json::from_slice(&text).map_err(|err| format!("{}: {err}", file.display()))?;
             read_order(&kept).map_err(|field| format!("{}: {field}", file.display()))?;
@@ -487,7 +487,7 @@
             let kept = json!({ "generation": self.mind.generation, "builds": self.mind.wanted, "keep": self.mind.keep });
             tracing::info!(event = "order", generation = self.mind.generation, builds = ?self.mind.wanted);
             let file = self.agent.state.join("order.json");
-            if let Err(err) = rockpick_control::keep::replace(&file, kept.to_string().as_bytes()) {
+            if let Err(err) = rockpick_control::atomic_file::replace(&file, kept.to_string().as_bytes()) {
                 tracing::error!(event = "order not kept", why = %err);
             }
         }
--- a/agent/src/proc.rs
+++ b/agent/src/proc.rs
@@ -64,7 +64,7 @@
             }
         }
         let text = serde_json::to_vec(&kept).map_err(io::Error::other)?;
-        rockpick_control::keep::replace(&Proc::file(dir, kept.build, "run"), &text)?;
+        rockpick_control::atomic_file::replace(&Proc::file(dir, kept.build, "run"), &text)?;
         let script = r#"echo $$ > "$0.new" && mv "$0.new" "$0" && exec "$1""#;
         let child = Command::new("/bin/sh")
             .args(["-c", script])
@@ -91,7 +91,7 @@
         let text = fs::read(&run).map_err(|err| format!("{}: {err}", run.display()))?;
         let kept: Kept = serde_json::from_slice(&text).map_err(|err| format!("{}: {err}", run.display()))?;
         // One that was started this moment may not have written its id yet: it is given a second.
-        let read = || match rockpick_control::keep::load(&named) {
+        let read = || match rockpick_control::atomic_file::load(&named) {
             Ok(text) => Ok(text.and_then(|t| std::str::from_utf8(&t).ok()?.trim().parse::<i32>().ok())),
             Err(err) => Err(format!("{}: {err}", named.display())),
         };
@@ -156,7 +156,7 @@
             self.kept.served = true;
             let at = Proc::file(&self.dir, self.kept.build, "run");
             let text = serde_json::to_vec(&self.kept).map_err(io::Error::other);
-            if let Err(err) = text.and_then(|text| rockpick_control::keep::replace(&at, &text)) {
+            if let Err(err) = text.and_then(|text| rockpick_control::atomic_file::replace(&at, &text)) {
                 tracing::error!(event = "record not kept", file = %at.display(), why = %err);
             }
         }
--- a/cli/tests/hardening.rs
+++ b/cli/tests/hardening.rs
@@ -2,7 +2,7 @@
 mod peers;
 
 use peers::*;
-use rockpick_control::keep::open;
+use rockpick_control::atomic_file::strip_checksum;
 use rockpick_control::Settings;
 use rustix::process::Signal;
 use serde_json::{json, Value};
@@ -155,7 +155,8 @@
     let one = front(teller.at, &["--state", &state]);
     listed(&one, 1);
     let kept = || -> Value {
-        std::fs::read(&file).map_or(Value::Null, |t| serde_json::from_slice(&open(t).unwrap()).unwrap())
+        std::fs::read(&file)
+            .map_or(Value::Null, |t| serde_json::from_slice(&strip_checksum(t).unwrap()).unwrap())
     };
     until("its snapshot", || kept()["members"][0]["name"] == "m");
     drop(one);
@@ -398,7 +399,8 @@
     until("its snapshot", || file.exists());
     signal(&one, Signal::TERM);
     ended_well(&mut one);
-    let mut kept: Value = serde_json::from_slice(&open(std::fs::read(&file).unwrap()).unwrap()).unwrap();
+    let mut kept: Value =
+        serde_json::from_slice(&strip_checksum(std::fs::read(&file).unwrap()).unwrap()).unwrap();
     kept["later"] = json!(1);
     std::fs::write(&file, kept.to_string()).unwrap();
     drop(front(nobody(), &["--state", &state]));
--- a/control/src/desk.rs
+++ b/control/src/api.rs
@@ -1,5 +1,5 @@
 //! The controller without its sockets: each request gets an answer, each pass the lines that watchers are
-//! due. Time is told by the caller; the only file is the snapshot, written by [`Desk::save`]'s caller.
+//! due. Time is told by the caller; the only file is the snapshot, written by [`Api::snapshot`]'s caller.
 use crate::release::{Moot, Moved, Release, Running, MAX_BUILD};
 use crate::roster::{Beat, Order, Roster, SETTLE};
 use crate::settings::{is_valid_name, FieldError, Settings, MAX_STAGES};
@@ -11,16 +11,16 @@
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
 /// Tenants that are summed at once; those beyond are not, and their rates are split by the last sums.
-const MOST_TENANTS: usize = 10_000;
+const MAX_TENANTS: usize = 10_000;
 /// Rows that one report of counts may hold: all methods of a handful of builds.
-pub const MOST_ROWS: usize = 512;
+pub const MAX_COUNT_ROWS: usize = 512;
 /// Builds that one agent may tell of.
-const MOST_BUILDS: usize = 16;
+const MAX_BUILDS: usize = 16;
 /// Most watchers: three times the fronts there may be, as old connections end late.
-const MOST_WATCHERS: usize = 15_000;
+const MAX_WATCHERS: usize = 15_000;
 
-pub enum Answer {
-    Now(u16, Value),
+pub enum Response {
+    Json(u16, Value),
     /// The connection becomes a watcher.
     Watch,
 }
@@ -71,7 +71,7 @@
 }
 
 #[derive(Default)]
-pub struct Desk {
+pub struct Api {
     pub settings: Option<Settings>,
     pub version: u64,
     pub release: Option<Release>,
@@ -98,7 +98,7 @@
     pub votes: [u64; 3],
 }
 
-pub fn phase_word(phase: Phase) -> &'static str {
+pub fn phase_name(phase: Phase) -> &'static str {
     match phase {
         Phase::OnTrial => "on-trial",
         Phase::GoingBack => "going-back",
@@ -107,13 +107,13 @@
     }
 }
 
-pub fn phase_of(word: &str) -> Option<Phase> {
+pub fn parse_phase(word: &str) -> Option<Phase> {
     [Phase::OnTrial, Phase::GoingBack, Phase::Released, Phase::Withdrawn]
         .into_iter()
-        .find(|p| phase_word(*p) == word)
+        .find(|p| phase_name(*p) == word)
 }
 
-pub fn state_word(state: State) -> &'static str {
+pub fn state_name(state: State) -> &'static str {
     match state {
         State::Up => "up",
         State::Draining => "draining",
@@ -121,11 +121,11 @@
     }
 }
 
-pub fn state_of(word: &str) -> Option<State> {
-    [State::Up, State::Draining, State::Gone].into_iter().find(|s| state_word(*s) == word)
+pub fn parse_state(word: &str) -> Option<State> {
+    [State::Up, State::Draining, State::Gone].into_iter().find(|s| state_name(*s) == word)
 }
 
-pub fn verdict_word(verdict: Verdict) -> &'static str {
+pub fn verdict_name(verdict: Verdict) -> &'static str {
     match verdict {
         Verdict::NoVote => "none",
         Verdict::On => "on",
@@ -134,23 +134,23 @@
     }
 }
 
-fn verdict_of(word: &str) -> Option<Verdict> {
+fn parse_verdict(word: &str) -> Option<Verdict> {
     [Verdict::NoVote, Verdict::On, Verdict::Hold, Verdict::Back]
         .into_iter()
-        .find(|v| verdict_word(*v) == word)
+        .find(|v| verdict_name(*v) == word)
 }
 
 fn ms(span: Ns) -> f64 {
     span as f64 / MS as f64
 }
 
-fn no(status: u16, field: &str, why: impl Into<String>) -> Answer {
-    Answer::Now(status, json!({ "errors": [FieldError { field: field.into(), why: why.into() }] }))
+fn no(status: u16, field: &str, why: impl Into<String>) -> Response {
+    Response::Json(status, json!({ "errors": [FieldError { field: field.into(), why: why.into() }] }))
 }
 
 fn log(moved: &Moved) {
     let Moved { build, stage, phase, why } = moved;
-    tracing::info!(event = "stage", build, stage, phase = phase_word(*phase), why);
+    tracing::info!(event = "stage", build, stage, phase = phase_name(*phase), why);
 }
 
 /// A whole number of 32 bits: one beyond must not be cut to another.
@@ -173,15 +173,15 @@
     };
 }
 
-impl Desk {
+impl Api {
     /// Comes up from a snapshot, if there is one.
     ///
     /// # Errors
     /// Says what is wrong with the snapshot; nothing is overwritten then.
-    pub fn open(now: Ns, snapshot: Option<&[u8]>) -> Result<Desk, String> {
+    pub fn restore(now: Ns, snapshot: Option<&[u8]>) -> Result<Api, String> {
         let bucket = (f64::MAX, now);
-        let mut desk = Desk { born: now, tallied: now, told: now, bucket, ..Desk::default() };
-        let Some(text) = snapshot else { return Ok(desk) };
+        let mut api = Api { born: now, tallied: now, told: now, bucket, ..Api::default() };
+        let Some(text) = snapshot else { return Ok(api) };
         let kept: Snapshot = serde_json::from_slice(text).map_err(|err| format!("the snapshot: {err}"))?;
         if let Some(FieldError { field, why }) = kept.settings.validate().first() {
             return Err(format!("the snapshot: {field}: {why}"));
@@ -190,7 +190,7 @@
         let newest = match &kept.newest {
             None => None,
             Some(k) => {
-                let phase = phase_of(&k.phase).ok_or("the snapshot: newest.phase: not known")?;
+                let phase = parse_phase(&k.phase).ok_or("the snapshot: newest.phase: not known")?;
                 let span = |ms: f64| (0.0..=1e12).contains(&ms);
                 for (good, field) in [
                     ((1..=MAX_BUILD).contains(&k.build), "build"),
@@ -206,19 +206,19 @@
             }
         };
         release.restore(now, kept.earlier, newest);
-        desk.generation = kept.generation;
-        (desk.settings, desk.version, desk.release) = (Some(kept.settings), kept.version, Some(release));
-        Ok(desk)
+        api.generation = kept.generation;
+        (api.settings, api.version, api.release) = (Some(kept.settings), kept.version, Some(release));
+        Ok(api)
     }
 
     /// The text to keep.
-    pub fn save(&mut self, now: Ns) -> Option<Vec<u8>> {
+    pub fn snapshot(&mut self, now: Ns) -> Option<Vec<u8>> {
         let (settings, release) = (self.settings.clone()?, self.release.as_ref()?);
         self.dirty = false;
         let newest = release.newest.as_ref().map(|t| Kept {
             build: t.build,
             stage: t.stage,
-            phase: phase_word(t.phase).into(),
+            phase: phase_name(t.phase).into(),
             age_ms: ms(now - t.since),
             ran_ms: ms(t.ran),
         });
@@ -244,7 +244,7 @@
     fn stage(&self, now: Ns) -> Value {
         let (Some(release), Some(settings)) = (&self.release, &self.settings) else { return Value::Null };
         let (build, stage, phase, cap, since) = release.standing(settings);
-        json!({ "build": build, "stage": stage, "phase": phase_word(phase), "cap": cap, "age_ms": ms(now - since),
+        json!({ "build": build, "stage": stage, "phase": phase_name(phase), "cap": cap, "age_ms": ms(now - since),
             "earlier": release.earlier })
     }
 
@@ -254,7 +254,7 @@
         let zone = place.and_then(|p| settings.map(|c| c.zone_index(&p.zone))).unwrap_or(0);
         json!({ "name": name, "addr": m.addr, "place": place.map(|p| &p.name), "zone": zone,
             "cell": place.map_or(0, |p| p.cell), "weight": place.map_or(1.0, |p| p.weight), "build": m.build,
-            "run": m.run, "state": state_word(m.state), "age_ms": ms(now - m.started) })
+            "run": m.run, "state": state_name(m.state), "age_ms": ms(now - m.started) })
     }
 
     fn roster_line(&self, now: Ns, since: Option<u64>) -> Value {
@@ -269,7 +269,7 @@
     }
 
     /// One request; `conn` names the connection if it becomes a watcher.
-    pub fn request(&mut self, now: Ns, conn: u64, method: &str, target: &str, body: &[u8]) -> Answer {
+    pub fn request(&mut self, now: Ns, conn: u64, method: &str, target: &str, body: &[u8]) -> Response {
         self.calls += 1;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let asked = |name: &str| {
@@ -288,14 +288,14 @@
             return match parts.as_slice() {
                 ["settings"] => match &self.settings {
                     Some(settings) => {
-                        Answer::Now(200, json!({ "version": self.version, "settings": settings }))
+                        Response::Json(200, json!({ "version": self.version, "settings": settings }))
                     }
                     None => no(404, "settings", "none were given yet"),
                 },
-                ["status"] => Answer::Now(200, self.status(now)),
-                ["stage"] if self.settings.is_some() => Answer::Now(200, self.stage(now)),
-                ["roster"] if self.settings.is_some() => Answer::Now(200, self.roster_line(now, None)),
-                ["wanted"] if self.settings.is_some() => Answer::Now(200, self.wanted_line()),
+                ["status"] => Response::Json(200, self.status(now)),
+                ["stage"] if self.settings.is_some() => Response::Json(200, self.stage(now)),
+                ["roster"] if self.settings.is_some() => Response::Json(200, self.roster_line(now, None)),
+                ["wanted"] if self.settings.is_some() => Response::Json(200, self.wanted_line()),
                 ["watch"] => self.watch(conn, asked("front"), asked("http"), asked("notes")),
                 ["stage" | "roster" | "wanted"] => no(409, "settings", "none were given yet"),
                 _ => no(404, "path", "no such thing here"),
@@ -318,12 +318,12 @@
         }
     }
 
-    fn put_settings(&mut self, body: &[u8]) -> Answer {
+    fn put_settings(&mut self, body: &[u8]) -> Response {
         let settings = match Settings::parse(body) {
             Ok(settings) => settings,
             Err(wrong) => {
                 tracing::info!(event = "settings refused", field = wrong[0].field, why = wrong[0].why);
-                return Answer::Now(422, json!({ "errors": wrong }));
+                return Response::Json(422, json!({ "errors": wrong }));
             }
         };
         match &mut self.release {
@@ -348,10 +348,10 @@
         self.version += 1;
         self.dirty = true;
         tracing::info!(event = "settings", version = self.version);
-        Answer::Now(200, json!({ "version": self.version }))
+        Response::Json(200, json!({ "version": self.version }))
     }
 
-    fn offer(&mut self, now: Ns, json: &Value) -> Answer {
+    fn offer(&mut self, now: Ns, json: &Value) -> Response {
         let build = field!(json, "build", small);
         let Some(release) = &mut self.release else { return no(409, "settings", "none were given yet") };
         match release.offer(now, build) {
@@ -359,28 +359,28 @@
                 off.iter().for_each(log);
                 tracing::info!(event = "offer", build);
                 (self.dirty, self.stage_changed) = (true, true);
-                Answer::Now(201, self.stage(now))
+                Response::Json(201, self.stage(now))
             }
             Err(why) => no(409, "build", why),
         }
     }
 
-    fn back(&mut self, now: Ns, build: &str) -> Answer {
+    fn back(&mut self, now: Ns, build: &str) -> Response {
         let Ok(build) = build.parse() else { return no(400, "build", "not a number") };
         match self.release.as_mut().map(|r| r.back(now, build, "an operator's word")) {
             Some(Ok(moved)) => {
                 log(&moved);
                 (self.dirty, self.stage_changed) = (true, true);
-                Answer::Now(200, self.stage(now))
+                Response::Json(200, self.stage(now))
             }
             _ => no(409, "build", "not a build that can be sent back"),
         }
     }
 
-    fn vote(&mut self, now: Ns, json: &Value) -> Answer {
+    fn vote(&mut self, now: Ns, json: &Value) -> Response {
         let front = field!(json, "front", Value::as_str);
         let (build, stage) = (field!(json, "build", build_of), field!(json, "stage", small));
-        let Some(verdict) = verdict_of(field!(json, "verdict", Value::as_str)) else {
+        let Some(verdict) = parse_verdict(field!(json, "verdict", Value::as_str)) else {
             return no(400, "verdict", "on, hold, back or none");
         };
         let (Some(release), Some(settings)) = (&mut self.release, &self.settings) else {
@@ -400,8 +400,8 @@
         match release.vote(now, settings.rollout.control(), front, build, stage, verdict) {
             Ok(()) => {
                 self.votes[0] += 1;
-                tracing::info!(event = "vote", front, build, stage, verdict = verdict_word(verdict));
-                Answer::Now(200, json!({ "counted": true, "stage": self.stage(now) }))
+                tracing::info!(event = "vote", front, build, stage, verdict = verdict_name(verdict));
+                Response::Json(200, json!({ "counted": true, "stage": self.stage(now) }))
             }
             Err(moot) => {
                 self.votes[1] += 1;
@@ -411,13 +411,14 @@
                     Moot::Verdict => "verdict",
                 };
                 let errors = [FieldError { field: field.into(), why: "moot: not the present one".into() }];
-                Answer::Now(409, json!({ "counted": false, "errors": errors, "stage": self.stage(now) }))
+                Response::Json(409, json!({ "counted": false, "errors": errors, "stage": self.stage(now) }))
             }
         }
     }
 
-    fn count(&mut self, json: &Value) -> Answer {
-        let Some(rows) = json.get("rows").and_then(Value::as_array).filter(|r| r.len() <= MOST_ROWS) else {
+    fn count(&mut self, json: &Value) -> Response {
+        let Some(rows) = json.get("rows").and_then(Value::as_array).filter(|r| r.len() <= MAX_COUNT_ROWS)
+        else {
             return no(400, "rows", "a list of at most 512 is wanted");
         };
         let methods = self.settings.as_ref().map_or(0, |c| c.methods.len());
@@ -435,28 +436,28 @@
         let none = Vec::new();
         for (i, row) in json.get("tenants").and_then(Value::as_array).unwrap_or(&none).iter().enumerate() {
             let n = |j: usize| row.get(j).and_then(Value::as_u64).filter(|n| *n < 1 << 32);
-            let name = row.get(0).and_then(Value::as_str).filter(|n| n.len() <= 36 && i < MOST_TENANTS);
+            let name = row.get(0).and_then(Value::as_str).filter(|n| n.len() <= 36 && i < MAX_TENANTS);
             let (Some(name), Some(asked), Some(served), Some(refused)) = (name, n(1), n(2), n(3)) else {
                 return no(400, &format!("tenants[{i}]"), "entryUUID, asked, served and refused are wanted");
             };
             tenants.push((name, [asked, served, refused]));
         }
         for (at, picks, bad) in read {
-            if self.counts.len() < MOST_ROWS || self.counts.contains_key(&at) {
+            if self.counts.len() < MAX_COUNT_ROWS || self.counts.contains_key(&at) {
                 let count = self.counts.entry(at).or_default();
                 *count = [count[0] + picks, count[1] + bad];
             }
         }
         for (name, row) in tenants {
-            if self.tenants.len() < MOST_TENANTS || self.tenants.contains_key(name) {
+            if self.tenants.len() < MAX_TENANTS || self.tenants.contains_key(name) {
                 let sums = self.tenants.entry(name.to_string()).or_default();
                 (0..3).for_each(|i| sums[i] += row[i]);
             }
         }
-        Answer::Now(200, json!({}))
+        Response::Json(200, json!({}))
     }
 
-    fn beat(&mut self, now: Ns, name: &str, json: &Value) -> Answer {
+    fn beat(&mut self, now: Ns, name: &str, json: &Value) -> Response {
         if !is_valid_name(name) {
             return no(400, "name", "1 to 64 letters, digits, '-', '_' or '.'");
         }
@@ -477,7 +478,7 @@
         if json.get("left").and_then(Value::as_bool).unwrap_or(false) {
             self.roster.leave(name, beat.run);
             tracing::info!(event = "machine left", machine = name);
-            return Answer::Now(200, json!({ "order": "stop" }));
+            return Response::Json(200, json!({ "order": "stop" }));
         }
         let known = self.roster.machines.get(name).map(|m| (m.run, m.state));
         let Some(settings) = &self.settings else { return no(409, "settings", "none were given yet") };
@@ -493,27 +494,27 @@
             Ok(order) => {
                 let state = self.roster.machines[name].state;
                 if known != Some((run, state)) {
-                    tracing::info!(event = "machine", machine = name, state = state_word(state));
+                    tracing::info!(event = "machine", machine = name, state = state_name(state));
                 }
                 let word = match order {
                     Order::Serve => "serve",
                     Order::Drain => "drain",
                     Order::Stop => "stop",
                 };
-                Answer::Now(200, json!({ "order": word }))
+                Response::Json(200, json!({ "order": word }))
             }
         }
     }
 
     /// An agent's word for its place, and the order for it. What runs is the agent's to say; what should run
     /// is the order's; machines that serve or drain beat through it.
-    fn agent(&mut self, now: Ns, place: &str, json: &Value) -> Answer {
+    fn agent(&mut self, now: Ns, place: &str, json: &Value) -> Response {
         let Some(settings) = &self.settings else { return no(409, "settings", "none were given yet") };
         let Some(index) = settings.places.iter().position(|p| p.name == place) else {
             return no(404, "place", "no such place");
         };
         let generation = field!(json, "generation", Value::as_u64);
-        let Some(builds) = json.get("builds").and_then(Value::as_array).filter(|b| b.len() <= MOST_BUILDS)
+        let Some(builds) = json.get("builds").and_then(Value::as_array).filter(|b| b.len() <= MAX_BUILDS)
         else {
             return no(400, "builds", "a list of at most 16 is wanted");
         };
@@ -543,7 +544,7 @@
                 beat["place"] = place.into();
                 beat["leaving"] = false.into();
                 match self.beat(now, b["name"].as_str().unwrap_or(""), &beat) {
-                    Answer::Now(200, said) => {
+                    Response::Json(200, said) => {
                         orders.insert(build.to_string(), said["order"].clone());
                     }
                     refused => return refused,
@@ -555,20 +556,20 @@
         agent.generation = generation;
         if !self.settled(now) || self.want.is_empty() {
             // Who has just come up knows too little to order anything.
-            return Answer::Now(200, json!({ "orders": orders }));
+            return Response::Json(200, json!({ "orders": orders }));
         }
         let builds: Vec<u32> = self.want.iter().filter(|(p, _)| *p == index).map(|(_, b)| *b).collect();
         let newest = self.release.as_ref().and_then(|r| r.newest.as_ref()).map(|t| t.build);
         let earlier = self.release.as_ref().map(|r| r.earlier);
         let keep: Vec<u32> = earlier.into_iter().chain(newest).collect();
-        Answer::Now(
+        Response::Json(
             200,
             json!({ "generation": self.generation, "builds": builds, "keep": keep, "orders": orders }),
         )
     }
 
-    fn watch(&mut self, conn: u64, front: Option<&str>, http: Option<&str>, notes: Option<&str>) -> Answer {
-        if self.watchers.len() >= MOST_WATCHERS {
+    fn watch(&mut self, conn: u64, front: Option<&str>, http: Option<&str>, notes: Option<&str>) -> Response {
+        if self.watchers.len() >= MAX_WATCHERS {
             return no(503, "watch", "too many watchers");
         }
         let front = front.unwrap_or("").to_string();
@@ -586,7 +587,7 @@
         // The version is told first of all: settings may have changed while the front was away.
         let watcher = Watcher { front, serial: None, staged: false, fronts: 0, settings: 0 };
         self.watchers.insert(conn, watcher);
-        Answer::Watch
+        Response::Watch
     }
 
     pub fn unwatch(&mut self, conn: u64) {
@@ -604,7 +605,7 @@
         let names = self.roster.machines.keys();
         let machines: Vec<Value> = names.map(|name| self.member(now, name)).collect();
         let votes: Vec<Value> = (self.release.iter().flat_map(Release::votes))
-            .map(|(front, v)| json!({ "front": front, "verdict": verdict_word(v) }))
+            .map(|(front, v)| json!({ "front": front, "verdict": verdict_name(v) }))
             .collect();
         let watching: Vec<&String> =
             self.watchers.values().map(|w| &w.front).filter(|f| !f.is_empty()).collect();
@@ -633,11 +634,11 @@
     }
 
     /// Lets time pass; returns the lines that watchers are due, by connection.
-    pub fn pass(&mut self, now: Ns) -> Vec<(u64, String)> {
+    pub fn tick(&mut self, now: Ns) -> Vec<(u64, String)> {
         if self.settled(now) {
             self.order();
             for (name, state) in self.roster.sweep(now, &self.want) {
-                tracing::info!(event = "machine", machine = name, state = state_word(state));
+                tracing::info!(event = "machine", machine = name, state = state_name(state));
             }
             let running = self.roster.running();
             if let (Some(release), Some(settings)) = (&mut self.release, &self.settings) {
@@ -718,37 +719,37 @@
 mod tests {
     use super::*;
 
-    fn say(desk: &mut Desk, now: Ns, method: &str, path: &str, body: Value) -> (u16, Value) {
+    fn say(api: &mut Api, now: Ns, method: &str, path: &str, body: Value) -> (u16, Value) {
         let text = if body.is_null() { String::new() } else { body.to_string() };
-        match desk.request(now, 9, method, path, text.as_bytes()) {
-            Answer::Now(status, value) => (status, value),
-            Answer::Watch => (0, Value::Null),
+        match api.request(now, 9, method, path, text.as_bytes()) {
+            Response::Json(status, value) => (status, value),
+            Response::Watch => (0, Value::Null),
         }
     }
 
-    fn seated() -> Desk {
-        let mut desk = Desk::open(0, None).unwrap();
+    fn seated() -> Api {
+        let mut api = Api::restore(0, None).unwrap();
         let settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
-        assert_eq!(say(&mut desk, 0, "PUT", "/settings", settings).0, 200);
-        desk
+        assert_eq!(say(&mut api, 0, "PUT", "/settings", settings).0, 200);
+        api
     }
 
     #[test]
     fn a_refused_setting_changes_nothing_and_names_its_field() {
-        let mut desk = seated();
+        let mut api = seated();
         let mut settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
         settings["guard"]["cold_from"] = json!(7);
-        let (status, said) = say(&mut desk, 0, "PUT", "/settings", settings.clone());
+        let (status, said) = say(&mut api, 0, "PUT", "/settings", settings.clone());
         assert_eq!((status, said["errors"][0]["field"].as_str()), (422, Some("guard.cold_from")));
         settings["guard"]["cold_from"] = json!(0.5);
         settings["places"].as_array_mut().unwrap().pop();
-        assert_eq!(say(&mut desk, 0, "PUT", "/settings", settings).0, 409);
-        assert_eq!((desk.version, desk.settings.clone().unwrap()), (1, Settings::example(2, 4)));
+        assert_eq!(say(&mut api, 0, "PUT", "/settings", settings).0, 409);
+        assert_eq!((api.version, api.settings.clone().unwrap()), (1, Settings::example(2, 4)));
     }
 
     #[test]
     fn bad_calls_get_a_4xx_each() {
-        let mut desk = seated();
+        let mut api = seated();
         for (method, path, body, wanted) in [
             ("POST", "/votes", json!({}), 400),
             ("POST", "/votes", json!({"front":"f9","build":1,"stage":0,"verdict":"on"}), 403),
@@ -774,84 +775,84 @@
             ("DELETE", "/stage", json!(null), 405),
             ("GET", "/nothing", json!(null), 404),
         ] {
-            assert_eq!(say(&mut desk, 0, method, path, body.clone()).0, wanted, "{method} {path} {body}");
+            assert_eq!(say(&mut api, 0, method, path, body.clone()).0, wanted, "{method} {path} {body}");
         }
-        assert!(matches!(desk.request(0, 9, "POST", "/votes", b"{"), Answer::Now(400, _)));
+        assert!(matches!(api.request(0, 9, "POST", "/votes", b"{"), Response::Json(400, _)));
     }
 
     #[test]
     fn after_a_restart_the_stage_is_told_at_once_and_the_roster_held_until_machines_have_beaten() {
-        let mut desk = seated();
-        assert_eq!(say(&mut desk, 0, "POST", "/builds", json!({"build":2})).0, 201);
-        let kept = desk.save(SEC).unwrap();
-        let mut desk = Desk::open(10 * SEC, Some(&kept)).unwrap();
-        assert_eq!(say(&mut desk, 10 * SEC, "GET", "/watch?front=f0&notes=127.0.0.1:9", json!(null)).0, 0);
+        let mut api = seated();
+        assert_eq!(say(&mut api, 0, "POST", "/builds", json!({"build":2})).0, 201);
+        let kept = api.snapshot(SEC).unwrap();
+        let mut api = Api::restore(10 * SEC, Some(&kept)).unwrap();
+        assert_eq!(say(&mut api, 10 * SEC, "GET", "/watch?front=f0&notes=127.0.0.1:9", json!(null)).0, 0);
         let kinds = |lines: Vec<(u64, String)>| -> Vec<String> {
             lines.iter().map(|(_, l)| l[2..].split('"').next().unwrap().to_string()).collect()
         };
-        assert_eq!(kinds(desk.pass(10 * SEC)), ["stage", "settings_version", "fronts"]);
+        assert_eq!(kinds(api.tick(10 * SEC)), ["stage", "settings_version", "fronts"]);
         let beat = json!({"addr":"127.0.0.1:1","place":"p0","build":1,"run":5,"age_ms":60000.0});
-        assert_eq!(say(&mut desk, 11 * SEC, "POST", "/machines/m", beat).1["order"], "serve");
-        assert_eq!(kinds(desk.pass(11 * SEC)), Vec::<String>::new());
-        assert_eq!(kinds(desk.pass(12 * SEC)), ["stage", "roster"]);
-        assert!(Desk::open(0, Some(&kept[..kept.len() / 2])).is_err());
+        assert_eq!(say(&mut api, 11 * SEC, "POST", "/machines/m", beat).1["order"], "serve");
+        assert_eq!(kinds(api.tick(11 * SEC)), Vec::<String>::new());
+        assert_eq!(kinds(api.tick(12 * SEC)), ["stage", "roster"]);
+        assert!(Api::restore(0, Some(&kept[..kept.len() / 2])).is_err());
     }
 
     /// What the freeze covers: fields of later versions in calls and snapshots are passed over, in settings refused.
     #[test]
     fn what_a_later_version_says_is_passed_over_but_for_settings() {
-        let mut desk = seated();
-        say(&mut desk, 0, "POST", "/builds", json!({"build":2,"later":1}));
+        let mut api = seated();
+        say(&mut api, 0, "POST", "/builds", json!({"build":2,"later":1}));
         let vote = json!({"front":"f0","build":2,"stage":0,"verdict":"on","later":1});
-        assert_eq!(say(&mut desk, 0, "POST", "/votes", vote).0, 200);
+        assert_eq!(say(&mut api, 0, "POST", "/votes", vote).0, 200);
         let mut settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
         settings["guard"]["later"] = json!(1);
-        let (status, said) = say(&mut desk, 0, "PUT", "/settings", settings);
+        let (status, said) = say(&mut api, 0, "PUT", "/settings", settings);
         assert_eq!((status, said["errors"][0]["field"].as_str()), (422, Some("guard.later")));
-        let mut kept: Value = serde_json::from_slice(&desk.save(0).unwrap()).unwrap();
+        let mut kept: Value = serde_json::from_slice(&api.snapshot(0).unwrap()).unwrap();
         kept["later"] = json!(1);
-        assert_eq!(Desk::open(0, Some(kept.to_string().as_bytes())).unwrap().version, 1);
+        assert_eq!(Api::restore(0, Some(kept.to_string().as_bytes())).unwrap().version, 1);
         // Finding 42: numbers out of their bounds.
         for (field, bad) in [("build", json!(70_000)), ("stage", json!(99)), ("age_ms", json!(-1e300))] {
             let mut kept = kept.clone();
             kept["newest"][field] = bad;
-            assert!(Desk::open(0, Some(kept.to_string().as_bytes())).is_err_and(|why| why.contains(field)));
+            assert!(Api::restore(0, Some(kept.to_string().as_bytes())).is_err_and(|why| why.contains(field)));
         }
         kept["charter"]["later"] = json!(1);
-        assert!(Desk::open(0, Some(kept.to_string().as_bytes())).is_err_and(|why| why.contains("later")));
+        assert!(Api::restore(0, Some(kept.to_string().as_bytes())).is_err_and(|why| why.contains("later")));
     }
 
     /// Finding 23.
     #[test]
     fn a_refused_report_of_an_agent_changes_nothing() {
-        let mut desk = seated();
-        say(&mut desk, 0, "POST", "/builds", json!({"build":2}));
+        let mut api = seated();
+        say(&mut api, 0, "POST", "/builds", json!({"build":2}));
         let report = json!({"generation":0,"builds":[{"build":2,"unfit":true},{"build":"x"}]});
-        assert_eq!(say(&mut desk, 0, "POST", "/agents/p0", report).0, 400);
-        assert!(desk.release.unwrap().unfit.is_empty());
+        assert_eq!(say(&mut api, 0, "POST", "/agents/p0", report).0, 400);
+        assert!(api.release.unwrap().unfit.is_empty());
     }
 
     /// Finding 22.
     #[test]
     fn names_of_fronts_that_settings_no_longer_hold_are_forgotten() {
-        let mut desk = seated();
+        let mut api = seated();
         for i in 0..100 {
             let mut settings = Settings::example(2, 4);
             settings.fronts[0].name = format!("g{i}");
-            assert_eq!(say(&mut desk, 0, "PUT", "/settings", serde_json::to_value(settings).unwrap()).0, 200);
-            say(&mut desk, 0, "GET", &format!("/watch?front=g{i}"), json!(null));
+            assert_eq!(say(&mut api, 0, "PUT", "/settings", serde_json::to_value(settings).unwrap()).0, 200);
+            say(&mut api, 0, "GET", &format!("/watch?front=g{i}"), json!(null));
         }
-        assert_eq!(desk.fronts.len(), 1);
+        assert_eq!(api.fronts.len(), 1);
     }
 
     #[test]
     fn votes_over_the_rate_do_not_count() {
-        let mut desk = seated();
-        say(&mut desk, 0, "POST", "/builds", json!({"build":2}));
+        let mut api = seated();
+        say(&mut api, 0, "POST", "/builds", json!({"build":2}));
         let vote = json!({"front":"f0","build":2,"stage":0,"verdict":"on"});
         let statuses: Vec<u16> =
-            (0..200).map(|_| say(&mut desk, SEC, "POST", "/votes", vote.clone()).0).collect();
+            (0..200).map(|_| say(&mut api, SEC, "POST", "/votes", vote.clone()).0).collect();
         assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 160, "a burst of twice the rate");
-        assert_eq!(say(&mut desk, 2 * SEC, "POST", "/votes", vote).0, 200);
+        assert_eq!(say(&mut api, 2 * SEC, "POST", "/votes", vote).0, 200);
     }
 }
--- a/control/src/keep.rs
+++ b/control/src/atomic_file.rs
@@ -1,5 +1,5 @@
 //! One file, replaced atomically: a reader finds the old text or the new one, whole, also after a power cut. A
-//! [`Writer`] does so on a thread of its own, so that a slow disk holds nobody.
+//! [`BackgroundWriter`] does so on a thread of its own, so that a slow disk holds nobody.
 use rockpick_files as files;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
 const MARK: &[u8] = b"\ncrc32c ";
 
 /// A text with its checksum: a disk's word that this is what was written is not believed.
-pub fn seal(mut text: Vec<u8>) -> Vec<u8> {
+pub fn add_checksum(mut text: Vec<u8>) -> Vec<u8> {
     let sum = crc32c::crc32c(&text);
     text.extend_from_slice(MARK);
     text.extend_from_slice(format!("{sum:08x}\n").as_bytes());
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// The text is not what was written, or ends in its middle.
-pub fn open(mut bytes: Vec<u8>) -> io::Result<Vec<u8>> {
+pub fn strip_checksum(mut bytes: Vec<u8>) -> io::Result<Vec<u8>> {
     let spoilt = || {
         io::Error::new(
             io::ErrorKind::InvalidData,
@@ -61,8 +61,8 @@
 ///
 /// # Errors
 /// Those of the file system; the text is not what was written.
-pub fn load_sealed(path: &Path) -> io::Result<Option<Vec<u8>>> {
-    load(path)?.map(open).transpose()
+pub fn load_checked(path: &Path) -> io::Result<Option<Vec<u8>>> {
+    load(path)?.map(strip_checksum).transpose()
 }
 
 /// What the thread is to do, and what has come of it. Snapshots are numbered from 1.
@@ -76,7 +76,7 @@
 }
 
 /// Writes snapshots, the newest that it is given.
-pub struct Writer<T> {
+pub struct BackgroundWriter<T> {
     file: PathBuf,
     task: Arc<(Mutex<Task<T>>, Condvar)>,
     /// Hears nothing; it closes when the thread has ended.
@@ -100,7 +100,8 @@
         let ends = now.ends;
         let Some((number, what)) = now.next.take().or(again.take()) else { return };
         drop(now);
-        let end = text(&what).and_then(|text| replace(file, &seal(text))).map_err(|err| err.to_string());
+        let end =
+            text(&what).and_then(|text| replace(file, &add_checksum(text))).map_err(|err| err.to_string());
         if let Err(why) = &end {
             tracing::error!(event = "snapshot not kept", file = %file.display(), why);
             again = Some((number, what)).filter(|_| !ends);
@@ -109,9 +110,11 @@
     }
 }
 
-impl<T: Send + 'static> Writer<T> {
+impl<T: Send + 'static> BackgroundWriter<T> {
     /// Begins the thread; `text` makes the file's bytes, on it.
-    pub fn new(file: PathBuf, text: impl Fn(&T) -> io::Result<Vec<u8>> + Send + 'static) -> Writer<T> {
+    pub fn new(
+        file: PathBuf, text: impl Fn(&T) -> io::Result<Vec<u8>> + Send + 'static,
+    ) -> BackgroundWriter<T> {
         let (ended, over) = channel::<()>();
         let first = Task { next: None, ends: false, given: 0, done: (0, None) };
         let task = Arc::new((Mutex::new(first), Condvar::new()));
@@ -120,7 +123,7 @@
             let _ended = ended;
             work(&to, &theirs, text);
         });
-        Writer { file, task, over }
+        BackgroundWriter { file, task, over }
     }
 
     fn lost(&self, why: &str) -> String {
@@ -129,7 +132,7 @@
     }
 
     /// To be written as soon as the disk is there; returns its number.
-    pub fn keep(&self, what: T) -> u64 {
+    pub fn submit(&self, what: T) -> u64 {
         let mut task = lock(&self.task.0);
         task.given += 1;
         let number = task.given;
@@ -143,7 +146,7 @@
 
     /// The newest whose write has ended (those before it are kept with it), and why it failed, if it did; it is
     /// tried again then.
-    pub fn done(&self) -> (u64, Option<String>) {
+    pub fn progress(&self) -> (u64, Option<String>) {
         lock(&self.task.0).done.clone()
     }
 
@@ -153,14 +156,14 @@
     /// Why it is not on disk.
     pub fn close(self, last: Option<T>) -> Result<(), String> {
         if let Some(last) = last {
-            self.keep(last);
+            self.submit(last);
         }
         lock(&self.task.0).ends = true;
         self.task.1.notify_one();
         if self.over.recv_timeout(LAST) == Err(RecvTimeoutError::Timeout) {
             return Err(self.lost("the disk does not answer"));
         }
-        self.done().1.map_or(Ok(()), |why| Err(format!("{}: {why}", self.file.display())))
+        self.progress().1.map_or(Ok(()), |why| Err(format!("{}: {why}", self.file.display())))
     }
 }
 
@@ -170,18 +173,18 @@
 
     #[test]
     fn a_sealed_text_cut_or_changed_anywhere_is_refused() {
-        let sealed = seal(br#"{"version":7}"#.to_vec());
-        assert_eq!(open(sealed.clone()).unwrap(), br#"{"version":7}"#);
+        let sealed = add_checksum(br#"{"version":7}"#.to_vec());
+        assert_eq!(strip_checksum(sealed.clone()).unwrap(), br#"{"version":7}"#);
         // A file of a former version has no checksum.
-        assert_eq!(open(br#"{"version":7}"#.to_vec()).unwrap(), br#"{"version":7}"#);
+        assert_eq!(strip_checksum(br#"{"version":7}"#.to_vec()).unwrap(), br#"{"version":7}"#);
         for at in 0..sealed.len() {
             // A cut right after the text leaves what a former version wrote: whole.
-            let cut = open(sealed[..at].to_vec());
+            let cut = strip_checksum(sealed[..at].to_vec());
             assert!(cut.is_err() || at == 13, "cut at {at}");
             for bit in 0..8 {
                 let mut flipped = sealed.clone();
                 flipped[at] ^= 1 << bit;
-                let read = open(flipped);
+                let read = strip_checksum(flipped);
                 assert!(read.is_err() || read.unwrap() == br#"{"version":7}"#, "bit {bit} of {at}");
             }
         }
@@ -190,11 +193,11 @@
     /// Finding 16: a snapshot given to nobody is not kept.
     #[test]
     fn a_writer_whose_thread_has_ended_says_so() {
-        let writer = Writer::new(PathBuf::from("/nonexistent"), |_: &u8| panic!("on purpose"));
-        writer.keep(1);
+        let writer = BackgroundWriter::new(PathBuf::from("/nonexistent"), |_: &u8| panic!("on purpose"));
+        writer.submit(1);
         assert!(writer.over.recv().is_err(), "the thread's end");
-        let number = writer.keep(2);
-        assert!(matches!(writer.done(), (n, Some(why)) if n == number && why.contains("ended")));
+        let number = writer.submit(2);
+        assert!(matches!(writer.progress(), (n, Some(why)) if n == number && why.contains("ended")));
         assert!(writer.close(None).is_err());
     }
 }
--- a/control/src/files.rs
+++ b/control/src/repo_files.rs
@@ -7,13 +7,13 @@
 use std::path::Path;
 
 /// Status, lines, and the body: words, or a file from where it stands and how much of it.
-pub enum Said {
-    Words(u16, Vec<(&'static str, String)>, String),
-    Bytes(u16, Vec<(&'static str, String)>, File, u64),
+pub enum FileResponse {
+    Text(u16, Vec<(&'static str, String)>, String),
+    File(u16, Vec<(&'static str, String)>, File, u64),
 }
 
-fn no(status: u16, why: &str) -> Said {
-    Said::Words(status, vec![("Content-Type", "text/plain".into())], format!("{why}\n"))
+fn no(status: u16, why: &str) -> FileResponse {
+    FileResponse::Text(status, vec![("Content-Type", "text/plain".into())], format!("{why}\n"))
 }
 
 /// The first and last byte of `bytes=A-B`, `bytes=A-` or `bytes=-N` in a file of a length; none: no such range.
@@ -28,7 +28,7 @@
     (from <= to).then_some((from, to))
 }
 
-pub fn serve(repo: Option<&Path>, request: &Request) -> Said {
+pub fn serve(repo: Option<&Path>, request: &Request) -> FileResponse {
     let Some(repo) = repo else { return no(404, "no repository is served here") };
     if request.method != "GET" && request.method != "HEAD" {
         return no(405, "files are got");
@@ -58,7 +58,7 @@
         Some(Some((from, last))) => (206, from, last + 1),
         Some(None) => {
             let lines = vec![("Content-Range", format!("bytes */{length}"))];
-            return Said::Words(416, lines, String::new());
+            return FileResponse::Text(416, lines, String::new());
         }
     };
     if file.seek(SeekFrom::Start(from)).is_err() {
@@ -69,7 +69,7 @@
     if status == 206 {
         lines.push(("Content-Range", format!("bytes {from}-{}/{length}", to - 1)));
     }
-    Said::Bytes(status, lines, file, to - from)
+    FileResponse::File(status, lines, file, to - from)
 }
 
 #[cfg(test)]
@@ -105,7 +105,7 @@
             "/repo/metadata/%2e",
         ] {
             let request = Request { method: "GET".into(), target: path.into(), ..Request::default() };
-            assert!(matches!(serve(Some(&dir), &request), Said::Words(404, ..)), "{path}");
+            assert!(matches!(serve(Some(&dir), &request), FileResponse::Text(404, ..)), "{path}");
         }
     }
 }
--- a/control/src/server.rs
+++ b/control/src/server.rs
@@ -1,12 +1,12 @@
 //! The controller's sockets: HTTP with JSON, watch streams, the snapshot.
-use crate::desk::{Answer, Desk};
-use crate::keep::{self, Writer};
+use crate::api::{Api, Response};
+use crate::atomic_file::{self, BackgroundWriter};
 use rockpick_net::{Event, Id, Net, Ns, MS};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How often time passes at the desk: stages and rosters are told this late at most.
+/// How often time passes at the api: stages and rosters are told this late at most.
 const PASS: Ns = 20 * MS;
 /// Connections taken: every machine's, every front's and some callers'.
 const MOST_CLIENTS: usize = 20_000;
@@ -35,18 +35,20 @@
             std::fs::create_dir_all(dir).map_err(|err| format!("{}: {err}", dir.display()))?;
         }
         let kept = match &file {
-            Some(file) => keep::load_sealed(file).map_err(|err| format!("{}: {err}", file.display()))?,
+            Some(file) => {
+                atomic_file::load_checked(file).map_err(|err| format!("{}: {err}", file.display()))?
+            }
             None => None,
         };
-        let mut desk = Desk::open(net.now(), kept.as_deref())?;
+        let mut api = Api::restore(net.now(), kept.as_deref())?;
         for signal in [SIGTERM, SIGINT] {
             net.on_signal(signal).map_err(|err| err.to_string())?;
         }
         let (_, at) = net.listen(self.listen).map_err(|err| format!("{}: {err}", self.listen))?;
         ready(at);
-        tracing::info!(event = "controller up", at = %at, settings_version = desk.version);
+        tracing::info!(event = "controller up", at = %at, settings_version = api.version);
         // What was acknowledged is kept first: answers to changes wait here until their snapshot is on disk.
-        let writer = file.map(|file| Writer::new(file, |text: &Vec<u8>| Ok(text.clone())));
+        let writer = file.map(|file| BackgroundWriter::new(file, |text: &Vec<u8>| Ok(text.clone())));
         let mut waiting: Vec<Waiting> = Vec::new();
         let (mut events, mut passed, mut saved) = (Vec::new(), Ns::MIN / 2, 0);
         loop {
@@ -54,7 +56,7 @@
                 .map_err(|err| err.to_string())?;
             let now = net.now();
             if let Some(writer) = &writer {
-                let (done, why) = writer.done();
+                let (done, why) = writer.progress();
                 let (over, rest) = waiting.into_iter().partition(|w| w.number <= done);
                 waiting = rest;
                 say(&mut net, over, why.as_deref());
@@ -62,38 +64,38 @@
             for event in std::mem::take(&mut events) {
                 match event {
                     Event::Request { conn, request } if request.path().starts_with("/repo/") => {
-                        use crate::files::Said;
+                        use crate::repo_files::FileResponse;
                         fn plain<'a>(lines: &'a [(&'static str, String)]) -> Vec<(&'a str, &'a str)> {
                             lines.iter().map(|(n, v)| (*n, v.as_str())).collect()
                         }
-                        match crate::files::serve(self.repo.as_deref(), &request) {
-                            Said::Words(status, lines, body) => {
+                        match crate::repo_files::serve(self.repo.as_deref(), &request) {
+                            FileResponse::Text(status, lines, body) => {
                                 net.answer(conn, status, &plain(&lines), body.as_bytes());
                             }
-                            Said::Bytes(status, lines, file, long) => {
+                            FileResponse::File(status, lines, file, long) => {
                                 net.answer_file(conn, status, &plain(&lines), file, long);
                             }
                         }
                     }
                     Event::Request { conn, request } => {
-                        match desk.request(now, conn, &request.method, &request.target, &request.body) {
-                            Answer::Now(status, value) => {
-                                let changed = desk.dirty.then(|| desk.save(now)).flatten();
-                                let number = writer.as_ref().zip(changed).map(|(w, text)| w.keep(text));
+                        match api.request(now, conn, &request.method, &request.target, &request.body) {
+                            Response::Json(status, value) => {
+                                let changed = api.dirty.then(|| api.snapshot(now)).flatten();
+                                let number = writer.as_ref().zip(changed).map(|(w, text)| w.submit(text));
                                 let answer = Waiting { number: number.unwrap_or(0), conn, status, value };
                                 match number {
                                     Some(_) => waiting.push(answer),
                                     None => say(&mut net, vec![answer], None),
                                 }
                             }
-                            Answer::Watch => {
+                            Response::Watch => {
                                 net.open_stream(conn, &[("Content-Type", "application/x-ndjson")])
                             }
                         }
                     }
-                    Event::Left { conn } => desk.unwatch(conn),
+                    Event::Left { conn } => api.unwatch(conn),
                     Event::Signal { .. } => {
-                        let last = desk.save(now);
+                        let last = api.snapshot(now);
                         let kept = writer.map_or(Ok(()), |writer| writer.close(last));
                         say(&mut net, waiting, kept.as_ref().err().map(String::as_str));
                         tracing::info!(event = "controller down");
@@ -104,18 +106,18 @@
             }
             if now - passed >= PASS {
                 passed = now;
-                for (conn, mut line) in desk.pass(now) {
+                for (conn, mut line) in api.tick(now) {
                     line.push('\n');
                     if !net.stream(conn, line.as_bytes()) {
-                        desk.unwatch(conn);
+                        api.unwatch(conn);
                     }
                 }
             }
-            let on_trial = desk.release.as_ref().and_then(|r| r.newest.as_ref()).is_some_and(|t| t.ran > 0);
-            if desk.dirty || on_trial && now - saved >= SAVE {
+            let on_trial = api.release.as_ref().and_then(|r| r.newest.as_ref()).is_some_and(|t| t.ran > 0);
+            if api.dirty || on_trial && now - saved >= SAVE {
                 saved = now;
-                if let (Some(text), Some(writer)) = (desk.save(now), &writer) {
-                    writer.keep(text);
+                if let (Some(text), Some(writer)) = (api.snapshot(now), &writer) {
+                    writer.submit(text);
                 }
             }
         }
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -4,8 +4,8 @@
 use crate::wire::{back_lines, read_note, wait_lines, What, Wire, LAPSE, LOG_LINES, MODULE, PEERS, TICK};
 use crate::{fresh, Opening};
 use rockpick::{Front, Member, Ns, Outcome, Reply, Roll, Standing, State};
-use rockpick_control::desk::{phase_of, phase_word, state_of, MOST_ROWS};
-use rockpick_control::keep::Writer;
+use rockpick_control::api::{parse_phase, parse_state, phase_name, MAX_COUNT_ROWS};
+use rockpick_control::atomic_file::BackgroundWriter;
 use rockpick_control::release::MAX_BUILD;
 use rockpick_control::settings::{is_valid_name, FieldError, RepeatKind, MAX_WEIGHT, MAX_ZONES};
 use rockpick_control::Settings;
@@ -47,7 +47,7 @@
     /// The stage as last told, whole, and when it is to be told to the module once more.
     stage: Option<Value>,
     again: Option<Ns>,
-    writer: Option<Writer<Saved>>,
+    writer: Option<BackgroundWriter<Saved>>,
     dirty: bool,
     counted: Ns,
     ticked: Ns,
@@ -104,8 +104,9 @@
         heard: 0,
         stage: None,
         again: None,
-        writer: file
-            .map(|file| Writer::new(file, |saved| serde_json::to_vec(saved).map_err(std::io::Error::other))),
+        writer: file.map(|file| {
+            BackgroundWriter::new(file, |saved| serde_json::to_vec(saved).map_err(std::io::Error::other))
+        }),
         dirty: false,
         counted: 0,
         ticked: 0,
@@ -559,7 +560,7 @@
         Some(Standing {
             build: number("build").filter(|b| (0.0..=MAX_BUILD.into()).contains(b))? as u32,
             stage: number("stage")? as u32,
-            phase: phase_of(stage.get("phase")?.as_str()?)?,
+            phase: parse_phase(stage.get("phase")?.as_str()?)?,
             cap: number("cap")?.clamp(0.0, 1.0),
             since: now - (number("age_ms")?.clamp(0.0, MOST_AGE) * MS as f64) as Ns,
         })
@@ -582,7 +583,7 @@
                 before.is_none_or(|b| (b.build, b.stage, b.phase) != (news.build, news.stage, news.phase));
             if moved {
                 let (build, stage) = (news.build, news.stage);
-                tracing::info!(event = "told", build, stage, phase = phase_word(news.phase), cap = news.cap);
+                tracing::info!(event = "told", build, stage, phase = phase_name(news.phase), cap = news.cap);
                 self.dirty = true;
             }
             let (may, again) = fresh::standing(news, self.born, now, window);
@@ -814,7 +815,7 @@
         if due && !(self.wire.counts.is_empty() && sums.is_empty()) {
             self.counted = now;
             let row = |((b, m), [picks, bad]): (&(u32, usize), &[u32; 2])| json!([b, m, picks, bad]);
-            let rows: Vec<Value> = self.wire.counts.iter().take(MOST_ROWS).map(row).collect();
+            let rows: Vec<Value> = self.wire.counts.iter().take(MAX_COUNT_ROWS).map(row).collect();
             self.wire.counts.clear();
             let body = json!({ "front": self.wire.opening.name, "rows": rows, "tenants": sums }).to_string();
             self.wire.ask(What::Else, "POST", "/counts", &body, Some(SEC));
@@ -824,7 +825,7 @@
         self.lives.retain(|(life, _)| *life == newest || !wire.idle(*life));
         if let (true, Some(writer)) = (self.dirty, &self.writer) {
             if let Some(saved) = self.snapshot() {
-                writer.keep(saved);
+                writer.submit(saved);
                 self.dirty = false;
             }
         }
@@ -849,7 +850,7 @@
         let t = &self.wire.tolls;
         let now = self.wire.net.now();
         let stage = self.wire.standing.map(|s| {
-            json!({ "build": s.build, "stage": s.stage, "phase": phase_word(s.phase), "cap": s.cap,
+            json!({ "build": s.build, "stage": s.stage, "phase": phase_name(s.phase), "cap": s.cap,
                 "age_ms": (now - s.since) / MS })
         });
         let (clients, calls) = self.wire.net.open();
@@ -897,7 +898,7 @@
     Ok(Said {
         name: word("name").ok().filter(|name| is_valid_name(name)).ok_or("name")?,
         addr: line.get("addr").and_then(Value::as_str).and_then(|a| a.parse().ok()),
-        state: state_of(word("state")?).ok_or("state")?,
+        state: parse_state(word("state")?).ok_or("state")?,
         zone: number("zone", MAX_ZONES as f64 - 1.0)? as u32,
         cell: number("cell", f64::from(u32::MAX))? as u32,
         build: number("build", f64::from(MAX_BUILD))? as u32,
--- a/front/src/saved.rs
+++ b/front/src/saved.rs
@@ -1,5 +1,5 @@
 //! The snapshot from which a front comes up at once, controller present or not.
-use rockpick_control::keep;
+use rockpick_control::atomic_file;
 use rockpick_control::Settings;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -29,7 +29,7 @@
 /// Names the file and what this version can't take in it.
 pub fn load(file: &Path) -> Result<Option<Saved>, String> {
     let at = |why: String| format!("{}: {why}", file.display());
-    let text = match keep::load_sealed(file) {
+    let text = match atomic_file::load_checked(file) {
         Ok(Some(text)) => text,
         Ok(None) => return Ok(None),
         Err(err) => {
--- a/front/src/shelf.rs
+++ b/front/src/shelf.rs
@@ -1,6 +1,6 @@
 //! Tenants at a front: the link to the directory, the keeper of versions, and the limits. RPCs read the
 //! version in force and wait for nothing; what a tenant may take is decided in `rockpick_tenant::limit`.
-use rockpick_control::{keep, Settings};
+use rockpick_control::{atomic_file, Settings};
 use rockpick_ldap::message::{uuid, uuid_text};
 use rockpick_net::http::Request;
 use rockpick_net::{Event, Net, Ns, MS};
@@ -39,7 +39,7 @@
 }
 
 fn load(file: &Path) -> Option<(Kept, u64)> {
-    let text = match keep::load_sealed(file) {
+    let text = match atomic_file::load_checked(file) {
         Ok(text) => text?,
         Err(err) => {
             tracing::error!(event = "tenants' snapshot not read", file = %file.display(), why = %err);
@@ -74,7 +74,8 @@
             Box::new(move |kept| {
                 let file_now = File { directory: kept.clone(), saved_ms: crate::saved::wall_ms() };
                 let text = serde_json::to_vec(&file_now).map_err(std::io::Error::other);
-                let done = text.and_then(|text| keep::replace(&file, &keep::seal(text)));
+                let done =
+                    text.and_then(|text| atomic_file::replace(&file, &atomic_file::add_checksum(text)));
                 if let Err(err) = &done {
                     tracing::error!(event = "tenants not kept", file = %file.display(), why = %err);
                 }
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick::{Ctl, Ns, Outcome, Standing, Verdict};
-use rockpick_control::desk::verdict_word;
+use rockpick_control::api::verdict_name;
 use rockpick_control::Settings;
 use rockpick_door::Door;
 use rockpick_net::http::{self, Lines, Request, Response};
@@ -487,7 +487,7 @@
             self.calls.remove(&old);
             self.net.cancel(old);
         }
-        let word = verdict_word(verdict);
+        let word = verdict_name(verdict);
         if let Some(left_out) = self.often.may(self.net.now()) {
             tracing::info!(event = "vote", build, stage, verdict = word, left_out);
         }
--- a/trust/src/repo.rs
+++ b/trust/src/repo.rs
@@ -6,7 +6,7 @@
 };
 use crate::meta::{ROLES, SPEC};
 use ed25519_dalek::{Signer, SigningKey};
-use rockpick_control::keep;
+use rockpick_control::atomic_file;
 use rockpick_control::release::MAX_BUILD;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -110,7 +110,7 @@
 
     fn write(&self, name: &str, bytes: &[u8]) -> Result<(), String> {
         let at = self.metadata(name);
-        keep::replace(&at, bytes).map_err(io(&at))
+        atomic_file::replace(&at, bytes).map_err(io(&at))
     }
 
     /// The newest root.
@@ -260,7 +260,7 @@
         self.may_sign(keydir, "timestamp")?;
         let hash = sha256(&kept);
         let at = self.dir.join("targets").join(format!("{hash}.{name}"));
-        keep::replace(&at, &kept).map_err(io(&at))?;
+        atomic_file::replace(&at, &kept).map_err(io(&at))?;
         let hashes = BTreeMap::from([("sha256".to_string(), hash)]);
         let file = File { version: None, length: Some(kept.len() as u64), hashes, custom: Some(custom) };
         targets.targets.insert(name.clone(), file);
@@ -338,7 +338,7 @@
         let mut refresh = Refresh::begin(trusted, self.now).map_err(refused)?;
         while let Want::File { name, most, may_miss } = refresh.want() {
             let at = self.metadata(&name);
-            let bytes = match keep::load(&at).map_err(io(&at))? {
+            let bytes = match atomic_file::load(&at).map_err(io(&at))? {
                 Some(bytes) if bytes.len() > most => return Err(format!("{name}: longer than {most} bytes")),
                 None if !may_miss => return Err(format!("{name}: missing")),
                 bytes => bytes,
