--- a/control/src/api.rs
+++ b/control/src/api.rs
@@ -1,7 +1,7 @@
 //! The controller without its sockets: each request gets an answer, each pass the lines that watchers are
 //! due. Time is told by the caller; the only file is the snapshot, written by [`Api::snapshot`]'s caller.
-use crate::release::{Moot, Moved, Release, Running, MAX_BUILD};
-use crate::roster::{Beat, Order, Roster, SETTLE};
+use crate::release::{Release, Running, Transition, VoteRejection, MAX_BUILD};
+use crate::roster::{Heartbeat, Order, Roster, SETTLE_TIME};
 use crate::settings::{is_valid_name, FieldError, Settings, MAX_STAGES};
 use rockpick::{Ns, Phase, State, Verdict};
 use serde::{Deserialize, Serialize};
@@ -148,8 +148,8 @@
     Response::Json(status, json!({ "errors": [FieldError { field: field.into(), why: why.into() }] }))
 }
 
-fn log(moved: &Moved) {
-    let Moved { build, stage, phase, why } = moved;
+fn log(moved: &Transition) {
+    let Transition { build, stage, phase, why } = moved;
     tracing::info!(event = "stage", build, stage, phase = phase_name(*phase), why);
 }
 
@@ -220,7 +220,7 @@
             stage: t.stage,
             phase: phase_name(t.phase).into(),
             age_ms: ms(now - t.since),
-            ran_ms: ms(t.ran),
+            ran_ms: ms(t.run_time),
         });
         let (version, earlier, generation) = (self.version, release.earlier, self.generation);
         let kept = Snapshot { version, settings, earlier, newest, generation };
@@ -228,7 +228,7 @@
     }
 
     fn settled(&self, now: Ns) -> bool {
-        now - self.born >= SETTLE
+        now - self.born >= SETTLE_TIME
     }
 
     /// Works out what should run where; each change of it is an order of its own.
@@ -243,7 +243,7 @@
 
     fn stage(&self, now: Ns) -> Value {
         let (Some(release), Some(settings)) = (&self.release, &self.settings) else { return Value::Null };
-        let (build, stage, phase, cap, since) = release.standing(settings);
+        let (build, stage, phase, cap, since) = release.announcement(settings);
         json!({ "build": build, "stage": stage, "phase": phase_name(phase), "cap": cap, "age_ms": ms(now - since),
             "earlier": release.earlier })
     }
@@ -262,7 +262,7 @@
             Some(serial) => changed > serial,
             None => state != State::Gone,
         };
-        let named = self.roster.machines.iter().filter(|(_, m)| fits(m.changed, m.state));
+        let named = self.roster.machines.iter().filter(|(_, m)| fits(m.changed_serial, m.state));
         let members: Vec<Value> = named.map(|(name, _)| self.member(now, name)).collect();
         json!({ "roster": { "kind": if since.is_some() { "changes" } else { "whole" },
             "serial": self.roster.serial, "members": members } })
@@ -335,7 +335,7 @@
                 if !same || old.len() > settings.places.len() {
                     return no(409, "places", "places may be added at the end, not moved or taken away");
                 }
-                if let Err(why) = release.under(&settings) {
+                if let Err(why) = release.apply_settings(&settings) {
                     return no(409, "rollout.stages", why);
                 }
             }
@@ -367,7 +367,7 @@
 
     fn back(&mut self, now: Ns, build: &str) -> Response {
         let Ok(build) = build.parse() else { return no(400, "build", "not a number") };
-        match self.release.as_mut().map(|r| r.back(now, build, "an operator's word")) {
+        match self.release.as_mut().map(|r| r.roll_back(now, build, "an operator's word")) {
             Some(Ok(moved)) => {
                 log(&moved);
                 (self.dirty, self.stage_changed) = (true, true);
@@ -406,9 +406,9 @@
             Err(moot) => {
                 self.votes[1] += 1;
                 let field = match moot {
-                    Moot::Build => "build",
-                    Moot::Stage => "stage",
-                    Moot::Verdict => "verdict",
+                    VoteRejection::Build => "build",
+                    VoteRejection::Stage => "stage",
+                    VoteRejection::Verdict => "verdict",
                 };
                 let errors = [FieldError { field: field.into(), why: "moot: not the present one".into() }];
                 Response::Json(409, json!({ "counted": false, "errors": errors, "stage": self.stage(now) }))
@@ -465,7 +465,7 @@
         if addr.parse::<std::net::SocketAddr>().is_err() {
             return no(400, "addr", "an address and a port are wanted");
         }
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             name,
             addr,
             place: field!(json, "place", Value::as_str),
@@ -473,23 +473,23 @@
             run: field!(json, "run", Value::as_u64),
             age: (field!(json, "age_ms", Value::as_f64).clamp(0.0, 1e12) * MS as f64) as Ns,
             leaving: json.get("leaving").and_then(Value::as_bool).unwrap_or(false),
-            held: json.get("held").and_then(Value::as_u64).unwrap_or(0).min(1 << 20) as u32,
+            open_rpcs: json.get("held").and_then(Value::as_u64).unwrap_or(0).min(1 << 20) as u32,
         };
         if json.get("left").and_then(Value::as_bool).unwrap_or(false) {
-            self.roster.leave(name, beat.run);
+            self.roster.mark_gone(name, heartbeat.run);
             tracing::info!(event = "machine left", machine = name);
             return Response::Json(200, json!({ "order": "stop" }));
         }
         let known = self.roster.machines.get(name).map(|m| (m.run, m.state));
         let Some(settings) = &self.settings else { return no(409, "settings", "none were given yet") };
-        let run = beat.run;
+        let run = heartbeat.run;
         // Before the first order after a start nobody is told to go.
         let all = Running::from([(
-            settings.places.iter().position(|p| p.name == beat.place).unwrap_or(0),
-            beat.build,
+            settings.places.iter().position(|p| p.name == heartbeat.place).unwrap_or(0),
+            heartbeat.build,
         )]);
         let wanted = if self.want.is_empty() { &all } else { &self.want };
-        match self.roster.beat(now, settings, wanted, beat) {
+        match self.roster.heartbeat(now, settings, wanted, heartbeat) {
             Err(why) => no(409, "place", why),
             Ok(order) => {
                 let state = self.roster.machines[name].state;
@@ -642,7 +642,7 @@
             }
             let running = self.roster.running();
             if let (Some(release), Some(settings)) = (&mut self.release, &self.settings) {
-                release.cold = self.roster.cold(now, settings.guard.cold_time_ms as Ns * MS);
+                release.cold = self.roster.cold_machines(now, settings.guard.cold_time_ms as Ns * MS);
                 if let Some(moved) = release.tick(now, settings, &running) {
                     log(&moved);
                     (self.dirty, self.stage_changed) = (true, true);
--- a/control/src/release.rs
+++ b/control/src/release.rs
@@ -31,14 +31,14 @@
     /// Since when it has been in this stage and phase.
     pub since: Ns,
     /// How long this stage has run, all its machines up and nobody holding.
-    pub ran: Ns,
+    pub run_time: Ns,
     clock: bool,
     votes: BTreeMap<String, Vote>,
 }
 
 /// What moved, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Moved {
+pub struct Transition {
     pub build: u32,
     pub stage: u32,
     pub phase: Phase,
@@ -47,7 +47,7 @@
 
 /// Why a vote does not count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Moot {
+pub enum VoteRejection {
     /// Not the present build, or it can't be voted on any more.
     Build,
     /// Not the present stage.
@@ -93,7 +93,7 @@
     }
 
     /// Goes on under another settings; the trial's stage must exist there.
-    pub fn under(&mut self, settings: &Settings) -> Result<(), &'static str> {
+    pub fn apply_settings(&mut self, settings: &Settings) -> Result<(), &'static str> {
         let stages = settings.rollout.stages.len();
         let on_trial = self.newest.as_ref().filter(|t| t.phase == Phase::OnTrial);
         if on_trial.is_some_and(|t| t.stage as usize >= stages) {
@@ -107,19 +107,19 @@
     pub fn restore(&mut self, now: Ns, earlier: u32, newest: Option<(u32, u32, Phase, Ns, Ns)>) {
         self.earlier = earlier;
         self.ticked = now;
-        self.newest = newest.map(|(build, stage, phase, age, ran)| Trial {
+        self.newest = newest.map(|(build, stage, phase, age, run_time)| Trial {
             build,
             stage,
             phase,
             since: now - age,
-            ran,
-            clock: ran > 0,
+            run_time,
+            clock: run_time > 0,
             votes: BTreeMap::new(),
         });
     }
 
     /// Offers a build. One still on trial is taken off by it; one released becomes the one to go back to.
-    pub fn offer(&mut self, now: Ns, build: u32) -> Result<Option<Moved>, &'static str> {
+    pub fn offer(&mut self, now: Ns, build: u32) -> Result<Option<Transition>, &'static str> {
         let last = self.newest.as_ref().map_or(self.earlier, |t| t.build.max(self.earlier));
         if build <= last {
             return Err("a build's number must be above all before it");
@@ -132,7 +132,7 @@
             Some(t) if t.phase == Phase::Released => self.earlier = t.build,
             Some(t) if matches!(t.phase, Phase::OnTrial | Phase::GoingBack) => {
                 let why = format!("build {build} was offered");
-                off = Some(Moved { build: t.build, stage: t.stage, phase: Phase::Withdrawn, why });
+                off = Some(Transition { build: t.build, stage: t.stage, phase: Phase::Withdrawn, why });
             }
             _ => {}
         }
@@ -142,7 +142,7 @@
             stage: 0,
             phase: Phase::OnTrial,
             since: now,
-            ran: 0,
+            run_time: 0,
             clock: false,
             votes: BTreeMap::new(),
         });
@@ -152,11 +152,13 @@
     /// A front's vote; it replaces the one before.
     pub fn vote(
         &mut self, now: Ns, control: Control, front: &str, build: u32, stage: u32, verdict: Verdict,
-    ) -> Result<(), Moot> {
-        let Some(t) = self.newest.as_mut().filter(|t| t.build == build) else { return Err(Moot::Build) };
+    ) -> Result<(), VoteRejection> {
+        let Some(t) = self.newest.as_mut().filter(|t| t.build == build) else {
+            return Err(VoteRejection::Build);
+        };
         let open = t.phase == Phase::OnTrial || t.phase == Phase::Released && verdict == Verdict::Back;
         if !open && verdict != Verdict::NoVote {
-            return Err(Moot::Build);
+            return Err(VoteRejection::Build);
         }
         let known = match verdict {
             Verdict::On => control != Control::Automatic,
@@ -164,26 +166,26 @@
             _ => true,
         };
         if !known {
-            return Err(Moot::Verdict);
+            return Err(VoteRejection::Verdict);
         }
         if matches!(verdict, Verdict::On | Verdict::Hold) && stage != t.stage {
-            return Err(Moot::Stage);
+            return Err(VoteRejection::Stage);
         }
         t.votes.insert(front.into(), Vote { stage, verdict, at: now });
         Ok(())
     }
 
     /// An operator sends the build back.
-    pub fn back(&mut self, now: Ns, build: u32, why: &str) -> Result<Moved, Moot> {
-        let t = self.newest.as_mut().filter(|t| t.build == build).ok_or(Moot::Build)?;
+    pub fn roll_back(&mut self, now: Ns, build: u32, why: &str) -> Result<Transition, VoteRejection> {
+        let t = self.newest.as_mut().filter(|t| t.build == build).ok_or(VoteRejection::Build)?;
         if !matches!(t.phase, Phase::OnTrial | Phase::Released) {
-            return Err(Moot::Build);
+            return Err(VoteRejection::Build);
         }
         Ok(t.turn(now, t.stage, Phase::GoingBack, why.into()))
     }
 
     /// Lets time pass: counts standing votes, runs the stage's clock, moves on or back.
-    pub fn tick(&mut self, now: Ns, settings: &Settings, running: &Running) -> Option<Moved> {
+    pub fn tick(&mut self, now: Ns, settings: &Settings, running: &Running) -> Option<Transition> {
         let span = (now - std::mem::replace(&mut self.ticked, now)).max(0);
         let r = &settings.rollout;
         let life = r.vote_life_ms as Ns * MS;
@@ -215,15 +217,17 @@
                 let held = r.control() == Control::Automatic
                     && count(t, Verdict::Hold, Some(t.stage)) >= r.hold_votes.max(1);
                 if t.clock && !held {
-                    t.ran += span;
+                    t.run_time += span;
                 }
                 t.clock |= all_up || late;
                 let (ready, why) = match r.control() {
-                    Control::Automatic => (t.ran >= r.step_ms as Ns * MS, "its time is over".to_string()),
+                    Control::Automatic => {
+                        (t.run_time >= r.step_ms as Ns * MS, "its time is over".to_string())
+                    }
                     control => {
                         let ons = count(t, Verdict::On, Some(t.stage));
                         let needed = if control == Control::FirstVoice { 1 } else { r.on_votes.max(1) };
-                        (t.ran >= r.dwell_ms as Ns * MS && ons >= needed, format!("on votes: {ons}"))
+                        (t.run_time >= r.dwell_ms as Ns * MS && ons >= needed, format!("on votes: {ons}"))
                     }
                 };
                 if !ready || !t.clock {
@@ -315,7 +319,7 @@
     }
 
     /// Build, stage, phase, cap and since when: what fronts are told.
-    pub fn standing(&self, settings: &Settings) -> (u32, u32, Phase, f64, Ns) {
+    pub fn announcement(&self, settings: &Settings) -> (u32, u32, Phase, f64, Ns) {
         let Some(t) = &self.newest else { return (self.earlier, 0, Phase::Released, 1.0, 0) };
         let cap = match t.phase {
             Phase::OnTrial => settings.rollout.caps.get(t.stage as usize).copied().unwrap_or(0.0),
@@ -333,10 +337,10 @@
 }
 
 impl Trial {
-    fn turn(&mut self, now: Ns, stage: u32, phase: Phase, why: String) -> Moved {
-        (self.stage, self.phase, self.since, self.ran, self.clock) = (stage, phase, now, 0, false);
+    fn turn(&mut self, now: Ns, stage: u32, phase: Phase, why: String) -> Transition {
+        (self.stage, self.phase, self.since, self.run_time, self.clock) = (stage, phase, now, 0, false);
         self.votes.retain(|_, v| v.verdict == Verdict::Back && phase == Phase::OnTrial);
-        Moved { build: self.build, stage, phase, why }
+        Transition { build: self.build, stage, phase, why }
     }
 }
 
@@ -377,7 +381,10 @@
         assert_eq!(release.tick(2 * SEC, &settings, &running), None, "the clock starts here");
         assert_eq!(release.tick(2 * SEC + 999 * MS, &settings, &running), None);
         assert_eq!(release.tick(3 * SEC, &settings, &running).unwrap().stage, 1);
-        assert_eq!(release.vote(3 * SEC, Control::ByCount, "f0", 2, 0, Verdict::On), Err(Moot::Stage));
+        assert_eq!(
+            release.vote(3 * SEC, Control::ByCount, "f0", 2, 0, Verdict::On),
+            Err(VoteRejection::Stage)
+        );
         for at in [13, 14, 24, 25] {
             reconcile(&release, &settings, &mut running);
             for f in ["f0", "f1", "f2"] {
@@ -402,13 +409,16 @@
         assert_eq!(release.tick(5 * SEC, &settings, &running), None, "f0's vote has lapsed");
         release.vote(6 * SEC, Control::ByCount, "f0", 2, 0, Verdict::Back).unwrap();
         assert_eq!(release.tick(6 * SEC, &settings, &running).unwrap().phase, Phase::GoingBack);
-        assert_eq!(release.standing(&settings).3, 0.0);
+        assert_eq!(release.announcement(&settings).3, 0.0);
         let wanted = release.wanted(&settings, &running);
         assert_eq!(wanted.len(), 20, "the bad ones stay until the earlier ones run");
         running = wanted;
         running = release.wanted(&settings, &running);
         assert_eq!(release.tick(7 * SEC, &settings, &running).unwrap().phase, Phase::Withdrawn);
-        assert_eq!(release.vote(8 * SEC, Control::ByCount, "f0", 2, 0, Verdict::Back), Err(Moot::Build));
+        assert_eq!(
+            release.vote(8 * SEC, Control::ByCount, "f0", 2, 0, Verdict::Back),
+            Err(VoteRejection::Build)
+        );
     }
 
     #[test]
@@ -420,7 +430,7 @@
         reconcile(&release, &settings, &mut running);
         assert_eq!(running.len(), 10, "in place: the earlier one leaves once its successor runs");
         release.tick(0, &settings, &running);
-        assert_eq!(release.vote(0, Control::Automatic, "f0", 2, 0, Verdict::On), Err(Moot::Verdict));
+        assert_eq!(release.vote(0, Control::Automatic, "f0", 2, 0, Verdict::On), Err(VoteRejection::Verdict));
         release.tick(2 * SEC, &settings, &running);
         release.vote(2 * SEC, Control::Automatic, "f0", 2, 0, Verdict::Hold).unwrap();
         assert_eq!(release.tick(5 * SEC, &settings, &running), None, "held");
@@ -474,18 +484,18 @@
     fn each_stage_tells_its_own_cap_and_a_front_has_one_vote() {
         let settings = Settings::example(4, 4);
         let mut release = Release::new(&settings);
-        assert_eq!(release.standing(&settings).3, 1.0);
+        assert_eq!(release.announcement(&settings).3, 1.0);
         release.offer(0, 2).unwrap();
         for stage in 0..3 {
             release.newest.as_mut().unwrap().stage = stage;
-            assert_eq!(release.standing(&settings).3, settings.rollout.caps[stage as usize]);
+            assert_eq!(release.announcement(&settings).3, settings.rollout.caps[stage as usize]);
         }
         release.newest.as_mut().unwrap().stage = 0;
         for verdict in [Verdict::On, Verdict::On, Verdict::Back] {
             release.vote(0, Control::ByCount, "f0", 2, 0, verdict).unwrap();
         }
         assert_eq!(release.votes(), [("f0".to_string(), Verdict::Back)]);
-        release.back(0, 2, "a test").unwrap();
-        assert_eq!(release.standing(&settings).3, 0.0);
+        release.roll_back(0, 2, "a test").unwrap();
+        assert_eq!(release.announcement(&settings).3, 0.0);
     }
 }
--- a/control/src/roster.rs
+++ b/control/src/roster.rs
@@ -6,16 +6,16 @@
 
 const MS: Ns = 1_000_000;
 /// A machine unheard of for this long is gone: six of its beats.
-const SILENT: Ns = 3_000 * MS;
+const SILENCE_TIMEOUT: Ns = 3_000 * MS;
 /// A machine that has gone is forgotten after this; coming back later it is a new one.
-const FORGOTTEN: Ns = 60_000 * MS;
+const FORGET_AFTER: Ns = 60_000 * MS;
 /// After its start a controller holds its roster back this long: all machines have beaten by then, and an
 /// empty list would tell fronts that all are gone.
-pub const SETTLE: Ns = 2_000 * MS;
+pub const SETTLE_TIME: Ns = 2_000 * MS;
 /// A gap between sweeps beyond this means that the controller itself stood still; machines are not blamed.
-const STALL: Ns = 1_000 * MS;
+const STALL_GAP: Ns = 1_000 * MS;
 /// Most machines that may register: two builds at every place, and those that are going.
-const MOST: usize = 15_000;
+const MAX_MACHINES: usize = 15_000;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Machine {
@@ -26,12 +26,12 @@
     pub run: u64,
     pub started: Ns,
     pub state: State,
-    heard: Ns,
+    last_heard: Ns,
     leaving: bool,
-    held: u32,
-    drained: Option<Ns>,
+    open_rpcs: u32,
+    draining_since: Option<Ns>,
     /// The serial of its last change.
-    pub changed: u64,
+    pub changed_serial: u64,
 }
 
 /// What a machine is to do.
@@ -43,7 +43,7 @@
 }
 
 /// A machine's word for itself.
-pub struct Beat<'a> {
+pub struct Heartbeat<'a> {
     pub name: &'a str,
     pub addr: &'a str,
     pub place: &'a str,
@@ -51,95 +51,95 @@
     pub run: u64,
     pub age: Ns,
     pub leaving: bool,
-    pub held: u32,
+    pub open_rpcs: u32,
 }
 
 #[derive(Default)]
 pub struct Roster {
     pub machines: BTreeMap<String, Machine>,
     pub serial: u64,
-    swept: Ns,
+    last_sweep: Ns,
 }
 
 impl Roster {
-    pub fn beat(
-        &mut self, now: Ns, settings: &Settings, wanted: &Running, beat: Beat,
+    pub fn heartbeat(
+        &mut self, now: Ns, settings: &Settings, wanted: &Running, heartbeat: Heartbeat,
     ) -> Result<Order, &'static str> {
-        let Some(place) = settings.places.iter().position(|p| p.name == beat.place) else {
+        let Some(place) = settings.places.iter().position(|p| p.name == heartbeat.place) else {
             return Err("no such place");
         };
-        if self.machines.len() >= MOST && !self.machines.contains_key(beat.name) {
+        if self.machines.len() >= MAX_MACHINES && !self.machines.contains_key(heartbeat.name) {
             return Err("too many machines");
         }
-        let known = self.machines.get(beat.name).filter(|m| m.run == beat.run);
+        let known = self.machines.get(heartbeat.name).filter(|m| m.run == heartbeat.run);
         let twin = self.machines.iter().any(|(name, m)| {
-            name != beat.name && m.place == place && m.build == beat.build && m.state == State::Up
+            name != heartbeat.name && m.place == place && m.build == heartbeat.build && m.state == State::Up
         });
         if known.is_none() && twin {
             return Err("another machine runs this build at this place");
         }
-        let started = now - beat.age.max(0);
+        let started = now - heartbeat.age.max(0);
         // A late beat of the process before must not put the one that has its name now out.
-        let there = self.machines.get(beat.name).filter(|m| m.state != State::Gone);
+        let there = self.machines.get(heartbeat.name).filter(|m| m.state != State::Gone);
         if known.is_none() && there.is_some_and(|m| started < m.started) {
             return Err("a later process has this name");
         }
         let mut m = known.cloned().unwrap_or(Machine {
-            addr: beat.addr.into(),
+            addr: heartbeat.addr.into(),
             place,
-            build: beat.build,
-            run: beat.run,
+            build: heartbeat.build,
+            run: heartbeat.run,
             started,
             state: State::Gone,
-            heard: now,
+            last_heard: now,
             leaving: false,
-            held: 0,
-            drained: None,
-            changed: 0,
+            open_rpcs: 0,
+            draining_since: None,
+            changed_serial: 0,
         });
-        m.heard = now;
-        m.held = beat.held;
-        m.leaving |= beat.leaving;
-        let wants = wanted.contains(&(place, beat.build)) && !m.leaving;
+        m.last_heard = now;
+        m.open_rpcs = heartbeat.open_rpcs;
+        m.leaving |= heartbeat.leaving;
+        let wants = wanted.contains(&(place, heartbeat.build)) && !m.leaving;
         let state = if wants { State::Up } else { State::Draining };
         if state != m.state {
-            m.drained = (state == State::Draining).then_some(now);
+            m.draining_since = (state == State::Draining).then_some(now);
             m.state = state;
             self.serial += 1;
-            m.changed = self.serial;
+            m.changed_serial = self.serial;
         }
         let grace = settings.guard.drain_grace_ms as Ns * MS;
         let deadline = settings.methods.iter().map(|r| r.deadline_ms).max().unwrap_or(0) as Ns * MS;
-        let order = match m.drained {
+        let order = match m.draining_since {
             None => Order::Serve,
             // Fronts send for the grace after they were told, and what they sent may run to its deadline.
             Some(at) if now - at > 2 * grace + deadline => Order::Stop,
-            Some(at) if now - at > 2 * grace && m.held == 0 => Order::Stop,
+            Some(at) if now - at > 2 * grace && m.open_rpcs == 0 => Order::Stop,
             Some(_) => Order::Drain,
         };
-        self.machines.insert(beat.name.into(), m);
+        self.machines.insert(heartbeat.name.into(), m);
         Ok(order)
     }
 
     /// A machine says that it has ended.
-    pub fn leave(&mut self, name: &str, run: u64) {
+    pub fn mark_gone(&mut self, name: &str, run: u64) {
         if let Some(m) = self.machines.get_mut(name).filter(|m| m.run == run && m.state != State::Gone) {
             m.state = State::Gone;
             self.serial += 1;
-            m.changed = self.serial;
+            m.changed_serial = self.serial;
         }
     }
 
     /// Finds those that have gone silent, and drains those no longer wanted.
     pub fn sweep(&mut self, now: Ns, wanted: &Running) -> Vec<(String, State)> {
-        let gap = now - std::mem::replace(&mut self.swept, now);
-        if gap > STALL {
-            self.machines.values_mut().for_each(|m| m.heard += gap);
+        let gap = now - std::mem::replace(&mut self.last_sweep, now);
+        if gap > STALL_GAP {
+            self.machines.values_mut().for_each(|m| m.last_heard += gap);
         }
         let mut moved = Vec::new();
-        self.machines.retain(|_, m| m.state != State::Gone || now - m.heard < FORGOTTEN);
+        self.machines.retain(|_, m| m.state != State::Gone || now - m.last_heard < FORGET_AFTER);
         for (name, m) in &mut self.machines {
-            let silent = now - m.heard > SILENT;
+            let silent = now - m.last_heard > SILENCE_TIMEOUT;
             let state = match m.state {
                 State::Gone => continue,
                 _ if silent => State::Gone,
@@ -148,10 +148,10 @@
                 state => state,
             };
             if state != m.state {
-                m.drained = (state == State::Draining).then_some(now);
+                m.draining_since = (state == State::Draining).then_some(now);
                 m.state = state;
                 self.serial += 1;
-                m.changed = self.serial;
+                m.changed_serial = self.serial;
                 moved.push((name.clone(), state));
             }
         }
@@ -165,7 +165,7 @@
     }
 
     /// Machines that are up but not warm yet.
-    pub fn cold(&self, now: Ns, cold_time: Ns) -> Running {
+    pub fn cold_machines(&self, now: Ns, cold_time: Ns) -> Running {
         let cold = self.machines.values().filter(|m| m.state == State::Up && now - m.started < cold_time);
         cold.map(|m| (m.place, m.build)).collect()
     }
@@ -183,21 +183,21 @@
 
     const SEC: Ns = 1_000 * MS;
 
-    fn beat<'a>(name: &'a str, place: &'a str, held: u32) -> Beat<'a> {
-        Beat { name, addr: "127.0.0.1:1", place, build: 1, run: 7, age: 0, leaving: false, held }
+    fn beat<'a>(name: &'a str, place: &'a str, open_rpcs: u32) -> Heartbeat<'a> {
+        Heartbeat { name, addr: "127.0.0.1:1", place, build: 1, run: 7, age: 0, leaving: false, open_rpcs }
     }
 
     #[test]
     fn a_drained_machine_stops_after_the_grace_when_it_holds_nothing() {
         let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        assert_eq!(roster.beat(0, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert_eq!(roster.heartbeat(0, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
         assert_eq!(roster.sweep(SEC / 2, &Running::new()), [("a".to_string(), State::Draining)]);
         let none = Running::new();
-        assert_eq!(roster.beat(SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Drain));
-        assert_eq!(roster.beat(3 * SEC, &settings, &none, beat("a", "p0", 1)), Ok(Order::Drain));
-        assert_eq!(roster.beat(4 * SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Stop));
-        assert!(roster.beat(4 * SEC, &settings, &wanted, beat("b", "p9", 0)).is_err());
+        assert_eq!(roster.heartbeat(SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Drain));
+        assert_eq!(roster.heartbeat(3 * SEC, &settings, &none, beat("a", "p0", 1)), Ok(Order::Drain));
+        assert_eq!(roster.heartbeat(4 * SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Stop));
+        assert!(roster.heartbeat(4 * SEC, &settings, &wanted, beat("b", "p9", 0)).is_err());
     }
 
     /// Finding 25: the former process is heard of once more after the new one has come, then it is gone.
@@ -205,15 +205,20 @@
     fn a_late_beat_of_a_former_process_does_not_put_the_new_one_out() {
         let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        let former = Beat { run: 6, age: 9 * SEC, addr: "127.0.0.1:6", ..beat("a", "p0", 0) };
-        let late = Beat { age: 10 * SEC, ..beat("a", "p0", 0) };
-        roster.beat(10 * SEC, &settings, &wanted, former).unwrap();
-        assert_eq!(roster.beat(11 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
-        assert!(roster.beat(11 * SEC, &settings, &wanted, Beat { run: 6, ..late }).is_err());
+        let former = Heartbeat { run: 6, age: 9 * SEC, addr: "127.0.0.1:6", ..beat("a", "p0", 0) };
+        let late = Heartbeat { age: 10 * SEC, ..beat("a", "p0", 0) };
+        roster.heartbeat(10 * SEC, &settings, &wanted, former).unwrap();
+        assert_eq!(roster.heartbeat(11 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert!(roster.heartbeat(11 * SEC, &settings, &wanted, Heartbeat { run: 6, ..late }).is_err());
         assert_eq!((roster.machines["a"].run, roster.machines["a"].started), (7, 11 * SEC));
-        roster.leave("a", 7);
+        roster.mark_gone("a", 7);
         assert!(roster
-            .beat(12 * SEC, &settings, &wanted, Beat { run: 5, age: 60 * SEC, ..beat("a", "p0", 0) })
+            .heartbeat(
+                12 * SEC,
+                &settings,
+                &wanted,
+                Heartbeat { run: 5, age: 60 * SEC, ..beat("a", "p0", 0) }
+            )
             .is_ok());
     }
 
@@ -221,14 +226,14 @@
     fn silence_is_gone_but_not_when_the_controller_itself_stood_still() {
         let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        roster.beat(0, &settings, &wanted, beat("a", "p0", 0)).unwrap();
+        roster.heartbeat(0, &settings, &wanted, beat("a", "p0", 0)).unwrap();
         roster.sweep(0, &wanted);
         assert_eq!(roster.sweep(60 * SEC, &wanted), [], "a minute's stall");
         for tenth in 1..40 {
             roster.sweep(60 * SEC + tenth * SEC / 10, &wanted);
         }
         assert_eq!(roster.machines["a"].state, State::Gone);
-        assert_eq!(roster.beat(65 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert_eq!(roster.heartbeat(65 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
         assert_eq!(roster.machines["a"].started, 0, "the same run keeps its start");
     }
 }
--- a/control/src/server.rs
+++ b/control/src/server.rs
@@ -113,7 +113,8 @@
                     }
                 }
             }
-            let on_trial = api.release.as_ref().and_then(|r| r.newest.as_ref()).is_some_and(|t| t.ran > 0);
+            let on_trial =
+                api.release.as_ref().and_then(|r| r.newest.as_ref()).is_some_and(|t| t.run_time > 0);
             if api.dirty || on_trial && now - saved >= SAVE {
                 saved = now;
                 if let (Some(text), Some(writer)) = (api.snapshot(now), &writer) {
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use rockpick::{Front, Member, Ns, Outcome as End, Phase, Reply as Word, Roll, Standing, State, Verdict};
 use rockpick_control::release::{Release, Running};
-use rockpick_control::roster::{Beat, Order, Roster};
+use rockpick_control::roster::{Heartbeat, Order, Roster};
 use rockpick_control::Settings;
 use rockpick_front::fresh;
 use rockpick_ldap::message::{Attribute, Entry as Record};
@@ -1084,14 +1084,14 @@
     // ---- controller
 
     fn standing(&self) -> Standing {
-        let (build, stage, phase, cap, since) = self.release.standing(&self.charter);
+        let (build, stage, phase, cap, since) = self.release.announcement(&self.charter);
         Standing { build, stage, phase, cap, since }
     }
 
     /// The roster's lines, whole or those that changed after a serial.
     fn lines(&self, since: Option<u64>) -> Vec<Member> {
         let fits = |m: &rockpick_control::roster::Machine| match since {
-            Some(serial) => m.changed > serial,
+            Some(serial) => m.changed_serial > serial,
             None => m.state != State::Gone,
         };
         let line = |m: &rockpick_control::roster::Machine| {
@@ -1132,7 +1132,7 @@
         let (name, place) = (m.name.clone(), self.charter.places[m.place].name.clone());
         let all = Running::from([(m.place, m.build)]);
         let want = if self.want.is_empty() { &all } else { &self.want };
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             name: &name,
             addr: "",
             place: &place,
@@ -1140,11 +1140,11 @@
             run: u64::from(m.run),
             age: self.now - shop.born,
             leaving: m.leaving,
-            held: (shop.busy + shop.waiting()) as u32,
+            open_rpcs: (shop.busy + shop.waiting()) as u32,
         };
-        if self.roster.beat(self.now, &self.charter, want, beat) == Ok(Order::Stop) {
+        if self.roster.heartbeat(self.now, &self.charter, want, heartbeat) == Ok(Order::Stop) {
             let run = u64::from(m.run);
-            self.roster.leave(&name, run);
+            self.roster.mark_gone(&name, run);
             self.kill_machine(machine);
         }
     }
@@ -1158,7 +1158,7 @@
         self.want = self.release.wanted(&self.charter, &running);
         self.roster.sweep(now, &self.want);
         let running = self.roster.running();
-        self.release.cold = self.roster.cold(now, self.charter.guard.cold_time_ms as Ns * MS);
+        self.release.cold = self.roster.cold_machines(now, self.charter.guard.cold_time_ms as Ns * MS);
         let moved = self.release.tick(now, &self.charter, &running).is_some();
         let present = self.roster.present();
         let missing: Vec<(usize, u32)> = self.want.iter().filter(|w| !present.contains(w)).copied().collect();
