--- a/agent/src/fetch.rs
+++ b/agent/src/fetch.rs
@@ -1,9 +1,9 @@
 //! One fetch: the refresh of what is trusted, then the artefact piece by piece. A state machine over HTTP
 //! answers; its caller makes the calls.
 use rockpick_control::atomic_file;
-use rockpick_trust::client::{Refresh, Trusted, Want};
-use rockpick_trust::meta::File;
-use rockpick_trust::repo::MOST_ARTEFACT;
+use rockpick_trust::client::{Refresh, Request, Trusted};
+use rockpick_trust::meta::FileInfo;
+use rockpick_trust::repo::MAX_ARTEFACT;
 use std::fs::{self, OpenOptions};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     pub build: u32,
     dir: PathBuf,
     refresh: Refresh,
-    target: Option<(File, String)>,
+    target: Option<(FileInfo, String)>,
     got: u64,
 }
 
@@ -72,17 +72,17 @@
 impl Fetch {
     /// Begins with what the folder trusts; `now` in seconds since 1970.
     pub fn begin(build: u32, dir: &Path, now: i64) -> Result<Fetch, String> {
-        let refresh = Refresh::begin(trusted(&dir.join("trust"))?, now).map_err(|r| r.to_string())?;
+        let refresh = Refresh::new(trusted(&dir.join("trust"))?, now).map_err(|r| r.to_string())?;
         Ok(Fetch { build, dir: dir.into(), refresh, target: None, got: 0 })
     }
 
-    fn part(&self, file: &File) -> PathBuf {
+    fn part(&self, file: &FileInfo) -> PathBuf {
         let hash = file.hashes.get("sha256").map_or("none", |h| h.as_str());
         self.dir.join("parts").join(format!("{hash}.part"))
     }
 
     pub fn next(&self) -> Next {
-        if let Want::File { name, .. } = self.refresh.want() {
+        if let Request::File { name, .. } = self.refresh.next_request() {
             return Next::Metadata(name);
         }
         match &self.target {
@@ -101,19 +101,21 @@
     pub fn given(&mut self, status: u16, body: &[u8]) -> Result<(), String> {
         match self.next() {
             Next::Metadata(name) => {
-                let Want::File { most, may_miss, .. } = self.refresh.want() else { return Ok(()) };
+                let Request::File { max_length, optional, .. } = self.refresh.next_request() else {
+                    return Ok(());
+                };
                 let before = self.refresh.trusted.clone();
                 let bytes = match status {
-                    200 if body.len() <= most => Some(body),
-                    200 => return Err(format!("{name}: longer than {most} bytes")),
-                    404 if may_miss => None,
+                    200 if body.len() <= max_length => Some(body),
+                    200 => return Err(format!("{name}: longer than {max_length} bytes")),
+                    404 if optional => None,
                     other => return Err(format!("{name}: status {other}")),
                 };
-                let end = self.refresh.given(bytes).map_err(|r| format!("{name}: {r}"));
+                let end = self.refresh.receive(bytes).map_err(|r| format!("{name}: {r}"));
                 // What was accepted on the way is trusted from here on, also when a later step fails.
                 store(&self.dir.join("trust"), &self.refresh.trusted, &before)?;
                 end?;
-                if self.refresh.want() == Want::Done {
+                if self.refresh.next_request() == Request::Done {
                     self.seek()?;
                 }
                 Ok(())
@@ -145,7 +147,7 @@
         if custom.and_then(|c| c["build"].as_u64()) != Some(u64::from(self.build)) {
             return Err(format!("{name}: signed for as another build"));
         }
-        let length = file.length.filter(|l| (1..=MOST_ARTEFACT).contains(l));
+        let length = file.length.filter(|l| (1..=MAX_ARTEFACT).contains(l));
         let length = length.ok_or(format!("{name}: empty, or over 1 GiB"))?;
         let at = self.part(&file);
         let parts = self.dir.join("parts");
@@ -160,7 +162,7 @@
     }
 
     /// What was signed for, and the file that holds the bytes.
-    pub fn whole(&self) -> Option<(File, PathBuf)> {
+    pub fn whole(&self) -> Option<(FileInfo, PathBuf)> {
         self.target.as_ref().map(|(file, _)| (file.clone(), self.part(file)))
     }
 }
@@ -172,13 +174,13 @@
 }
 
 /// Checks the whole, unpacks it, and puts it in its place, to be run by its owner only.
-pub fn finish(dir: &Path, build: u32, file: &File, part: &Path) -> Result<(), String> {
+pub fn finish(dir: &Path, build: u32, file: &FileInfo, part: &Path) -> Result<(), String> {
     use std::os::unix::fs::PermissionsExt;
     let say = |err: std::io::Error| err.to_string();
     let bytes = fs::read(part).map_err(say)?;
     // Right or wrong, these bytes are not gone on with.
     fs::remove_file(part).map_err(|err| format!("{}: {err}", part.display()))?;
-    rockpick_trust::repo::check(file, &bytes).map_err(|r| r.to_string())?;
+    rockpick_trust::repo::verify_artefact(file, &bytes).map_err(|r| r.to_string())?;
     let plain = rockpick_trust::repo::unpack(file, &bytes).map_err(|r| r.to_string())?;
     let (at, told) = place(dir, build);
     if let Some(folder) = at.parent() {
--- a/trust/src/client.rs
+++ b/trust/src/client.rs
@@ -4,15 +4,15 @@
 //!
 //! Delegations are not followed: the top-level targets role signs all builds. The clock is the caller's word,
 //! taken once a refresh (section 5.1).
-use crate::meta::{malformed, seconds, sha256, File, Index, Refused, Root, Signed, Targets};
+use crate::meta::{malformed, parse_date, sha256, FileIndex, FileInfo, Root, Signed, Targets, VerifyError};
 use std::collections::BTreeMap;
 
 /// Longest root and timestamp that are fetched, whose lengths nobody signs; and the most for the others.
-pub const MOST_ROOT: usize = 512 * 1024;
-pub const MOST_TIMESTAMP: usize = 16 * 1024;
-pub const MOST_OTHER: usize = 1024 * 1024;
+pub const MAX_ROOT: usize = 512 * 1024;
+pub const MAX_TIMESTAMP: usize = 16 * 1024;
+pub const MAX_OTHER: usize = 1024 * 1024;
 /// Roots looked for in one refresh (section 5.3: Y, some bound): two years of weekly rotation.
-const MOST_ROOTS: u64 = 128;
+const MAX_ROOTS: u64 = 128;
 
 /// What is trusted, byte for byte as it came. Only the root must be there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -25,12 +25,12 @@
 
 /// What the refresh wants next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Want {
-    /// This metadata file, at most so long; `may_miss`: that it is not there is an answer.
+pub enum Request {
+    /// This metadata file, at most so long; `optional`: that it is not there is an answer.
     File {
         name: String,
-        most: usize,
-        may_miss: bool,
+        max_length: usize,
+        optional: bool,
     },
     Done,
 }
@@ -50,26 +50,26 @@
     step: Step,
     root: Root,
     first: u64,
-    timestamp: Option<Index>,
-    snapshot: Option<Index>,
+    timestamp: Option<FileIndex>,
+    snapshot: Option<FileIndex>,
     targets: Option<Targets>,
 }
 
-fn fresh(role: &str, expires: &str, now: i64) -> Result<(), Refused> {
-    match seconds(expires) {
+fn check_not_expired(role: &str, expires: &str, now: i64) -> Result<(), VerifyError> {
+    match parse_date(expires) {
         Some(at) if now < at => Ok(()),
-        Some(_) => Err(Refused::Expired { role: role.into(), at: expires.into() }),
+        Some(_) => Err(VerifyError::Expired { role: role.into(), at: expires.into() }),
         None => Err(malformed(format!("{role}: expires '{expires}'"))),
     }
 }
 
 /// Is this the file that was told of?
-fn same(name: &str, bytes: &[u8], told: &File) -> Result<(), Refused> {
-    if told.length.is_some_and(|l| l != bytes.len() as u64) {
-        return Err(Refused::Other(format!("{name}: its length")));
+fn check_file(name: &str, bytes: &[u8], expected: &FileInfo) -> Result<(), VerifyError> {
+    if expected.length.is_some_and(|l| l != bytes.len() as u64) {
+        return Err(VerifyError::Mismatch(format!("{name}: its length")));
     }
-    match told.hashes.get("sha256") {
-        Some(hash) if *hash != sha256(bytes) => Err(Refused::Other(format!("{name}: its hash"))),
+    match expected.hashes.get("sha256") {
+        Some(hash) if *hash != sha256(bytes) => Err(VerifyError::Mismatch(format!("{name}: its hash"))),
         _ => Ok(()),
     }
 }
@@ -79,10 +79,10 @@
     ///
     /// # Errors
     /// The trusted root itself must be one that its own keys have signed.
-    pub fn begin(trusted: Trusted, now: i64) -> Result<Refresh, Refused> {
+    pub fn new(trusted: Trusted, now: i64) -> Result<Refresh, VerifyError> {
         let signed = Signed::read(&trusted.root)?;
-        let root: Root = signed.part("root")?;
-        signed.signed_by(&root, "root")?;
+        let root: Root = signed.parse_signed("root")?;
+        signed.verify_role(&root, "root")?;
         let first = root.version;
         let mut refresh = Refresh {
             trusted,
@@ -94,51 +94,52 @@
             snapshot: None,
             targets: None,
         };
-        refresh.recall();
+        refresh.load_trusted();
         Ok(refresh)
     }
 
     /// Reads what was trusted before, for the checks against rollback; what the root no longer vouches for
     /// is left out. Its expiry does not matter here.
-    fn recall(&mut self) {
+    fn load_trusted(&mut self) {
         let read = |bytes: &Option<Vec<u8>>, role: &str| -> Option<Signed> {
             let signed = Signed::read(bytes.as_ref()?).ok()?;
-            signed.signed_by(&self.root, role).ok()?;
+            signed.verify_role(&self.root, role).ok()?;
             Some(signed)
         };
-        let timestamp = read(&self.trusted.timestamp, "timestamp").and_then(|s| s.part("timestamp").ok());
-        let snapshot = read(&self.trusted.snapshot, "snapshot").and_then(|s| s.part("snapshot").ok());
+        let timestamp =
+            read(&self.trusted.timestamp, "timestamp").and_then(|s| s.parse_signed("timestamp").ok());
+        let snapshot = read(&self.trusted.snapshot, "snapshot").and_then(|s| s.parse_signed("snapshot").ok());
         (self.timestamp, self.snapshot) = (timestamp, snapshot);
     }
 
-    pub fn want(&self) -> Want {
-        let told = |index: &Option<Index>, name: &str| {
-            index.as_ref().and_then(|i| i.meta.get(name)).cloned().unwrap_or(File {
+    pub fn next_request(&self) -> Request {
+        let expected = |index: &Option<FileIndex>, name: &str| {
+            index.as_ref().and_then(|i| i.meta.get(name)).cloned().unwrap_or(FileInfo {
                 version: None,
                 length: None,
                 hashes: BTreeMap::new(),
                 custom: None,
             })
         };
-        let file = |name: &str, told: File| {
-            let prefix = match told.version.filter(|_| self.root.consistent_snapshot) {
+        let file = |name: &str, expected: FileInfo| {
+            let prefix = match expected.version.filter(|_| self.root.consistent_snapshot) {
                 Some(version) => format!("{version}."),
                 None => String::new(),
             };
-            let most = told.length.map_or(MOST_OTHER, |l| (l as usize).min(MOST_OTHER));
-            Want::File { name: format!("{prefix}{name}"), most, may_miss: false }
+            let max_length = expected.length.map_or(MAX_OTHER, |l| (l as usize).min(MAX_OTHER));
+            Request::File { name: format!("{prefix}{name}"), max_length, optional: false }
         };
         match self.step {
             Step::Root => {
                 let name = format!("{}.root.json", self.root.version + 1);
-                Want::File { name, most: MOST_ROOT, may_miss: true }
+                Request::File { name, max_length: MAX_ROOT, optional: true }
             }
             Step::Timestamp => {
-                Want::File { name: "timestamp.json".into(), most: MOST_TIMESTAMP, may_miss: false }
+                Request::File { name: "timestamp.json".into(), max_length: MAX_TIMESTAMP, optional: false }
             }
-            Step::Snapshot => file("snapshot.json", told(&self.timestamp, "snapshot.json")),
-            Step::Targets => file("targets.json", told(&self.snapshot, "targets.json")),
-            Step::Done => Want::Done,
+            Step::Snapshot => file("snapshot.json", expected(&self.timestamp, "snapshot.json")),
+            Step::Targets => file("targets.json", expected(&self.snapshot, "targets.json")),
+            Step::Done => Request::Done,
         }
     }
 
@@ -146,72 +147,78 @@
     ///
     /// # Errors
     /// The check that failed. What was trusted stays trusted, and the refresh ends there.
-    pub fn given(&mut self, bytes: Option<&[u8]>) -> Result<(), Refused> {
+    pub fn receive(&mut self, bytes: Option<&[u8]>) -> Result<(), VerifyError> {
         match (self.step, bytes) {
-            (Step::Root, None) => self.roots_done(),
+            (Step::Root, None) => self.finish_roots(),
             (Step::Root, Some(bytes)) => self.next_root(bytes),
             (Step::Timestamp, Some(bytes)) => self.next_timestamp(bytes),
             (Step::Snapshot, Some(bytes)) => self.next_snapshot(bytes),
             (Step::Targets, Some(bytes)) => self.next_targets(bytes),
             (Step::Done, _) => Ok(()),
-            (_, None) => match self.want() {
-                Want::File { name, .. } => Err(Refused::Missing(name)),
-                Want::Done => Ok(()),
+            (_, None) => match self.next_request() {
+                Request::File { name, .. } => Err(VerifyError::Missing(name)),
+                Request::Done => Ok(()),
             },
         }
     }
 
     /// Section 5.3.3 to 5.3.8: signed by the trusted root's keys and by its own, and the very next version.
-    fn next_root(&mut self, bytes: &[u8]) -> Result<(), Refused> {
+    fn next_root(&mut self, bytes: &[u8]) -> Result<(), VerifyError> {
         let signed = Signed::read(bytes)?;
-        let root: Root = signed.part("root")?;
-        signed.signed_by(&self.root, "root")?;
-        signed.signed_by(&root, "root")?;
+        let root: Root = signed.parse_signed("root")?;
+        signed.verify_role(&self.root, "root")?;
+        signed.verify_role(&root, "root")?;
         let wanted = self.root.version + 1;
         if root.version != wanted {
-            return Err(Refused::Version { role: "root".into(), got: root.version, wanted });
+            return Err(VerifyError::Version { role: "root".into(), got: root.version, wanted });
         }
         // Section 5.3.11: new keys for these roles recover from a fast-forward attack.
-        let moved = |role: &str| {
+        let keys_changed = |role: &str| {
             let keys = |r: &Root| r.roles.get(role).cloned();
             keys(&self.root) != keys(&root)
         };
-        if moved("timestamp") || moved("snapshot") {
+        if keys_changed("timestamp") || keys_changed("snapshot") {
             (self.trusted.timestamp, self.trusted.snapshot) = (None, None);
             (self.timestamp, self.snapshot) = (None, None);
         }
         self.root = root;
         self.trusted.root = bytes.to_vec();
-        if self.root.version >= self.first + MOST_ROOTS {
-            return self.roots_done();
+        if self.root.version >= self.first + MAX_ROOTS {
+            return self.finish_roots();
         }
         Ok(())
     }
 
     /// Section 5.3.10: the last root must not have expired.
-    fn roots_done(&mut self) -> Result<(), Refused> {
-        fresh("root", &self.root.expires, self.now)?;
-        self.recall();
+    fn finish_roots(&mut self) -> Result<(), VerifyError> {
+        check_not_expired("root", &self.root.expires, self.now)?;
+        self.load_trusted();
         self.step = Step::Timestamp;
         Ok(())
     }
 
     /// Section 5.4.
-    fn next_timestamp(&mut self, bytes: &[u8]) -> Result<(), Refused> {
+    fn next_timestamp(&mut self, bytes: &[u8]) -> Result<(), VerifyError> {
         let signed = Signed::read(bytes)?;
-        signed.signed_by(&self.root, "timestamp")?;
-        let new: Index = signed.part("timestamp")?;
-        let snapshot = |i: &Index| i.meta.get("snapshot.json").and_then(|f| f.version);
-        let Some(told) = snapshot(&new) else { return Err(malformed("timestamp: no snapshot.json")) };
+        signed.verify_role(&self.root, "timestamp")?;
+        let new: FileIndex = signed.parse_signed("timestamp")?;
+        let snapshot = |i: &FileIndex| i.meta.get("snapshot.json").and_then(|f| f.version);
+        let Some(expected) = snapshot(&new) else { return Err(malformed("timestamp: no snapshot.json")) };
         if let Some(old) = &self.timestamp {
             if new.version < old.version {
-                return Err(Refused::Rollback(format!("timestamp {} after {}", new.version, old.version)));
+                return Err(VerifyError::Rollback(format!(
+                    "timestamp {} after {}",
+                    new.version, old.version
+                )));
             }
-            if snapshot(old).is_some_and(|v| told < v) {
-                return Err(Refused::Rollback(format!("snapshot {told} told of after {:?}", snapshot(old))));
+            if snapshot(old).is_some_and(|v| expected < v) {
+                return Err(VerifyError::Rollback(format!(
+                    "snapshot {expected} told of after {:?}",
+                    snapshot(old)
+                )));
             }
         }
-        fresh("timestamp", &new.expires, self.now)?;
+        check_not_expired("timestamp", &new.expires, self.now)?;
         self.timestamp = Some(new);
         self.trusted.timestamp = Some(bytes.to_vec());
         self.step = Step::Snapshot;
@@ -219,22 +226,24 @@
     }
 
     /// Section 5.5.
-    fn next_snapshot(&mut self, bytes: &[u8]) -> Result<(), Refused> {
-        let told = self.timestamp.as_ref().and_then(|t| t.meta.get("snapshot.json")).cloned();
-        let Some(told) = told else { return Err(Refused::Missing("snapshot.json in the timestamp".into())) };
-        same("snapshot", bytes, &told)?;
+    fn next_snapshot(&mut self, bytes: &[u8]) -> Result<(), VerifyError> {
+        let expected = self.timestamp.as_ref().and_then(|t| t.meta.get("snapshot.json")).cloned();
+        let Some(expected) = expected else {
+            return Err(VerifyError::Missing("snapshot.json in the timestamp".into()));
+        };
+        check_file("snapshot", bytes, &expected)?;
         let signed = Signed::read(bytes)?;
-        signed.signed_by(&self.root, "snapshot")?;
-        let new: Index = signed.part("snapshot")?;
-        let wanted = told.version.unwrap_or(0);
+        signed.verify_role(&self.root, "snapshot")?;
+        let new: FileIndex = signed.parse_signed("snapshot")?;
+        let wanted = expected.version.unwrap_or(0);
         if new.version != wanted {
-            return Err(Refused::Version { role: "snapshot".into(), got: new.version, wanted });
+            return Err(VerifyError::Version { role: "snapshot".into(), got: new.version, wanted });
         }
         for (name, old) in self.snapshot.iter().flat_map(|s| &s.meta) {
             match new.meta.get(name) {
-                None => return Err(Refused::Rollback(format!("{name} is no longer told of"))),
+                None => return Err(VerifyError::Rollback(format!("{name} is no longer told of"))),
                 Some(now) if now.version < old.version => {
-                    return Err(Refused::Rollback(format!(
+                    return Err(VerifyError::Rollback(format!(
                         "{name} {:?} after {:?}",
                         now.version, old.version
                     )));
@@ -242,7 +251,7 @@
                 _ => {}
             }
         }
-        fresh("snapshot", &new.expires, self.now)?;
+        check_not_expired("snapshot", &new.expires, self.now)?;
         self.snapshot = Some(new);
         self.trusted.snapshot = Some(bytes.to_vec());
         self.step = Step::Targets;
@@ -250,18 +259,20 @@
     }
 
     /// Section 5.6.
-    fn next_targets(&mut self, bytes: &[u8]) -> Result<(), Refused> {
-        let told = self.snapshot.as_ref().and_then(|s| s.meta.get("targets.json")).cloned();
-        let Some(told) = told else { return Err(Refused::Missing("targets.json in the snapshot".into())) };
-        same("targets", bytes, &told)?;
+    fn next_targets(&mut self, bytes: &[u8]) -> Result<(), VerifyError> {
+        let expected = self.snapshot.as_ref().and_then(|s| s.meta.get("targets.json")).cloned();
+        let Some(expected) = expected else {
+            return Err(VerifyError::Missing("targets.json in the snapshot".into()));
+        };
+        check_file("targets", bytes, &expected)?;
         let signed = Signed::read(bytes)?;
-        signed.signed_by(&self.root, "targets")?;
-        let new: Targets = signed.part("targets")?;
-        let wanted = told.version.unwrap_or(0);
+        signed.verify_role(&self.root, "targets")?;
+        let new: Targets = signed.parse_signed("targets")?;
+        let wanted = expected.version.unwrap_or(0);
         if new.version != wanted {
-            return Err(Refused::Version { role: "targets".into(), got: new.version, wanted });
+            return Err(VerifyError::Version { role: "targets".into(), got: new.version, wanted });
         }
-        fresh("targets", &new.expires, self.now)?;
+        check_not_expired("targets", &new.expires, self.now)?;
         self.targets = Some(new);
         self.trusted.targets = Some(bytes.to_vec());
         self.step = Step::Done;
@@ -269,7 +280,7 @@
     }
 
     /// Once done: a target's line, and the path to fetch it under (section 5.7, consistent snapshots).
-    pub fn target(&self, name: &str) -> Option<(File, String)> {
+    pub fn target(&self, name: &str) -> Option<(FileInfo, String)> {
         let file = self.targets.as_ref().filter(|_| self.step == Step::Done)?.targets.get(name)?.clone();
         let hash = file.hashes.get("sha256")?;
         let path = match name.rsplit_once('/') {
--- a/trust/src/meta.rs
+++ b/trust/src/meta.rs
@@ -6,16 +6,16 @@
 use sha2::{Digest, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const SPEC: &str = "1.0.31";
+pub const SPEC_VERSION: &str = "1.0.31";
 pub const ROLES: [&str; 4] = ["root", "targets", "snapshot", "timestamp"];
 
 /// Why metadata is not trusted. Each names the check that failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum VerifyError {
     /// Not the JSON that is wanted.
     Malformed(String),
     /// Fewer valid signatures than the threshold asks for.
-    Signatures {
+    Threshold {
         role: String,
         valid: usize,
         wanted: usize,
@@ -33,35 +33,35 @@
         at: String,
     },
     /// Another length or hash than was signed for.
-    Other(String),
+    Mismatch(String),
     /// Something that must be there is not.
     Missing(String),
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for VerifyError {
     fn fmt(&self, out: &mut std::fmt::Formatter) -> std::fmt::Result {
         match self {
-            Refused::Malformed(why) => write!(out, "malformed: {why}"),
-            Refused::Signatures { role, valid, wanted } => {
+            VerifyError::Malformed(why) => write!(out, "malformed: {why}"),
+            VerifyError::Threshold { role, valid, wanted } => {
                 write!(out, "{role}: {valid} valid signatures where {wanted} are wanted")
             }
-            Refused::Version { role, got, wanted } => {
+            VerifyError::Version { role, got, wanted } => {
                 write!(out, "{role}: version {got} where {wanted} must come")
             }
-            Refused::Rollback(what) => write!(out, "rolled back: {what}"),
-            Refused::Expired { role, at } => write!(out, "{role}: expired at {at}"),
-            Refused::Other(what) => write!(out, "not what was signed for: {what}"),
-            Refused::Missing(what) => write!(out, "missing: {what}"),
+            VerifyError::Rollback(what) => write!(out, "rolled back: {what}"),
+            VerifyError::Expired { role, at } => write!(out, "{role}: expired at {at}"),
+            VerifyError::Mismatch(what) => write!(out, "not what was signed for: {what}"),
+            VerifyError::Missing(what) => write!(out, "missing: {what}"),
         }
     }
 }
 
-pub fn malformed(why: impl std::fmt::Display) -> Refused {
-    Refused::Malformed(why.to_string())
+pub fn malformed(why: impl std::fmt::Display) -> VerifyError {
+    VerifyError::Malformed(why.to_string())
 }
 
 /// Bytes that are signed and hashed: OLPC canonical JSON.
-pub fn canonical(value: &Value) -> Result<Vec<u8>, Refused> {
+pub fn canonical(value: &Value) -> Result<Vec<u8>, VerifyError> {
     let mut out = Vec::new();
     let mut ser = serde_json::Serializer::with_formatter(&mut out, olpc_cjson::CanonicalFormatter::new());
     value.serialize(&mut ser).map_err(malformed)?;
@@ -86,11 +86,11 @@
     }
 
     /// Section 4.2: the hash of the key's canonical form.
-    pub fn id(&self) -> Result<String, Refused> {
+    pub fn id(&self) -> Result<String, VerifyError> {
         Ok(sha256(&canonical(&serde_json::to_value(self).map_err(malformed)?)?))
     }
 
-    fn public(&self) -> Option<VerifyingKey> {
+    fn public_key(&self) -> Option<VerifyingKey> {
         if self.keytype != "ed25519" || self.scheme != "ed25519" {
             return None;
         }
@@ -119,7 +119,7 @@
 
 /// A line that tells of another metadata file, or of a target.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct File {
+pub struct FileInfo {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<u64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -132,13 +132,13 @@
 
 /// Timestamp and snapshot: what they tell of other files.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Index {
+pub struct FileIndex {
     #[serde(rename = "_type")]
     pub kind: String,
     pub spec_version: String,
     pub version: u64,
     pub expires: String,
-    pub meta: BTreeMap<String, File>,
+    pub meta: BTreeMap<String, FileInfo>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
@@ -148,28 +148,28 @@
     pub spec_version: String,
     pub version: u64,
     pub expires: String,
-    pub targets: BTreeMap<String, File>,
+    pub targets: BTreeMap<String, FileInfo>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Sig {
+pub struct KeySignature {
     pub keyid: String,
     pub sig: String,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Signed {
-    pub signatures: Vec<Sig>,
+    pub signatures: Vec<KeySignature>,
     pub signed: Value,
 }
 
 /// Most signatures looked at: more than any threshold in use.
-const MOST_SIGNATURES: usize = 64;
+const MAX_SIGNATURES: usize = 64;
 
 impl Signed {
-    pub fn read(bytes: &[u8]) -> Result<Signed, Refused> {
+    pub fn read(bytes: &[u8]) -> Result<Signed, VerifyError> {
         let signed: Signed = serde_json::from_slice(bytes).map_err(malformed)?;
-        if signed.signatures.len() > MOST_SIGNATURES {
+        if signed.signatures.len() > MAX_SIGNATURES {
             return Err(malformed("too many signatures"));
         }
         let spec = signed.signed["spec_version"].as_str().unwrap_or("");
@@ -180,7 +180,7 @@
     }
 
     /// The signed part, of this type.
-    pub fn part<T: for<'a> Deserialize<'a>>(&self, kind: &str) -> Result<T, Refused> {
+    pub fn parse_signed<T: for<'a> Deserialize<'a>>(&self, kind: &str) -> Result<T, VerifyError> {
         if self.signed["_type"] != kind {
             return Err(malformed(format!("_type {} where {kind} is wanted", self.signed["_type"])));
         }
@@ -189,15 +189,17 @@
 
     /// Section 5.3.4 and like it: a threshold of distinct keys of the role has signed. A key under two ids
     /// counts once, and an id that is not its key's hash not at all.
-    pub fn signed_by(&self, root: &Root, role: &str) -> Result<(), Refused> {
-        let Some(wanted) = root.roles.get(role) else { return Err(Refused::Missing(format!("role {role}"))) };
+    pub fn verify_role(&self, root: &Root, role: &str) -> Result<(), VerifyError> {
+        let Some(wanted) = root.roles.get(role) else {
+            return Err(VerifyError::Missing(format!("role {role}")));
+        };
         if wanted.threshold == 0 {
             return Err(malformed(format!("{role}: a threshold of 0")));
         }
         let bytes = canonical(&self.signed)?;
         let mut valid = BTreeSet::new();
         let mut seen = BTreeSet::new();
-        for Sig { keyid, sig } in &self.signatures {
+        for KeySignature { keyid, sig } in &self.signatures {
             if !wanted.keyids.contains(keyid) || !seen.insert(keyid) {
                 continue;
             }
@@ -205,13 +207,13 @@
             let Some(sig) = hex::decode(sig).ok().and_then(|s| Signature::from_slice(&s).ok()) else {
                 continue;
             };
-            if key.public().is_some_and(|public| public.verify_strict(&bytes, &sig).is_ok()) {
+            if key.public_key().is_some_and(|public| public.verify_strict(&bytes, &sig).is_ok()) {
                 valid.insert(&key.keyval);
             }
         }
         if valid.len() < wanted.threshold {
             let (valid, wanted) = (valid.len(), wanted.threshold);
-            return Err(Refused::Signatures { role: role.into(), valid, wanted });
+            return Err(VerifyError::Threshold { role: role.into(), valid, wanted });
         }
         Ok(())
     }
@@ -220,12 +222,12 @@
 /// Seconds since 1970 of `YYYY-MM-DDTHH:MM:SSZ` (the one form that section 4.2 allows).
 ///
 /// ```
-/// use rockpick_trust::meta::{date, seconds};
-/// assert_eq!(seconds("2026-12-01T13:00:00Z"), Some(1_796_130_000));
-/// assert_eq!(date(1_796_130_000), "2026-12-01T13:00:00Z");
-/// assert_eq!(seconds("2026-13-01T13:00:00Z"), None);
+/// use rockpick_trust::meta::{format_date, parse_date};
+/// assert_eq!(parse_date("2026-12-01T13:00:00Z"), Some(1_796_130_000));
+/// assert_eq!(format_date(1_796_130_000), "2026-12-01T13:00:00Z");
+/// assert_eq!(parse_date("2026-13-01T13:00:00Z"), None);
 /// ```
-pub fn seconds(text: &str) -> Option<i64> {
+pub fn parse_date(text: &str) -> Option<i64> {
     let b = text.as_bytes();
     let shape =
         b.len() == 20 && b[4] == b'-' && b[7] == b'-' && b[10] == b'T' && b[13] == b':' && b[16] == b':';
@@ -253,14 +255,14 @@
     era * 146_097 + year * 365 + year / 4 - year / 100 + day - 719_468
 }
 
-pub fn date(at: i64) -> String {
+pub fn format_date(at: i64) -> String {
     let (day, second) = (at.div_euclid(86_400), at.rem_euclid(86_400));
     let z = day + 719_468;
-    let (era, of_era) = (z.div_euclid(146_097), z.rem_euclid(146_097));
-    let year = (of_era - of_era / 1_460 + of_era / 36_524 - of_era / 146_096) / 365;
-    let of_year = of_era - (365 * year + year / 4 - year / 100);
-    let mp = (5 * of_year + 2) / 153;
-    let (d, m) = (of_year - (153 * mp + 2) / 5 + 1, if mp < 10 { mp + 3 } else { mp - 9 });
+    let (era, day_of_era) = (z.div_euclid(146_097), z.rem_euclid(146_097));
+    let year = (day_of_era - day_of_era / 1_460 + day_of_era / 36_524 - day_of_era / 146_096) / 365;
+    let day_of_year = day_of_era - (365 * year + year / 4 - year / 100);
+    let mp = (5 * day_of_year + 2) / 153;
+    let (d, m) = (day_of_year - (153 * mp + 2) / 5 + 1, if mp < 10 { mp + 3 } else { mp - 9 });
     let y = year + era * 400 + i64::from(m <= 2);
     let (h, min, s) = (second / 3_600, second / 60 % 60, second % 60);
     format!("{y:04}-{m:02}-{d:02}T{h:02}:{min:02}:{s:02}Z")
--- a/trust/src/repo.rs
+++ b/trust/src/repo.rs
@@ -1,10 +1,11 @@
 //! The repository: a folder of metadata and targets, and keys kept apart from it, each readable by its owner
 //! only. Roles are separable: a command needs only the keys of the roles that it signs.
-use crate::client::{Refresh, Trusted, Want};
+use crate::client::{Refresh, Request, Trusted};
 use crate::meta::{
-    canonical, date, malformed, sha256, File, Index, Key, Refused, Role, Root, Sig, Signed, Targets,
+    canonical, format_date, malformed, sha256, FileIndex, FileInfo, Key, KeySignature, Role, Root, Signed,
+    Targets, VerifyError,
 };
-use crate::meta::{ROLES, SPEC};
+use crate::meta::{ROLES, SPEC_VERSION};
 use ed25519_dalek::{Signer, SigningKey};
 use rockpick_control::atomic_file;
 use rockpick_control::release::MAX_BUILD;
@@ -17,9 +18,9 @@
 use std::path::{Path, PathBuf};
 
 /// How long each role's metadata is good, in days: roots by hand once a year, timestamps by a nightly job.
-const GOOD_DAYS: [(&str, i64); 4] = [("root", 365), ("targets", 90), ("snapshot", 14), ("timestamp", 2)];
+const VALIDITY_DAYS: [(&str, i64); 4] = [("root", 365), ("targets", 90), ("snapshot", 14), ("timestamp", 2)];
 /// Largest artefact taken in, before and after unpacking.
-pub const MOST_ARTEFACT: u64 = 1 << 30;
+pub const MAX_ARTEFACT: u64 = 1 << 30;
 
 pub struct Repo {
     pub dir: PathBuf,
@@ -27,17 +28,18 @@
     pub now: i64,
 }
 
-fn io(at: &Path) -> impl Fn(std::io::Error) -> String + '_ {
+fn with_path(at: &Path) -> impl Fn(std::io::Error) -> String + '_ {
     move |err| format!("{}: {err}", at.display())
 }
 
-fn refused(refused: Refused) -> String {
-    refused.to_string()
+fn to_text(error: VerifyError) -> String {
+    error.to_string()
 }
 
 /// The signing keys of a role, from `DIR/ROLE-N.key`: a seed of 32 bytes in hex.
-pub fn keys(dir: &Path, role: &str) -> Result<Vec<SigningKey>, String> {
-    let mut files: Vec<PathBuf> = fs::read_dir(dir).map_err(io(dir))?.flatten().map(|e| e.path()).collect();
+pub fn load_keys(dir: &Path, role: &str) -> Result<Vec<SigningKey>, String> {
+    let mut files: Vec<PathBuf> =
+        fs::read_dir(dir).map_err(with_path(dir))?.flatten().map(|e| e.path()).collect();
     files.sort();
     let ours = |p: &PathBuf| {
         let name = p.file_name().and_then(|n| n.to_str()).unwrap_or("");
@@ -47,7 +49,7 @@
     };
     let mut keys = Vec::new();
     for file in files.into_iter().filter(ours) {
-        let mode = fs::metadata(&file).map_err(io(&file))?.permissions().mode();
+        let mode = fs::metadata(&file).map_err(with_path(&file))?.permissions().mode();
         if mode & 0o077 != 0 {
             return Err(format!(
                 "{}: others may read it (mode {:o}); chmod 600 it",
@@ -55,7 +57,7 @@
                 mode & 0o777
             ));
         }
-        let text = fs::read_to_string(&file).map_err(io(&file))?;
+        let text = fs::read_to_string(&file).map_err(with_path(&file))?;
         let seed: Option<[u8; 32]> = hex::decode(text.trim()).ok().and_then(|b| b.try_into().ok());
         keys.push(SigningKey::from_bytes(&seed.ok_or(format!("{}: not a key", file.display()))?));
     }
@@ -64,7 +66,7 @@
 
 /// Makes keys for a role beside those it has; returns all new ones.
 fn make_keys(dir: &Path, role: &str, many: usize) -> Result<Vec<SigningKey>, String> {
-    fs::DirBuilder::new().recursive(true).mode(0o700).create(dir).map_err(io(dir))?;
+    fs::DirBuilder::new().recursive(true).mode(0o700).create(dir).map_err(with_path(dir))?;
     let mut made = Vec::new();
     let mut nth = 1;
     while made.len() < many {
@@ -76,25 +78,27 @@
         let mut seed = [0u8; 32];
         getrandom::fill(&mut seed).map_err(|err| err.to_string())?;
         let open = fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(&file);
-        let mut out = open.map_err(io(&file))?;
-        out.write_all(hex::encode(seed).as_bytes()).and_then(|()| out.sync_all()).map_err(io(&file))?;
+        let mut out = open.map_err(with_path(&file))?;
+        out.write_all(hex::encode(seed).as_bytes())
+            .and_then(|()| out.sync_all())
+            .map_err(with_path(&file))?;
         made.push(SigningKey::from_bytes(&seed));
     }
     Ok(made)
 }
 
-fn public(key: &SigningKey) -> Key {
+fn public_key(key: &SigningKey) -> Key {
     Key::ed25519(&key.verifying_key().to_bytes())
 }
 
 /// Signs with all keys given.
 pub fn sign(part: &impl Serialize, keys: &[SigningKey]) -> Result<Vec<u8>, String> {
     let signed = serde_json::to_value(part).map_err(|err| err.to_string())?;
-    let bytes = canonical(&signed).map_err(refused)?;
-    let sig = |key: &SigningKey| -> Result<Sig, Refused> {
-        Ok(Sig { keyid: public(key).id()?, sig: hex::encode(key.sign(&bytes).to_bytes()) })
+    let bytes = canonical(&signed).map_err(to_text)?;
+    let sig = |key: &SigningKey| -> Result<KeySignature, VerifyError> {
+        Ok(KeySignature { keyid: public_key(key).id()?, sig: hex::encode(key.sign(&bytes).to_bytes()) })
     };
-    let signatures = keys.iter().map(sig).collect::<Result<Vec<_>, _>>().map_err(refused)?;
+    let signatures = keys.iter().map(sig).collect::<Result<Vec<_>, _>>().map_err(to_text)?;
     serde_json::to_vec_pretty(&Signed { signatures, signed }).map_err(|err| err.to_string())
 }
 
@@ -104,29 +108,33 @@
     }
 
     fn expires(&self, role: &str) -> String {
-        let days = GOOD_DAYS.iter().find(|(r, _)| *r == role).map_or(1, |(_, d)| *d);
-        date(self.now + days * 86_400)
+        let days = VALIDITY_DAYS.iter().find(|(r, _)| *r == role).map_or(1, |(_, d)| *d);
+        format_date(self.now + days * 86_400)
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> Result<(), String> {
         let at = self.metadata(name);
-        atomic_file::replace(&at, bytes).map_err(io(&at))
+        atomic_file::replace(&at, bytes).map_err(with_path(&at))
     }
 
     /// The newest root.
     pub fn root(&self) -> Result<Root, String> {
         let dir = self.dir.join("metadata");
-        let names = fs::read_dir(&dir).map_err(io(&dir))?.flatten();
+        let names = fs::read_dir(&dir).map_err(with_path(&dir))?.flatten();
         let version = |name: String| name.strip_suffix(".root.json")?.parse::<u64>().ok();
         let newest = names.filter_map(|e| version(e.file_name().to_string_lossy().into_owned())).max();
         let newest = newest.ok_or(format!("{}: no root", dir.display()))?;
         let at = self.metadata(&format!("{newest}.root.json"));
-        Signed::read(&fs::read(&at).map_err(io(&at))?).and_then(|s| s.part("root")).map_err(refused)
+        Signed::read(&fs::read(&at).map_err(with_path(&at))?)
+            .and_then(|s| s.parse_signed("root"))
+            .map_err(to_text)
     }
 
     fn read<T: for<'a> serde::Deserialize<'a>>(&self, file: &str, role: &str) -> Result<T, String> {
         let at = self.metadata(file);
-        Signed::read(&fs::read(&at).map_err(io(&at))?).and_then(|s| s.part(role)).map_err(refused)
+        Signed::read(&fs::read(&at).map_err(with_path(&at))?)
+            .and_then(|s| s.parse_signed(role))
+            .map_err(to_text)
     }
 
     /// A new repository, with keys of its own: `many` a role, all of which must sign.
@@ -136,7 +144,7 @@
         }
         for sub in ["metadata", "targets"] {
             let at = self.dir.join(sub);
-            fs::create_dir_all(&at).map_err(io(&at))?;
+            fs::create_dir_all(&at).map_err(with_path(&at))?;
         }
         // Also one whose root can't be read: it must not be written over for that.
         if self.newest("root").is_ok() {
@@ -147,8 +155,8 @@
             let keys = make_keys(keydir, role, many)?;
             let mut keyids = Vec::new();
             for key in &keys {
-                let id = public(key).id().map_err(refused)?;
-                listed.insert(id.clone(), public(key));
+                let id = public_key(key).id().map_err(to_text)?;
+                listed.insert(id.clone(), public_key(key));
                 keyids.push(id);
             }
             roles.insert(role.to_string(), Role { keyids, threshold: many });
@@ -156,7 +164,7 @@
         }
         let root = Root {
             kind: "root".into(),
-            spec_version: SPEC.into(),
+            spec_version: SPEC_VERSION.into(),
             consistent_snapshot: true,
             version: 1,
             expires: self.expires("root"),
@@ -166,7 +174,7 @@
         self.write("1.root.json", &sign(&root, &held["root"])?)?;
         let targets = Targets {
             kind: "targets".into(),
-            spec_version: SPEC.into(),
+            spec_version: SPEC_VERSION.into(),
             version: 1,
             expires: self.expires("targets"),
             targets: BTreeMap::new(),
@@ -176,11 +184,11 @@
         self.timestamp(keydir, 1)
     }
 
-    fn may_sign(&self, keydir: &Path, role: &str) -> Result<Vec<SigningKey>, String> {
+    fn signing_keys(&self, keydir: &Path, role: &str) -> Result<Vec<SigningKey>, String> {
         let root = self.root()?;
         let known = root.roles.get(role).ok_or(format!("{role}: no such role"))?;
-        let ours = |key: &SigningKey| public(key).id().is_ok_and(|id| known.keyids.contains(&id));
-        let keys: Vec<SigningKey> = keys(keydir, role)?.into_iter().filter(ours).collect();
+        let ours = |key: &SigningKey| public_key(key).id().is_ok_and(|id| known.keyids.contains(&id));
+        let keys: Vec<SigningKey> = load_keys(keydir, role)?.into_iter().filter(ours).collect();
         if keys.len() < known.threshold {
             return Err(format!(
                 "{role}: {} of its keys are here, {} must sign",
@@ -193,31 +201,31 @@
 
     fn snapshot(&self, keydir: &Path, version: u64, targets: u64) -> Result<(), String> {
         let at = self.metadata(&format!("{targets}.targets.json"));
-        let bytes = fs::read(&at).map_err(io(&at))?;
+        let bytes = fs::read(&at).map_err(with_path(&at))?;
         let index = self.index("snapshot", version, "targets.json", targets, &bytes);
-        let keys = self.may_sign(keydir, "snapshot")?;
+        let keys = self.signing_keys(keydir, "snapshot")?;
         self.write(&format!("{version}.snapshot.json"), &sign(&index, &keys)?)
     }
 
     /// The last step of any change: until it is done, clients see the state before.
     fn timestamp(&self, keydir: &Path, version: u64) -> Result<(), String> {
-        let keys = self.may_sign(keydir, "timestamp")?;
+        let keys = self.signing_keys(keydir, "timestamp")?;
         let snapshot = self.newest("snapshot")?;
         let at = self.metadata(&format!("{snapshot}.snapshot.json"));
-        let bytes = fs::read(&at).map_err(io(&at))?;
+        let bytes = fs::read(&at).map_err(with_path(&at))?;
         let index = self.index("timestamp", version, "snapshot.json", snapshot, &bytes);
         self.write("timestamp.json", &sign(&index, &keys)?)
     }
 
-    fn index(&self, role: &str, version: u64, file: &str, of: u64, bytes: &[u8]) -> Index {
+    fn index(&self, role: &str, version: u64, file: &str, of: u64, bytes: &[u8]) -> FileIndex {
         let hashes = BTreeMap::from([("sha256".to_string(), sha256(bytes))]);
-        let told = File { version: Some(of), length: Some(bytes.len() as u64), hashes, custom: None };
-        Index {
+        let info = FileInfo { version: Some(of), length: Some(bytes.len() as u64), hashes, custom: None };
+        FileIndex {
             kind: role.into(),
-            spec_version: SPEC.into(),
+            spec_version: SPEC_VERSION.into(),
             version,
             expires: self.expires(role),
-            meta: BTreeMap::from([(file.to_string(), told)]),
+            meta: BTreeMap::from([(file.to_string(), info)]),
         }
     }
 
@@ -226,7 +234,7 @@
         let dir = self.dir.join("metadata");
         let suffix = format!(".{role}.json");
         let version = |name: String| name.strip_suffix(&suffix)?.parse::<u64>().ok();
-        let names = fs::read_dir(&dir).map_err(io(&dir))?.flatten();
+        let names = fs::read_dir(&dir).map_err(with_path(&dir))?.flatten();
         let all = names.filter_map(|e| version(e.file_name().to_string_lossy().into_owned()));
         all.max().ok_or(format!("{}: no {role}", dir.display()))
     }
@@ -237,13 +245,13 @@
         if !(1..=MAX_BUILD).contains(&build) {
             return Err(format!("build {build}: 1 to {MAX_BUILD}"));
         }
-        let size = fs::metadata(artefact).map_err(io(artefact))?.len();
-        if size == 0 || size > MOST_ARTEFACT {
+        let size = fs::metadata(artefact).map_err(with_path(artefact))?.len();
+        if size == 0 || size > MAX_ARTEFACT {
             return Err(format!("{}: empty, or over 1 GiB", artefact.display()));
         }
-        let plain = fs::read(artefact).map_err(io(artefact))?;
+        let plain = fs::read(artefact).map_err(with_path(artefact))?;
         let kept = match pack {
-            true => zstd::encode_all(plain.as_slice(), 3).map_err(io(artefact))?,
+            true => zstd::encode_all(plain.as_slice(), 3).map_err(with_path(artefact))?,
             false => plain.clone(),
         };
         let custom = json!({ "build": build, "packed": if pack { "zstd" } else { "no" },
@@ -255,14 +263,14 @@
             return Err(format!("{name}: it is there already, and a build never changes"));
         }
         // All keys must be at hand before anything is written.
-        let signers = self.may_sign(keydir, "targets")?;
-        self.may_sign(keydir, "snapshot")?;
-        self.may_sign(keydir, "timestamp")?;
+        let signers = self.signing_keys(keydir, "targets")?;
+        self.signing_keys(keydir, "snapshot")?;
+        self.signing_keys(keydir, "timestamp")?;
         let hash = sha256(&kept);
         let at = self.dir.join("targets").join(format!("{hash}.{name}"));
-        atomic_file::replace(&at, &kept).map_err(io(&at))?;
+        atomic_file::replace(&at, &kept).map_err(with_path(&at))?;
         let hashes = BTreeMap::from([("sha256".to_string(), hash)]);
-        let file = File { version: None, length: Some(kept.len() as u64), hashes, custom: Some(custom) };
+        let file = FileInfo { version: None, length: Some(kept.len() as u64), hashes, custom: Some(custom) };
         targets.targets.insert(name.clone(), file);
         (targets.version, targets.expires) = (newest + 1, self.expires("targets"));
         self.write(&format!("{}.targets.json", targets.version), &sign(&targets, &signers)?)?;
@@ -273,7 +281,7 @@
     /// A snapshot of the newest targets, then a timestamp of that.
     fn publish(&self, keydir: &Path) -> Result<(), String> {
         self.snapshot(keydir, self.newest("snapshot")? + 1, self.newest("targets")?)?;
-        let timestamp: Index = self.read("timestamp.json", "timestamp")?;
+        let timestamp: FileIndex = self.read("timestamp.json", "timestamp")?;
         self.timestamp(keydir, timestamp.version + 1)
     }
 
@@ -281,7 +289,7 @@
     pub fn sign(&self, keydir: &Path, role: &str) -> Result<(), String> {
         match role {
             "timestamp" => {
-                let timestamp: Index = self.read("timestamp.json", "timestamp")?;
+                let timestamp: FileIndex = self.read("timestamp.json", "timestamp")?;
                 self.timestamp(keydir, timestamp.version + 1)
             }
             "snapshot" => self.publish(keydir),
@@ -289,14 +297,14 @@
                 let newest = self.newest("targets")?;
                 let mut targets: Targets = self.read(&format!("{newest}.targets.json"), "targets")?;
                 (targets.version, targets.expires) = (newest + 1, self.expires("targets"));
-                let keys = self.may_sign(keydir, "targets")?;
+                let keys = self.signing_keys(keydir, "targets")?;
                 self.write(&format!("{}.targets.json", newest + 1), &sign(&targets, &keys)?)?;
                 self.publish(keydir)
             }
             "root" => {
                 let old = self.root()?;
                 let root = Root { version: old.version + 1, expires: self.expires("root"), ..old };
-                let keys = self.may_sign(keydir, "root")?;
+                let keys = self.signing_keys(keydir, "root")?;
                 self.write(&format!("{}.root.json", root.version), &sign(&root, &keys)?)
             }
             other => Err(format!("{other}: root, targets, snapshot or timestamp")),
@@ -306,7 +314,7 @@
     /// New keys for a role in place of its old ones, by a new root that old and new root keys sign.
     pub fn rotate(&self, keydir: &Path, role: &str) -> Result<(), String> {
         let old = self.root()?;
-        let mut signers = self.may_sign(keydir, "root")?;
+        let mut signers = self.signing_keys(keydir, "root")?;
         let known =
             old.roles.get(role).ok_or(format!("{role}: root, targets, snapshot or timestamp"))?.clone();
         let made = make_keys(keydir, role, known.threshold)?;
@@ -316,8 +324,8 @@
         });
         let mut keyids = Vec::new();
         for key in &made {
-            let id = public(key).id().map_err(refused)?;
-            root.keys.insert(id.clone(), public(key));
+            let id = public_key(key).id().map_err(to_text)?;
+            root.keys.insert(id.clone(), public_key(key));
             keyids.push(id);
         }
         root.roles.insert(role.into(), Role { keyids, threshold: known.threshold });
@@ -335,22 +343,24 @@
     /// Walks the client's way from a trusted root through all metadata and every target.
     pub fn verify(&self, root: &[u8]) -> Result<Vec<String>, String> {
         let trusted = Trusted { root: root.to_vec(), ..Trusted::default() };
-        let mut refresh = Refresh::begin(trusted, self.now).map_err(refused)?;
-        while let Want::File { name, most, may_miss } = refresh.want() {
+        let mut refresh = Refresh::new(trusted, self.now).map_err(to_text)?;
+        while let Request::File { name, max_length, optional } = refresh.next_request() {
             let at = self.metadata(&name);
-            let bytes = match atomic_file::load(&at).map_err(io(&at))? {
-                Some(bytes) if bytes.len() > most => return Err(format!("{name}: longer than {most} bytes")),
-                None if !may_miss => return Err(format!("{name}: missing")),
+            let bytes = match atomic_file::load(&at).map_err(with_path(&at))? {
+                Some(bytes) if bytes.len() > max_length => {
+                    return Err(format!("{name}: longer than {max_length} bytes"))
+                }
+                None if !optional => return Err(format!("{name}: missing")),
                 bytes => bytes,
             };
-            refresh.given(bytes.as_deref()).map_err(refused)?;
+            refresh.receive(bytes.as_deref()).map_err(to_text)?;
         }
         let names: Vec<String> = refresh.targets().cloned().collect();
         for name in &names {
             let Some((file, path)) = refresh.target(name) else { return Err(format!("{name}: no sha256")) };
             let at = self.dir.join("targets").join(&path);
-            let bytes = fs::read(&at).map_err(io(&at))?;
-            check(&file, &bytes).map_err(|why| format!("{name}: {why}"))?;
+            let bytes = fs::read(&at).map_err(with_path(&at))?;
+            verify_artefact(&file, &bytes).map_err(|why| format!("{name}: {why}"))?;
             unpack(&file, &bytes).map_err(|why| format!("{name}: {why}"))?;
         }
         Ok(names)
@@ -358,31 +368,31 @@
 }
 
 /// Are these the bytes that were signed for?
-pub fn check(file: &File, bytes: &[u8]) -> Result<(), Refused> {
+pub fn verify_artefact(file: &FileInfo, bytes: &[u8]) -> Result<(), VerifyError> {
     if file.length != Some(bytes.len() as u64) {
-        return Err(Refused::Other("its length".into()));
+        return Err(VerifyError::Mismatch("its length".into()));
     }
     match file.hashes.get("sha256") {
         Some(hash) if *hash == sha256(bytes) => Ok(()),
-        Some(_) => Err(Refused::Other("its hash".into())),
-        None => Err(Refused::Missing("sha256".into())),
+        Some(_) => Err(VerifyError::Mismatch("its hash".into())),
+        None => Err(VerifyError::Missing("sha256".into())),
     }
 }
 
 /// The artefact in plain; a packed one is bounded by the length that was signed for.
-pub fn unpack(file: &File, bytes: &[u8]) -> Result<Vec<u8>, Refused> {
+pub fn unpack(file: &FileInfo, bytes: &[u8]) -> Result<Vec<u8>, VerifyError> {
     let custom = file.custom.as_ref().unwrap_or(&Value::Null);
     let packed = match custom["packed"].as_str() {
         None | Some("no") => return Ok(bytes.to_vec()),
         Some("zstd") => zstd::Decoder::new(bytes).map_err(malformed)?,
         Some(other) => return Err(malformed(format!("packed by '{other}'"))),
     };
-    let length = custom["unpacked_length"].as_u64().filter(|l| *l <= MOST_ARTEFACT);
-    let length = length.ok_or_else(|| Refused::Missing("unpacked_length".into()))?;
+    let length = custom["unpacked_length"].as_u64().filter(|l| *l <= MAX_ARTEFACT);
+    let length = length.ok_or_else(|| VerifyError::Missing("unpacked_length".into()))?;
     let mut plain = Vec::new();
     packed.take(length + 1).read_to_end(&mut plain).map_err(malformed)?;
     if plain.len() as u64 != length || custom["unpacked_sha256"] != sha256(&plain) {
-        return Err(Refused::Other("the unpacked artefact".into()));
+        return Err(VerifyError::Mismatch("the unpacked artefact".into()));
     }
     Ok(plain)
 }
--- a/trust/src/tests.rs
+++ b/trust/src/tests.rs
@@ -1,7 +1,7 @@
 //! Attacks that the specification names, against a real repository in a folder.
-use crate::client::{Refresh, Trusted, Want};
-use crate::meta::{Refused, Root, Signed};
-use crate::repo::{keys, sign, unpack, Repo};
+use crate::client::{Refresh, Request, Trusted};
+use crate::meta::{Root, Signed, VerifyError};
+use crate::repo::{load_keys, sign, unpack, Repo};
 use std::fs;
 use std::path::PathBuf;
 
@@ -32,10 +32,10 @@
     }
 
     /// Refreshes against the folder as it is.
-    fn refresh(&self, trusted: Trusted, now: i64) -> Result<Refresh, Refused> {
-        let mut refresh = Refresh::begin(trusted, now)?;
-        while let Want::File { name, .. } = refresh.want() {
-            refresh.given(fs::read(self.file(&name)).ok().as_deref())?;
+    fn refresh(&self, trusted: Trusted, now: i64) -> Result<Refresh, VerifyError> {
+        let mut refresh = Refresh::new(trusted, now)?;
+        while let Request::File { name, .. } = refresh.next_request() {
+            refresh.receive(fs::read(self.file(&name)).ok().as_deref())?;
         }
         Ok(refresh)
     }
@@ -73,7 +73,7 @@
     timestamp.signatures[1] = timestamp.signatures[0].clone();
     fs::write(set.file("timestamp.json"), serde_json::to_vec(&timestamp).unwrap()).unwrap();
     let refused = set.refresh(set.trusted(), NOW).err().unwrap();
-    assert_eq!(refused, Refused::Signatures { role: "timestamp".into(), valid: 1, wanted: 2 });
+    assert_eq!(refused, VerifyError::Threshold { role: "timestamp".into(), valid: 1, wanted: 2 });
 }
 
 #[test]
@@ -111,19 +111,19 @@
     let newer = fs::read(set.file("timestamp.json")).unwrap();
     // An older timestamp, then one that tells of an older snapshot under a higher version.
     fs::write(set.file("timestamp.json"), &older[0]).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(Refused::Rollback(_))));
-    let signers = keys(&set.keydir, "timestamp").unwrap();
+    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
+    let signers = load_keys(&set.keydir, "timestamp").unwrap();
     let mut index = Signed::read(&older[0]).unwrap().signed;
     index["version"] = 9.into();
     fs::write(set.file("timestamp.json"), sign(&index, &signers).unwrap()).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(Refused::Rollback(_))));
+    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
     // Time goes by and nothing new comes.
     fs::write(set.file("timestamp.json"), &newer).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW + 3 * DAY), Err(Refused::Expired { .. })));
+    assert!(matches!(set.refresh(kept.clone(), NOW + 3 * DAY), Err(VerifyError::Expired { .. })));
     // An older targets file under the name of the newer.
     let good = fs::read(set.file("3.targets.json")).unwrap();
     fs::write(set.file("3.targets.json"), &older[2]).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(Refused::Other(_))));
+    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Mismatch(_))));
     // What was trusted is trusted still: a good repository is taken again.
     fs::write(set.file("3.targets.json"), good).unwrap();
     assert!(set.refresh(kept, NOW).is_ok());
@@ -136,36 +136,36 @@
     set.repo.rotate(&set.keydir, "root").unwrap();
     let good = fs::read(set.file("2.root.json")).unwrap();
     // Signed by the new keys alone.
-    let new = keys(&set.keydir, "root").unwrap().pop().unwrap();
+    let new = load_keys(&set.keydir, "root").unwrap().pop().unwrap();
     let part = Signed::read(&good).unwrap().signed;
     fs::write(set.file("2.root.json"), sign(&part, std::slice::from_ref(&new)).unwrap()).unwrap();
-    assert!(matches!(set.refresh(set.trusted(), NOW), Err(Refused::Signatures { .. })));
+    assert!(matches!(set.refresh(set.trusted(), NOW), Err(VerifyError::Threshold { .. })));
     // A version left out.
     let mut part = part;
     part["version"] = 3.into();
-    let both = keys(&set.keydir, "root").unwrap();
+    let both = load_keys(&set.keydir, "root").unwrap();
     fs::write(set.file("2.root.json"), sign(&part, &both).unwrap()).unwrap();
-    assert!(matches!(set.refresh(set.trusted(), NOW), Err(Refused::Version { got: 3, wanted: 2, .. })));
+    assert!(matches!(set.refresh(set.trusted(), NOW), Err(VerifyError::Version { got: 3, wanted: 2, .. })));
     // Somebody else's root altogether.
     fs::write(set.file("2.root.json"), fs::read(stranger.file("1.root.json")).unwrap()).unwrap();
     assert!(set.refresh(set.trusted(), NOW).is_err());
     // A year later the root itself has expired.
     fs::write(set.file("2.root.json"), good).unwrap();
     let late = set.refresh(set.trusted(), NOW + 366 * DAY).err().unwrap();
-    assert!(matches!(late, Refused::Expired { role, .. } if role == "root"));
+    assert!(matches!(late, VerifyError::Expired { role, .. } if role == "root"));
 }
 
 #[test]
 fn new_timestamp_keys_recover_from_a_version_run_ahead() {
     let set = set(1);
-    let signers = keys(&set.keydir, "timestamp").unwrap();
+    let signers = load_keys(&set.keydir, "timestamp").unwrap();
     let good = fs::read(set.file("timestamp.json")).unwrap();
     let mut index = Signed::read(&good).unwrap().signed;
     index["version"] = 1_000_000.into();
     fs::write(set.file("timestamp.json"), sign(&index, &signers).unwrap()).unwrap();
     let kept = set.refresh(set.trusted(), NOW).unwrap().trusted;
     fs::write(set.file("timestamp.json"), &good).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(Refused::Rollback(_))));
+    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
     set.repo.rotate(&set.keydir, "timestamp").unwrap();
     assert!(set.refresh(kept, NOW).is_ok());
 }
@@ -177,9 +177,9 @@
     let refresh = set.refresh(set.trusted(), NOW).unwrap();
     let (mut file, _) = refresh.target("build-2").unwrap();
     let bomb = zstd::encode_all(vec![0u8; 1 << 26].as_slice(), 3).unwrap();
-    assert!(matches!(unpack(&file, &bomb), Err(Refused::Other(_))));
+    assert!(matches!(unpack(&file, &bomb), Err(VerifyError::Mismatch(_))));
     file.custom.as_mut().unwrap()["unpacked_length"] = (1u64 << 40).into();
-    assert!(matches!(unpack(&file, &bomb), Err(Refused::Missing(_))));
+    assert!(matches!(unpack(&file, &bomb), Err(VerifyError::Missing(_))));
     let key = set.keydir.join("root-1.key");
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(fs::metadata(&key).unwrap().permissions().mode() & 0o777, 0o600);
@@ -217,7 +217,7 @@
     root["signed"]["later"] = 1.into();
     let read = |root: &serde_json::Value| Signed::read(root.to_string().as_bytes());
     let signed = read(&root).unwrap();
-    assert!(signed.part::<Root>("root").is_ok() && signed.signed["later"] == 1);
+    assert!(signed.parse_signed::<Root>("root").is_ok() && signed.signed["later"] == 1);
     root["signed"]["spec_version"] = "2.0.0".into();
-    assert!(matches!(read(&root), Err(Refused::Malformed(_))));
+    assert!(matches!(read(&root), Err(VerifyError::Malformed(_))));
 }
