--- a/control/src/api.rs
+++ b/control/src/api.rs
@@ -1,5 +1,5 @@
-//! The controller without its sockets: each request gets an answer, each pass the lines that watchers are
-//! due. Time is told by the caller; the only file is the snapshot, written by [`Api::snapshot`]'s caller.
+//! The controller without its sockets: it handles requests and, on each tick, returns the lines to send to watchers.
+//! The caller passes the time and writes the snapshot that [`Api::snapshot`] returns.
 use crate::release::{Release, Running, Transition, VoteRejection, MAX_BUILD};
 use crate::roster::{Heartbeat, Order, Roster, SETTLE_TIME};
 use crate::settings::{is_valid_name, FieldError, Settings, MAX_STAGES};
@@ -10,13 +10,13 @@
 
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
-/// Tenants that are summed at once; those beyond are not, and their rates are split by the last sums.
+/// Most tenants whose counts are summed at a time; for those beyond it fronts go on splitting rates by earlier sums.
 const MAX_TENANTS: usize = 10_000;
-/// Rows that one report of counts may hold: all methods of a handful of builds.
+/// Most rows in a report of counts: all methods of a few builds.
 pub const MAX_COUNT_ROWS: usize = 512;
-/// Builds that one agent may tell of.
+/// Most builds in an agent's report.
 const MAX_BUILDS: usize = 16;
-/// Most watchers: three times the fronts there may be, as old connections end late.
+/// Most watchers: three times the fronts allowed, as old connections may be closed late.
 const MAX_WATCHERS: usize = 15_000;
 
 pub enum Response {
@@ -28,13 +28,13 @@
 struct Watcher {
     pub front: String,
     serial: Option<u64>,
-    staged: bool,
+    stage_known: bool,
     fronts: u64,
     settings: u64,
 }
 
 #[derive(Clone, Serialize, Deserialize)]
-struct Kept {
+struct SavedTrial {
     build: u32,
     stage: u32,
     phase: String,
@@ -42,30 +42,30 @@
     ran_ms: f64,
 }
 
-/// The snapshot.
+/// The state that survives a restart.
 #[derive(Clone, Serialize, Deserialize)]
 struct Snapshot {
     version: u64,
     #[serde(rename = "charter")]
     settings: Settings,
     earlier: u32,
-    newest: Option<Kept>,
-    /// Of the last order; none given later may have a lower one.
+    newest: Option<SavedTrial>,
+    /// Generation of the last order; no later order may have a lower one.
     #[serde(default)]
     generation: u64,
 }
 
-/// What an agent last said of itself.
+/// An agent's last report.
 #[derive(Clone, Default)]
-struct AgentAt {
-    heard: Ns,
+struct AgentReport {
+    last_heard: Ns,
     generation: u64,
-    /// Build, state, and why where there is something to say.
+    /// Build, state, and the reason for it if there is one.
     builds: Vec<(u32, String, String)>,
 }
 
 #[derive(Clone, Default, Serialize)]
-struct FrontAt {
+struct FrontAddresses {
     http: String,
     notes: String,
 }
@@ -77,22 +77,22 @@
     pub release: Option<Release>,
     pub roster: Roster,
     watchers: BTreeMap<u64, Watcher>,
-    fronts: BTreeMap<String, FrontAt>,
+    fronts: BTreeMap<String, FrontAddresses>,
     fronts_serial: u64,
-    /// Votes that may still be taken, and as of when.
-    bucket: (f64, Ns),
+    /// Token bucket that limits the rate of votes: tokens left, and when it was last refilled.
+    vote_tokens: (f64, Ns),
     counts: BTreeMap<(u32, usize), [u64; 2]>,
-    /// By tenant: asked, served, refused.
+    /// Counts by tenant: asked, served, refused.
     tenants: BTreeMap<String, [u64; 3]>,
-    tallied: Ns,
-    told: Ns,
+    last_tally: Ns,
+    stage_sent: Ns,
     stage_changed: bool,
-    born: Ns,
-    /// What should run where, as of the last pass, and the number of that order.
-    want: Running,
+    started: Ns,
+    /// The machines that should run as of the last tick, and the generation of that order.
+    wanted: Running,
     generation: u64,
-    agents: BTreeMap<String, AgentAt>,
-    /// Something changed that the snapshot must hold.
+    agents: BTreeMap<String, AgentReport>,
+    /// Whether something changed that the snapshot must contain.
     pub dirty: bool,
     pub calls: u64,
     pub votes: [u64; 3],
@@ -144,43 +144,43 @@
     span as f64 / MS as f64
 }
 
-fn no(status: u16, field: &str, why: impl Into<String>) -> Response {
+fn error(status: u16, field: &str, why: impl Into<String>) -> Response {
     Response::Json(status, json!({ "errors": [FieldError { field: field.into(), why: why.into() }] }))
 }
 
-fn log(moved: &Transition) {
-    let Transition { build, stage, phase, why } = moved;
+fn log_transition(transition: &Transition) {
+    let Transition { build, stage, phase, why } = transition;
     tracing::info!(event = "stage", build, stage, phase = phase_name(*phase), why);
 }
 
-/// A whole number of 32 bits: one beyond must not be cut to another.
-fn small(value: &Value) -> Option<u32> {
+/// A number that fits 32 bits; a larger one must not be truncated to another value.
+fn as_u32(value: &Value) -> Option<u32> {
     value.as_u64()?.try_into().ok()
 }
 
-/// A build's number.
-fn build_of(value: &Value) -> Option<u32> {
-    small(value).filter(|n| *n <= MAX_BUILD)
+/// A valid build number.
+fn as_build(value: &Value) -> Option<u32> {
+    as_u32(value).filter(|n| *n <= MAX_BUILD)
 }
 
-/// A field of a body, or an answer that names it.
+/// Reads a field of the body, or returns an error response that names it.
 macro_rules! field {
     ($body:expr, $name:literal, $read:expr) => {
         match $body.get($name).and_then($read) {
             Some(value) => value,
-            None => return no(400, $name, "missing, or not of the kind wanted"),
+            None => return error(400, $name, "missing, or not of the kind wanted"),
         }
     };
 }
 
 impl Api {
-    /// Comes up from a snapshot, if there is one.
+    /// Restores the state from a snapshot, if there is one.
     ///
     /// # Errors
-    /// Says what is wrong with the snapshot; nothing is overwritten then.
+    /// The snapshot is invalid; the message says why.
     pub fn restore(now: Ns, snapshot: Option<&[u8]>) -> Result<Api, String> {
-        let bucket = (f64::MAX, now);
-        let mut api = Api { born: now, tallied: now, told: now, bucket, ..Api::default() };
+        let vote_tokens = (f64::MAX, now);
+        let mut api = Api { started: now, last_tally: now, stage_sent: now, vote_tokens, ..Api::default() };
         let Some(text) = snapshot else { return Ok(api) };
         let kept: Snapshot = serde_json::from_slice(text).map_err(|err| format!("the snapshot: {err}"))?;
         if let Some(FieldError { field, why }) = kept.settings.validate().first() {
@@ -211,11 +211,11 @@
         Ok(api)
     }
 
-    /// The text to keep.
+    /// The snapshot's text; `None` before the first settings.
     pub fn snapshot(&mut self, now: Ns) -> Option<Vec<u8>> {
         let (settings, release) = (self.settings.clone()?, self.release.as_ref()?);
         self.dirty = false;
-        let newest = release.newest.as_ref().map(|t| Kept {
+        let newest = release.newest.as_ref().map(|t| SavedTrial {
             build: t.build,
             stage: t.stage,
             phase: phase_name(t.phase).into(),
@@ -228,27 +228,27 @@
     }
 
     fn settled(&self, now: Ns) -> bool {
-        now - self.born >= SETTLE_TIME
+        now - self.started >= SETTLE_TIME
     }
 
-    /// Works out what should run where; each change of it is an order of its own.
-    fn order(&mut self) {
+    /// Recomputes what should run; each change increments the order's generation.
+    fn update_order(&mut self) {
         let (Some(release), Some(settings)) = (&self.release, &self.settings) else { return };
-        let want = release.wanted(settings, &self.roster.running());
-        if want != self.want {
-            (self.want, self.dirty) = (want, true);
+        let wanted = release.wanted(settings, &self.roster.running());
+        if wanted != self.wanted {
+            (self.wanted, self.dirty) = (wanted, true);
             self.generation += 1;
         }
     }
 
-    fn stage(&self, now: Ns) -> Value {
+    fn stage_json(&self, now: Ns) -> Value {
         let (Some(release), Some(settings)) = (&self.release, &self.settings) else { return Value::Null };
         let (build, stage, phase, cap, since) = release.announcement(settings);
         json!({ "build": build, "stage": stage, "phase": phase_name(phase), "cap": cap, "age_ms": ms(now - since),
             "earlier": release.earlier })
     }
 
-    fn member(&self, now: Ns, name: &str) -> Value {
+    fn member_json(&self, now: Ns, name: &str) -> Value {
         let (m, settings) = (&self.roster.machines[name], self.settings.as_ref());
         let place = settings.and_then(|c| c.places.get(m.place));
         let zone = place.and_then(|p| settings.map(|c| c.zone_index(&p.zone))).unwrap_or(0);
@@ -257,22 +257,22 @@
             "run": m.run, "state": state_name(m.state), "age_ms": ms(now - m.started) })
     }
 
-    fn roster_line(&self, now: Ns, since: Option<u64>) -> Value {
+    fn roster_json(&self, now: Ns, since: Option<u64>) -> Value {
         let fits = |changed: u64, state: State| match since {
             Some(serial) => changed > serial,
             None => state != State::Gone,
         };
         let named = self.roster.machines.iter().filter(|(_, m)| fits(m.changed_serial, m.state));
-        let members: Vec<Value> = named.map(|(name, _)| self.member(now, name)).collect();
+        let members: Vec<Value> = named.map(|(name, _)| self.member_json(now, name)).collect();
         json!({ "roster": { "kind": if since.is_some() { "changes" } else { "whole" },
             "serial": self.roster.serial, "members": members } })
     }
 
-    /// One request; `conn` names the connection if it becomes a watcher.
+    /// Handles a request; `conn` identifies the connection if it becomes a watcher.
     pub fn request(&mut self, now: Ns, conn: u64, method: &str, target: &str, body: &[u8]) -> Response {
         self.calls += 1;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let asked = |name: &str| {
+        let query_value = |name: &str| {
             query.split('&').filter_map(|p| p.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
         };
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -282,7 +282,7 @@
         let json: Value = match serde_json::from_slice(body) {
             Ok(json) => json,
             Err(_) if body.is_empty() => Value::Null,
-            Err(err) => return no(400, ".", err.to_string()),
+            Err(err) => return error(400, ".", err.to_string()),
         };
         if method == "GET" {
             return match parts.as_slice() {
@@ -290,31 +290,33 @@
                     Some(settings) => {
                         Response::Json(200, json!({ "version": self.version, "settings": settings }))
                     }
-                    None => no(404, "settings", "none were given yet"),
+                    None => error(404, "settings", "none were given yet"),
                 },
-                ["status"] => Response::Json(200, self.status(now)),
-                ["stage"] if self.settings.is_some() => Response::Json(200, self.stage(now)),
-                ["roster"] if self.settings.is_some() => Response::Json(200, self.roster_line(now, None)),
-                ["wanted"] if self.settings.is_some() => Response::Json(200, self.wanted_line()),
-                ["watch"] => self.watch(conn, asked("front"), asked("http"), asked("notes")),
-                ["stage" | "roster" | "wanted"] => no(409, "settings", "none were given yet"),
-                _ => no(404, "path", "no such thing here"),
+                ["status"] => Response::Json(200, self.status_json(now)),
+                ["stage"] if self.settings.is_some() => Response::Json(200, self.stage_json(now)),
+                ["roster"] if self.settings.is_some() => Response::Json(200, self.roster_json(now, None)),
+                ["wanted"] if self.settings.is_some() => Response::Json(200, self.wanted_json()),
+                ["watch"] => {
+                    self.watch(conn, query_value("front"), query_value("http"), query_value("notes"))
+                }
+                ["stage" | "roster" | "wanted"] => error(409, "settings", "none were given yet"),
+                _ => error(404, "path", "no such thing here"),
             };
         }
         if method != "POST" {
-            return no(405, "method", "GET, POST and PUT are known");
+            return error(405, "method", "GET, POST and PUT are known");
         }
         if self.settings.is_none() {
-            return no(409, "settings", "none were given yet");
+            return error(409, "settings", "none were given yet");
         }
         match parts.as_slice() {
-            ["builds"] => self.offer(now, &json),
-            ["builds", build, "back"] => self.back(now, build),
+            ["builds"] => self.offer_build(now, &json),
+            ["builds", build, "back"] => self.roll_back(now, build),
             ["votes"] => self.vote(now, &json),
-            ["counts"] => self.count(&json),
-            ["machines", name] => self.beat(now, name, &json),
-            ["agents", place] => self.agent(now, place, &json),
-            _ => no(404, "path", "no such thing here"),
+            ["counts"] => self.add_counts(&json),
+            ["machines", name] => self.heartbeat(now, name, &json),
+            ["agents", place] => self.agent_report(now, place, &json),
+            _ => error(404, "path", "no such thing here"),
         }
     }
 
@@ -329,18 +331,18 @@
         match &mut self.release {
             None => self.release = Some(Release::new(&settings)),
             Some(release) => {
-                // Machines are known by their places' numbers: those in use must stay where they are.
+                // Machines refer to places by index, so existing places must keep theirs.
                 let old = self.settings.as_ref().map_or(&[][..], |c| &c.places);
                 let same = old.iter().zip(&settings.places).all(|(a, b)| a.name == b.name);
                 if !same || old.len() > settings.places.len() {
-                    return no(409, "places", "places may be added at the end, not moved or taken away");
+                    return error(409, "places", "places may be added at the end, not moved or taken away");
                 }
                 if let Err(why) = release.apply_settings(&settings) {
-                    return no(409, "rollout.stages", why);
+                    return error(409, "rollout.stages", why);
                 }
             }
         }
-        // Names that no longer are a front's would gather over years of settings.
+        // Otherwise names of fronts that were removed from the settings would accumulate.
         let named: BTreeSet<&String> = settings.fronts.iter().map(|f| &f.name).collect();
         self.fronts.retain(|name, _| named.contains(name));
         self.fronts_serial += 1;
@@ -351,75 +353,78 @@
         Response::Json(200, json!({ "version": self.version }))
     }
 
-    fn offer(&mut self, now: Ns, json: &Value) -> Response {
-        let build = field!(json, "build", small);
-        let Some(release) = &mut self.release else { return no(409, "settings", "none were given yet") };
+    fn offer_build(&mut self, now: Ns, json: &Value) -> Response {
+        let build = field!(json, "build", as_u32);
+        let Some(release) = &mut self.release else { return error(409, "settings", "none were given yet") };
         match release.offer(now, build) {
-            Ok(off) => {
-                off.iter().for_each(log);
+            Ok(withdrawn) => {
+                withdrawn.iter().for_each(log_transition);
                 tracing::info!(event = "offer", build);
                 (self.dirty, self.stage_changed) = (true, true);
-                Response::Json(201, self.stage(now))
+                Response::Json(201, self.stage_json(now))
             }
-            Err(why) => no(409, "build", why),
+            Err(why) => error(409, "build", why),
         }
     }
 
-    fn back(&mut self, now: Ns, build: &str) -> Response {
-        let Ok(build) = build.parse() else { return no(400, "build", "not a number") };
+    fn roll_back(&mut self, now: Ns, build: &str) -> Response {
+        let Ok(build) = build.parse() else { return error(400, "build", "not a number") };
         match self.release.as_mut().map(|r| r.roll_back(now, build, "an operator's word")) {
-            Some(Ok(moved)) => {
-                log(&moved);
+            Some(Ok(transition)) => {
+                log_transition(&transition);
                 (self.dirty, self.stage_changed) = (true, true);
-                Response::Json(200, self.stage(now))
+                Response::Json(200, self.stage_json(now))
             }
-            _ => no(409, "build", "not a build that can be sent back"),
+            _ => error(409, "build", "not a build that can be sent back"),
         }
     }
 
     fn vote(&mut self, now: Ns, json: &Value) -> Response {
         let front = field!(json, "front", Value::as_str);
-        let (build, stage) = (field!(json, "build", build_of), field!(json, "stage", small));
+        let (build, stage) = (field!(json, "build", as_build), field!(json, "stage", as_u32));
         let Some(verdict) = parse_verdict(field!(json, "verdict", Value::as_str)) else {
-            return no(400, "verdict", "on, hold, back or none");
+            return error(400, "verdict", "on, hold, back or none");
         };
         let (Some(release), Some(settings)) = (&mut self.release, &self.settings) else {
-            return no(409, "settings", "none were given yet");
+            return error(409, "settings", "none were given yet");
         };
         if !settings.fronts.iter().any(|f| f.name == front) {
-            return no(403, "front", "not among the fronts");
+            return error(403, "front", "not among the fronts");
         }
         let rate = settings.rollout.votes_a_second;
-        let saved = (now - self.bucket.1) as f64 / SEC as f64 * rate;
-        self.bucket = ((self.bucket.0 + saved).min(2.0 * rate), now);
-        if self.bucket.0 < 1.0 {
+        let saved = (now - self.vote_tokens.1) as f64 / SEC as f64 * rate;
+        self.vote_tokens = ((self.vote_tokens.0 + saved).min(2.0 * rate), now);
+        if self.vote_tokens.0 < 1.0 {
             self.votes[2] += 1;
-            return no(429, "votes", "too many a second");
+            return error(429, "votes", "too many a second");
         }
-        self.bucket.0 -= 1.0;
+        self.vote_tokens.0 -= 1.0;
         match release.vote(now, settings.rollout.control(), front, build, stage, verdict) {
             Ok(()) => {
                 self.votes[0] += 1;
                 tracing::info!(event = "vote", front, build, stage, verdict = verdict_name(verdict));
-                Response::Json(200, json!({ "counted": true, "stage": self.stage(now) }))
+                Response::Json(200, json!({ "counted": true, "stage": self.stage_json(now) }))
             }
-            Err(moot) => {
+            Err(rejection) => {
                 self.votes[1] += 1;
-                let field = match moot {
+                let field = match rejection {
                     VoteRejection::Build => "build",
                     VoteRejection::Stage => "stage",
                     VoteRejection::Verdict => "verdict",
                 };
                 let errors = [FieldError { field: field.into(), why: "moot: not the present one".into() }];
-                Response::Json(409, json!({ "counted": false, "errors": errors, "stage": self.stage(now) }))
+                Response::Json(
+                    409,
+                    json!({ "counted": false, "errors": errors, "stage": self.stage_json(now) }),
+                )
             }
         }
     }
 
-    fn count(&mut self, json: &Value) -> Response {
+    fn add_counts(&mut self, json: &Value) -> Response {
         let Some(rows) = json.get("rows").and_then(Value::as_array).filter(|r| r.len() <= MAX_COUNT_ROWS)
         else {
-            return no(400, "rows", "a list of at most 512 is wanted");
+            return error(400, "rows", "a list of at most 512 is wanted");
         };
         let methods = self.settings.as_ref().map_or(0, |c| c.methods.len());
         let mut read = Vec::new();
@@ -429,7 +434,7 @@
                 (Some(b), Some(m), Some(picks), Some(bad)) if (m as usize) < methods && bad <= picks => {
                     read.push(((b as u32, m as usize), picks, bad));
                 }
-                _ => return no(400, &format!("rows[{i}]"), "build, method, picks and not ok are wanted"),
+                _ => return error(400, &format!("rows[{i}]"), "build, method, picks and not ok are wanted"),
             }
         }
         let mut tenants = Vec::new();
@@ -438,7 +443,11 @@
             let n = |j: usize| row.get(j).and_then(Value::as_u64).filter(|n| *n < 1 << 32);
             let name = row.get(0).and_then(Value::as_str).filter(|n| n.len() <= 36 && i < MAX_TENANTS);
             let (Some(name), Some(asked), Some(served), Some(refused)) = (name, n(1), n(2), n(3)) else {
-                return no(400, &format!("tenants[{i}]"), "entryUUID, asked, served and refused are wanted");
+                return error(
+                    400,
+                    &format!("tenants[{i}]"),
+                    "entryUUID, asked, served and refused are wanted",
+                );
             };
             tenants.push((name, [asked, served, refused]));
         }
@@ -457,19 +466,19 @@
         Response::Json(200, json!({}))
     }
 
-    fn beat(&mut self, now: Ns, name: &str, json: &Value) -> Response {
+    fn heartbeat(&mut self, now: Ns, name: &str, json: &Value) -> Response {
         if !is_valid_name(name) {
-            return no(400, "name", "1 to 64 letters, digits, '-', '_' or '.'");
+            return error(400, "name", "1 to 64 letters, digits, '-', '_' or '.'");
         }
         let addr = field!(json, "addr", Value::as_str);
         if addr.parse::<std::net::SocketAddr>().is_err() {
-            return no(400, "addr", "an address and a port are wanted");
+            return error(400, "addr", "an address and a port are wanted");
         }
         let heartbeat = Heartbeat {
             name,
             addr,
             place: field!(json, "place", Value::as_str),
-            build: field!(json, "build", build_of),
+            build: field!(json, "build", as_build),
             run: field!(json, "run", Value::as_u64),
             age: (field!(json, "age_ms", Value::as_f64).clamp(0.0, 1e12) * MS as f64) as Ns,
             leaving: json.get("leaving").and_then(Value::as_bool).unwrap_or(false),
@@ -481,16 +490,16 @@
             return Response::Json(200, json!({ "order": "stop" }));
         }
         let known = self.roster.machines.get(name).map(|m| (m.run, m.state));
-        let Some(settings) = &self.settings else { return no(409, "settings", "none were given yet") };
+        let Some(settings) = &self.settings else { return error(409, "settings", "none were given yet") };
         let run = heartbeat.run;
-        // Before the first order after a start nobody is told to go.
+        // Before the first order after a start no machine is told to drain or stop.
         let all = Running::from([(
             settings.places.iter().position(|p| p.name == heartbeat.place).unwrap_or(0),
             heartbeat.build,
         )]);
-        let wanted = if self.want.is_empty() { &all } else { &self.want };
+        let wanted = if self.wanted.is_empty() { &all } else { &self.wanted };
         match self.roster.heartbeat(now, settings, wanted, heartbeat) {
-            Err(why) => no(409, "place", why),
+            Err(why) => error(409, "place", why),
             Ok(order) => {
                 let state = self.roster.machines[name].state;
                 if known != Some((run, state)) {
@@ -506,29 +515,29 @@
         }
     }
 
-    /// An agent's word for its place, and the order for it. What runs is the agent's to say; what should run
-    /// is the order's; machines that serve or drain beat through it.
-    fn agent(&mut self, now: Ns, place: &str, json: &Value) -> Response {
-        let Some(settings) = &self.settings else { return no(409, "settings", "none were given yet") };
+    /// Handles an agent's report and answers with the order for its place. The agent is the authority on what runs, the
+    /// order on what should run. The report includes the heartbeats of machines that serve or drain.
+    fn agent_report(&mut self, now: Ns, place: &str, json: &Value) -> Response {
+        let Some(settings) = &self.settings else { return error(409, "settings", "none were given yet") };
         let Some(index) = settings.places.iter().position(|p| p.name == place) else {
-            return no(404, "place", "no such place");
+            return error(404, "place", "no such place");
         };
         let generation = field!(json, "generation", Value::as_u64);
         let Some(builds) = json.get("builds").and_then(Value::as_array).filter(|b| b.len() <= MAX_BUILDS)
         else {
-            return no(400, "builds", "a list of at most 16 is wanted");
+            return error(400, "builds", "a list of at most 16 is wanted");
         };
         let mut orders = serde_json::Map::new();
-        // All of it is read before any of it counts: what is refused changes nothing.
-        let mut said = Vec::new();
+        // The whole report is parsed before any of it is applied, so that a rejected one changes nothing.
+        let mut parsed = Vec::new();
         for (i, b) in builds.iter().enumerate() {
-            let Some(build) = build_of(&b["build"]) else {
-                return no(400, &format!("builds[{i}].build"), "a number below 65536 is wanted");
+            let Some(build) = as_build(&b["build"]) else {
+                return error(400, &format!("builds[{i}].build"), "a number below 65536 is wanted");
             };
             let word = |name: &str, most: usize| b[name].as_str().unwrap_or("").chars().take(most).collect();
-            said.push((build, word("state", 16), word("why", 200)));
+            parsed.push((build, word("state", 16), word("why", 200)));
         }
-        for (b, (build, _, why)) in builds.iter().zip(&said) {
+        for (b, (build, _, why)) in builds.iter().zip(&parsed) {
             let build = *build;
             let newest = self.release.as_ref().and_then(|r| r.newest.as_ref()).map(|t| t.build);
             if let Some(release) = self.release.as_mut().filter(|_| newest == Some(build)) {
@@ -543,22 +552,22 @@
                 let mut beat = b.clone();
                 beat["place"] = place.into();
                 beat["leaving"] = false.into();
-                match self.beat(now, b["name"].as_str().unwrap_or(""), &beat) {
-                    Response::Json(200, said) => {
-                        orders.insert(build.to_string(), said["order"].clone());
+                match self.heartbeat(now, b["name"].as_str().unwrap_or(""), &beat) {
+                    Response::Json(200, response) => {
+                        orders.insert(build.to_string(), response["order"].clone());
                     }
                     refused => return refused,
                 }
             }
         }
         let agent = self.agents.entry(place.into()).or_default();
-        (agent.heard, agent.builds) = (now, said);
+        (agent.last_heard, agent.builds) = (now, parsed);
         agent.generation = generation;
-        if !self.settled(now) || self.want.is_empty() {
-            // Who has just come up knows too little to order anything.
+        if !self.settled(now) || self.wanted.is_empty() {
+            // A controller that has just started doesn't know yet what runs, so it gives no order.
             return Response::Json(200, json!({ "orders": orders }));
         }
-        let builds: Vec<u32> = self.want.iter().filter(|(p, _)| *p == index).map(|(_, b)| *b).collect();
+        let builds: Vec<u32> = self.wanted.iter().filter(|(p, _)| *p == index).map(|(_, b)| *b).collect();
         let newest = self.release.as_ref().and_then(|r| r.newest.as_ref()).map(|t| t.build);
         let earlier = self.release.as_ref().map(|r| r.earlier);
         let keep: Vec<u32> = earlier.into_iter().chain(newest).collect();
@@ -570,22 +579,22 @@
 
     fn watch(&mut self, conn: u64, front: Option<&str>, http: Option<&str>, notes: Option<&str>) -> Response {
         if self.watchers.len() >= MAX_WATCHERS {
-            return no(503, "watch", "too many watchers");
+            return error(503, "watch", "too many watchers");
         }
         let front = front.unwrap_or("").to_string();
         let known = self.settings.as_ref().is_some_and(|c| c.fronts.iter().any(|f| f.name == front));
         if !front.is_empty() && known {
-            let at = FrontAt { http: http.unwrap_or("").into(), notes: notes.unwrap_or("").into() };
+            let at = FrontAddresses { http: http.unwrap_or("").into(), notes: notes.unwrap_or("").into() };
             let fits = |a: &str| a.is_empty() || a.parse::<std::net::SocketAddr>().is_ok();
             if !fits(&at.http) || !fits(&at.notes) {
-                return no(400, "notes", "an address and a port are wanted");
+                return error(400, "notes", "an address and a port are wanted");
             }
             self.fronts.insert(front.clone(), at);
             self.fronts_serial += 1;
-            tracing::info!(event = "front watches", front);
+            tracing::info!(event = "watch opened", front);
         }
-        // The version is told first of all: settings may have changed while the front was away.
-        let watcher = Watcher { front, serial: None, staged: false, fronts: 0, settings: 0 };
+        // Version 0 makes the next tick send the settings' version: they may have changed while the front was away.
+        let watcher = Watcher { front, serial: None, stage_known: false, fronts: 0, settings: 0 };
         self.watchers.insert(conn, watcher);
         Response::Watch
     }
@@ -594,57 +603,57 @@
         self.watchers.remove(&conn);
     }
 
-    fn wanted_line(&self) -> Value {
-        let (wanted, present) = (&self.want, self.roster.present());
+    fn wanted_json(&self) -> Value {
+        let (wanted, present) = (&self.wanted, self.roster.present());
         let places = self.settings.as_ref().map_or(&[][..], |c| &c.places);
         let line = |(p, b): &(usize, u32)| json!({ "place": places.get(*p).map(|p| &p.name), "build": b, "present": present.contains(&(*p, *b)) });
         json!({ "wanted": wanted.iter().map(line).collect::<Vec<_>>() })
     }
 
-    fn status(&self, now: Ns) -> Value {
+    fn status_json(&self, now: Ns) -> Value {
         let names = self.roster.machines.keys();
-        let machines: Vec<Value> = names.map(|name| self.member(now, name)).collect();
+        let machines: Vec<Value> = names.map(|name| self.member_json(now, name)).collect();
         let votes: Vec<Value> = (self.release.iter().flat_map(Release::votes))
             .map(|(front, v)| json!({ "front": front, "verdict": verdict_name(v) }))
             .collect();
         let watching: Vec<&String> =
             self.watchers.values().map(|w| &w.front).filter(|f| !f.is_empty()).collect();
-        let agent = |(place, a): (&String, &AgentAt)| {
+        let agent = |(place, a): (&String, &AgentReport)| {
             let builds: Vec<Value> = a
                 .builds
                 .iter()
                 .map(|(b, state, why)| json!({ "build": b, "state": state, "why": why }))
                 .collect();
-            json!({ "place": place, "heard_ms_ago": ms(now - a.heard), "generation": a.generation, "builds": builds })
+            json!({ "place": place, "heard_ms_ago": ms(now - a.last_heard), "generation": a.generation, "builds": builds })
         };
         let agents: Vec<Value> = self.agents.iter().map(agent).collect();
-        json!({ "settings_version": self.version, "stage": self.stage(now), "machines": machines,
+        json!({ "settings_version": self.version, "stage": self.stage_json(now), "machines": machines,
             "agents": agents, "generation": self.generation, "votes": votes,
             "fronts": self.fronts, "watching": watching, "calls": self.calls,
             "votes_taken": self.votes[0], "votes_moot": self.votes[1], "votes_over_rate": self.votes[2] })
     }
 
-    /// Where fronts are that have watched, by their place in the settings.
+    /// Addresses of the fronts that have opened a watch, in the order of the settings.
     fn fronts_line(&self, settings: &Settings) -> String {
-        let seated = settings.fronts.iter().zip(0..).filter_map(|(f, rank)| {
+        let watched = settings.fronts.iter().zip(0..).filter_map(|(f, rank)| {
             let at = self.fronts.get(&f.name)?;
             Some(json!({ "name": f.name, "rank": rank, "http": at.http, "notes": at.notes }))
         });
-        json!({ "fronts": seated.collect::<Vec<Value>>() }).to_string()
+        json!({ "fronts": watched.collect::<Vec<Value>>() }).to_string()
     }
 
-    /// Lets time pass; returns the lines that watchers are due, by connection.
+    /// Advances to `now`; returns the lines to send to watchers, by connection.
     pub fn tick(&mut self, now: Ns) -> Vec<(u64, String)> {
         if self.settled(now) {
-            self.order();
-            for (name, state) in self.roster.sweep(now, &self.want) {
+            self.update_order();
+            for (name, state) in self.roster.sweep(now, &self.wanted) {
                 tracing::info!(event = "machine", machine = name, state = state_name(state));
             }
             let running = self.roster.running();
             if let (Some(release), Some(settings)) = (&mut self.release, &self.settings) {
                 release.cold = self.roster.cold_machines(now, settings.guard.cold_time_ms as Ns * MS);
-                if let Some(moved) = release.tick(now, settings, &running) {
-                    log(&moved);
+                if let Some(transition) = release.tick(now, settings, &running) {
+                    log_transition(&transition);
                     (self.dirty, self.stage_changed) = (true, true);
                 }
             }
@@ -652,15 +661,15 @@
         let Some(settings) = &self.settings else { return Vec::new() };
         let r = &settings.rollout;
         let every = r.told_every_ms as Ns * MS;
-        let tell_stage = std::mem::take(&mut self.stage_changed) || now - self.told >= every;
+        let tell_stage = std::mem::take(&mut self.stage_changed) || now - self.stage_sent >= every;
         if tell_stage {
-            self.told = now;
+            self.stage_sent = now;
         }
         let mut tally = None;
         let mut sums = None;
-        if r.tally_every_ms > 0 && now - self.tallied >= r.tally_every_ms as Ns * MS {
-            let span = ms(now - self.tallied);
-            self.tallied = now;
+        if r.tally_every_ms > 0 && now - self.last_tally >= r.tally_every_ms as Ns * MS {
+            let span = ms(now - self.last_tally);
+            self.last_tally = now;
             let rows: Vec<Value> =
                 self.tenants.iter().map(|(name, [a, s, r])| json!([name, a, s, r])).collect();
             sums = (!rows.is_empty())
@@ -672,17 +681,17 @@
             self.counts.clear();
         }
         let settled = self.settled(now);
-        // Texts are made once a pass, and only when somebody is due them.
+        // Each text is built at most once a tick, and only if a watcher needs it.
         let [mut stage, mut fronts, mut whole] = [const { None::<String> }; 3];
         let mut watchers = std::mem::take(&mut self.watchers);
         let mut lines = Vec::new();
         let mut changes: BTreeMap<u64, String> = BTreeMap::new();
         for (conn, w) in &mut watchers {
-            // The stage comes before the roster: a build listed but never told counts as in its first stage.
-            if tell_stage || !w.staged {
-                let line = stage.get_or_insert_with(|| json!({ "stage": self.stage(now) }).to_string());
+            // The stage is sent before the roster: a front takes a listed build of unknown stage to be in its first.
+            if tell_stage || !w.stage_known {
+                let line = stage.get_or_insert_with(|| json!({ "stage": self.stage_json(now) }).to_string());
                 lines.push((*conn, line.clone()));
-                w.staged = true;
+                w.stage_known = true;
             }
             if w.settings != self.version {
                 lines.push((*conn, json!({ "settings_version": self.version }).to_string()));
@@ -694,13 +703,13 @@
             }
             match w.serial {
                 None if settled => {
-                    let line = whole.get_or_insert_with(|| self.roster_line(now, None).to_string());
+                    let line = whole.get_or_insert_with(|| self.roster_json(now, None).to_string());
                     lines.push((*conn, line.clone()));
                 }
                 Some(since) if since != self.roster.serial => {
                     let line = changes
                         .entry(since)
-                        .or_insert_with(|| self.roster_line(now, Some(since)).to_string());
+                        .or_insert_with(|| self.roster_json(now, Some(since)).to_string());
                     lines.push((*conn, line.clone()));
                 }
                 _ => {}
@@ -719,7 +728,7 @@
 mod tests {
     use super::*;
 
-    fn say(api: &mut Api, now: Ns, method: &str, path: &str, body: Value) -> (u16, Value) {
+    fn call(api: &mut Api, now: Ns, method: &str, path: &str, body: Value) -> (u16, Value) {
         let text = if body.is_null() { String::new() } else { body.to_string() };
         match api.request(now, 9, method, path, text.as_bytes()) {
             Response::Json(status, value) => (status, value),
@@ -727,29 +736,29 @@
         }
     }
 
-    fn seated() -> Api {
+    fn with_settings() -> Api {
         let mut api = Api::restore(0, None).unwrap();
         let settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
-        assert_eq!(say(&mut api, 0, "PUT", "/settings", settings).0, 200);
+        assert_eq!(call(&mut api, 0, "PUT", "/settings", settings).0, 200);
         api
     }
 
     #[test]
     fn a_refused_setting_changes_nothing_and_names_its_field() {
-        let mut api = seated();
+        let mut api = with_settings();
         let mut settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
         settings["guard"]["cold_from"] = json!(7);
-        let (status, said) = say(&mut api, 0, "PUT", "/settings", settings.clone());
-        assert_eq!((status, said["errors"][0]["field"].as_str()), (422, Some("guard.cold_from")));
+        let (status, response) = call(&mut api, 0, "PUT", "/settings", settings.clone());
+        assert_eq!((status, response["errors"][0]["field"].as_str()), (422, Some("guard.cold_from")));
         settings["guard"]["cold_from"] = json!(0.5);
         settings["places"].as_array_mut().unwrap().pop();
-        assert_eq!(say(&mut api, 0, "PUT", "/settings", settings).0, 409);
+        assert_eq!(call(&mut api, 0, "PUT", "/settings", settings).0, 409);
         assert_eq!((api.version, api.settings.clone().unwrap()), (1, Settings::example(2, 4)));
     }
 
     #[test]
     fn bad_calls_get_a_4xx_each() {
-        let mut api = seated();
+        let mut api = with_settings();
         for (method, path, body, wanted) in [
             ("POST", "/votes", json!({}), 400),
             ("POST", "/votes", json!({"front":"f9","build":1,"stage":0,"verdict":"on"}), 403),
@@ -775,44 +784,44 @@
             ("DELETE", "/stage", json!(null), 405),
             ("GET", "/nothing", json!(null), 404),
         ] {
-            assert_eq!(say(&mut api, 0, method, path, body.clone()).0, wanted, "{method} {path} {body}");
+            assert_eq!(call(&mut api, 0, method, path, body.clone()).0, wanted, "{method} {path} {body}");
         }
         assert!(matches!(api.request(0, 9, "POST", "/votes", b"{"), Response::Json(400, _)));
     }
 
     #[test]
     fn after_a_restart_the_stage_is_told_at_once_and_the_roster_held_until_machines_have_beaten() {
-        let mut api = seated();
-        assert_eq!(say(&mut api, 0, "POST", "/builds", json!({"build":2})).0, 201);
+        let mut api = with_settings();
+        assert_eq!(call(&mut api, 0, "POST", "/builds", json!({"build":2})).0, 201);
         let kept = api.snapshot(SEC).unwrap();
         let mut api = Api::restore(10 * SEC, Some(&kept)).unwrap();
-        assert_eq!(say(&mut api, 10 * SEC, "GET", "/watch?front=f0&notes=127.0.0.1:9", json!(null)).0, 0);
+        assert_eq!(call(&mut api, 10 * SEC, "GET", "/watch?front=f0&notes=127.0.0.1:9", json!(null)).0, 0);
         let kinds = |lines: Vec<(u64, String)>| -> Vec<String> {
             lines.iter().map(|(_, l)| l[2..].split('"').next().unwrap().to_string()).collect()
         };
         assert_eq!(kinds(api.tick(10 * SEC)), ["stage", "settings_version", "fronts"]);
         let beat = json!({"addr":"127.0.0.1:1","place":"p0","build":1,"run":5,"age_ms":60000.0});
-        assert_eq!(say(&mut api, 11 * SEC, "POST", "/machines/m", beat).1["order"], "serve");
+        assert_eq!(call(&mut api, 11 * SEC, "POST", "/machines/m", beat).1["order"], "serve");
         assert_eq!(kinds(api.tick(11 * SEC)), Vec::<String>::new());
         assert_eq!(kinds(api.tick(12 * SEC)), ["stage", "roster"]);
         assert!(Api::restore(0, Some(&kept[..kept.len() / 2])).is_err());
     }
 
-    /// What the freeze covers: fields of later versions in calls and snapshots are passed over, in settings refused.
+    /// Compatibility rule: unknown fields of later versions are ignored in calls and snapshots, rejected in settings.
     #[test]
     fn what_a_later_version_says_is_passed_over_but_for_settings() {
-        let mut api = seated();
-        say(&mut api, 0, "POST", "/builds", json!({"build":2,"later":1}));
+        let mut api = with_settings();
+        call(&mut api, 0, "POST", "/builds", json!({"build":2,"later":1}));
         let vote = json!({"front":"f0","build":2,"stage":0,"verdict":"on","later":1});
-        assert_eq!(say(&mut api, 0, "POST", "/votes", vote).0, 200);
+        assert_eq!(call(&mut api, 0, "POST", "/votes", vote).0, 200);
         let mut settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
         settings["guard"]["later"] = json!(1);
-        let (status, said) = say(&mut api, 0, "PUT", "/settings", settings);
-        assert_eq!((status, said["errors"][0]["field"].as_str()), (422, Some("guard.later")));
+        let (status, response) = call(&mut api, 0, "PUT", "/settings", settings);
+        assert_eq!((status, response["errors"][0]["field"].as_str()), (422, Some("guard.later")));
         let mut kept: Value = serde_json::from_slice(&api.snapshot(0).unwrap()).unwrap();
         kept["later"] = json!(1);
         assert_eq!(Api::restore(0, Some(kept.to_string().as_bytes())).unwrap().version, 1);
-        // Finding 42: numbers out of their bounds.
+        // Finding 42: numbers of the snapshot that are out of range are rejected.
         for (field, bad) in [("build", json!(70_000)), ("stage", json!(99)), ("age_ms", json!(-1e300))] {
             let mut kept = kept.clone();
             kept["newest"][field] = bad;
@@ -822,37 +831,41 @@
         assert!(Api::restore(0, Some(kept.to_string().as_bytes())).is_err_and(|why| why.contains("later")));
     }
 
-    /// Finding 23.
+    /// Finding 23: the valid part of a rejected report had already marked a place as unfit.
     #[test]
     fn a_refused_report_of_an_agent_changes_nothing() {
-        let mut api = seated();
-        say(&mut api, 0, "POST", "/builds", json!({"build":2}));
+        let mut api = with_settings();
+        call(&mut api, 0, "POST", "/builds", json!({"build":2}));
         let report = json!({"generation":0,"builds":[{"build":2,"unfit":true},{"build":"x"}]});
-        assert_eq!(say(&mut api, 0, "POST", "/agents/p0", report).0, 400);
+        assert_eq!(call(&mut api, 0, "POST", "/agents/p0", report).0, 400);
         assert!(api.release.unwrap().unfit.is_empty());
     }
 
-    /// Finding 22.
+    /// Finding 22: names of fronts stayed after the settings had dropped them.
     #[test]
     fn names_of_fronts_that_settings_no_longer_hold_are_forgotten() {
-        let mut api = seated();
+        let mut api = with_settings();
         for i in 0..100 {
             let mut settings = Settings::example(2, 4);
             settings.fronts[0].name = format!("g{i}");
-            assert_eq!(say(&mut api, 0, "PUT", "/settings", serde_json::to_value(settings).unwrap()).0, 200);
-            say(&mut api, 0, "GET", &format!("/watch?front=g{i}"), json!(null));
+            assert_eq!(call(&mut api, 0, "PUT", "/settings", serde_json::to_value(settings).unwrap()).0, 200);
+            call(&mut api, 0, "GET", &format!("/watch?front=g{i}"), json!(null));
         }
         assert_eq!(api.fronts.len(), 1);
     }
 
     #[test]
     fn votes_over_the_rate_do_not_count() {
-        let mut api = seated();
-        say(&mut api, 0, "POST", "/builds", json!({"build":2}));
+        let mut api = with_settings();
+        call(&mut api, 0, "POST", "/builds", json!({"build":2}));
         let vote = json!({"front":"f0","build":2,"stage":0,"verdict":"on"});
         let statuses: Vec<u16> =
-            (0..200).map(|_| say(&mut api, SEC, "POST", "/votes", vote.clone()).0).collect();
-        assert_eq!(statuses.iter().filter(|s| **s == 200).count(), 160, "a burst of twice the rate");
-        assert_eq!(say(&mut api, 2 * SEC, "POST", "/votes", vote).0, 200);
+            (0..200).map(|_| call(&mut api, SEC, "POST", "/votes", vote.clone()).0).collect();
+        assert_eq!(
+            statuses.iter().filter(|s| **s == 200).count(),
+            160,
+            "a burst of twice the rate is allowed"
+        );
+        assert_eq!(call(&mut api, 2 * SEC, "POST", "/votes", vote).0, 200);
     }
 }
--- a/control/src/atomic_file.rs
+++ b/control/src/atomic_file.rs
@@ -1,5 +1,5 @@
-//! One file, replaced atomically: a reader finds the old text or the new one, whole, also after a power cut. A
-//! [`BackgroundWriter`] does so on a thread of its own, so that a slow disk holds nobody.
+//! Files that are replaced atomically: a reader finds either the old content or the new one, complete, also after a
+//! power failure. A [`BackgroundWriter`] writes on its own thread, so that a slow disk blocks nobody.
 use rockpick_files as files;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,161 +7,165 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// A write that failed is tried again after this.
-const AGAIN: Duration = Duration::from_secs(1);
-/// An end waits this long for a disk, and then goes without it.
-const LAST: Duration = Duration::from_secs(1);
+/// Delay before a failed write is retried.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// How long [`BackgroundWriter::close`] waits for the disk.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Replaces a file as a whole (see [`files::replace`]).
 ///
 /// # Errors
-/// Those of the file system; the old file then stands as it was.
+/// Errors of the file system; the old file is left as it was.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<()> {
     files::replace(path, bytes).map(drop)
 }
 
 pub use files::load;
 
-/// Stands before the checksum, on a line of its own after the text.
-const MARK: &[u8] = b"\ncrc32c ";
+/// Precedes the checksum, on a separate line after the text.
+const CHECKSUM_PREFIX: &[u8] = b"\ncrc32c ";
 
-/// A text with its checksum: a disk's word that this is what was written is not believed.
+/// Appends a checksum to a text, by which a reader detects content that the disk has damaged.
 pub fn add_checksum(mut text: Vec<u8>) -> Vec<u8> {
     let sum = crc32c::crc32c(&text);
-    text.extend_from_slice(MARK);
+    text.extend_from_slice(CHECKSUM_PREFIX);
     text.extend_from_slice(format!("{sum:08x}\n").as_bytes());
     text
 }
 
-/// The text of a sealed file; one of a former version has no checksum, and is taken as it is.
+/// Verifies and removes the checksum. Files of former versions have none and are returned as they are.
 ///
 /// # Errors
-/// The text is not what was written, or ends in its middle.
+/// The checksum does not match, or the file is truncated.
 pub fn strip_checksum(mut bytes: Vec<u8>) -> io::Result<Vec<u8>> {
-    let spoilt = || {
+    let damaged = || {
         io::Error::new(
             io::ErrorKind::InvalidData,
-            "the snapshot is damaged: its checksum is another, or it was cut",
+            "the snapshot is damaged: its checksum does not match, or it is truncated",
         )
     };
-    let at = bytes.len().saturating_sub(MARK.len() + 9);
-    let Some(sum) = bytes[at..].strip_prefix(MARK) else {
-        // JSON without a checksum ends with a brace; all else was sealed once.
-        return if bytes.last() == Some(&b'}') { Ok(bytes) } else { Err(spoilt()) };
+    let at = bytes.len().saturating_sub(CHECKSUM_PREFIX.len() + 9);
+    let Some(sum) = bytes[at..].strip_prefix(CHECKSUM_PREFIX) else {
+        // A former version's JSON without a checksum ends with a brace; any other file had a checksum.
+        return if bytes.last() == Some(&b'}') { Ok(bytes) } else { Err(damaged()) };
     };
-    let told = std::str::from_utf8(sum).ok().and_then(|s| u32::from_str_radix(s.trim_end(), 16).ok());
-    if told != Some(crc32c::crc32c(&bytes[..at])) {
-        return Err(spoilt());
+    let expected = std::str::from_utf8(sum).ok().and_then(|s| u32::from_str_radix(s.trim_end(), 16).ok());
+    if expected != Some(crc32c::crc32c(&bytes[..at])) {
+        return Err(damaged());
     }
     bytes.truncate(at);
     Ok(bytes)
 }
 
-/// The text of a sealed file; none when there is no such file.
+/// Reads a file with a checksum; `None` if it does not exist.
 ///
 /// # Errors
-/// Those of the file system; the text is not what was written.
+/// Errors of the file system, or a checksum that does not match.
 pub fn load_checked(path: &Path) -> io::Result<Option<Vec<u8>>> {
     load(path)?.map(strip_checksum).transpose()
 }
 
-/// What the thread is to do, and what has come of it. Snapshots are numbered from 1.
-struct Task<T> {
-    /// The newest alone: it takes the place of one that still waits.
+/// State shared with the writer thread. Snapshots are numbered from 1.
+struct WriterState<T> {
+    /// The newest snapshot submitted; it replaces one that is still waiting.
     next: Option<(u64, T)>,
-    ends: bool,
-    given: u64,
-    /// The newest whose write has ended, and why it failed, if it did.
-    done: (u64, Option<String>),
+    closing: bool,
+    submitted: u64,
+    /// The last snapshot whose write has finished, and the error if it failed.
+    finished: (u64, Option<String>),
 }
 
-/// Writes snapshots, the newest that it is given.
+/// Writes the newest snapshot that was submitted to a file.
 pub struct BackgroundWriter<T> {
     file: PathBuf,
-    task: Arc<(Mutex<Task<T>>, Condvar)>,
-    /// Hears nothing; it closes when the thread has ended.
-    over: Receiver<()>,
+    state: Arc<(Mutex<WriterState<T>>, Condvar)>,
+    /// Receives nothing; it is disconnected when the thread ends.
+    thread_end: Receiver<()>,
 }
 
-fn lock<T>(task: &Mutex<T>) -> MutexGuard<'_, T> {
-    task.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(state: &Mutex<T>) -> MutexGuard<'_, T> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn work<T>(file: &Path, (task, woken): &(Mutex<Task<T>>, Condvar), text: impl Fn(&T) -> io::Result<Vec<u8>>) {
-    let mut again = None;
+fn write_loop<T>(
+    file: &Path, (state, wakeup): &(Mutex<WriterState<T>>, Condvar),
+    serialize: impl Fn(&T) -> io::Result<Vec<u8>>,
+) {
+    let mut retry = None;
     loop {
-        let mut now = lock(task);
-        while now.next.is_none() && !now.ends && again.is_none() {
-            now = woken.wait(now).unwrap_or_else(PoisonError::into_inner);
+        let mut now = lock(state);
+        while now.next.is_none() && !now.closing && retry.is_none() {
+            now = wakeup.wait(now).unwrap_or_else(PoisonError::into_inner);
         }
-        if now.next.is_none() && !now.ends {
-            now = woken.wait_timeout(now, AGAIN).unwrap_or_else(PoisonError::into_inner).0;
+        if now.next.is_none() && !now.closing {
+            now = wakeup.wait_timeout(now, RETRY_DELAY).unwrap_or_else(PoisonError::into_inner).0;
         }
-        let ends = now.ends;
-        let Some((number, what)) = now.next.take().or(again.take()) else { return };
+        let closing = now.closing;
+        let Some((number, what)) = now.next.take().or(retry.take()) else { return };
         drop(now);
-        let end =
-            text(&what).and_then(|text| replace(file, &add_checksum(text))).map_err(|err| err.to_string());
+        let end = serialize(&what)
+            .and_then(|text| replace(file, &add_checksum(text)))
+            .map_err(|err| err.to_string());
         if let Err(why) = &end {
             tracing::error!(event = "snapshot not kept", file = %file.display(), why);
-            again = Some((number, what)).filter(|_| !ends);
+            retry = Some((number, what)).filter(|_| !closing);
         }
-        lock(task).done = (number, end.err());
+        lock(state).finished = (number, end.err());
     }
 }
 
 impl<T: Send + 'static> BackgroundWriter<T> {
-    /// Begins the thread; `text` makes the file's bytes, on it.
+    /// Starts the thread, on which `serialize` turns a snapshot into the file's bytes.
     pub fn new(
-        file: PathBuf, text: impl Fn(&T) -> io::Result<Vec<u8>> + Send + 'static,
+        file: PathBuf, serialize: impl Fn(&T) -> io::Result<Vec<u8>> + Send + 'static,
     ) -> BackgroundWriter<T> {
-        let (ended, over) = channel::<()>();
-        let first = Task { next: None, ends: false, given: 0, done: (0, None) };
-        let task = Arc::new((Mutex::new(first), Condvar::new()));
-        let (theirs, to) = (task.clone(), file.clone());
+        let (ended, thread_end) = channel::<()>();
+        let first = WriterState { next: None, closing: false, submitted: 0, finished: (0, None) };
+        let state = Arc::new((Mutex::new(first), Condvar::new()));
+        let (shared, to) = (state.clone(), file.clone());
         std::thread::spawn(move || {
             let _ended = ended;
-            work(&to, &theirs, text);
+            write_loop(&to, &shared, serialize);
         });
-        BackgroundWriter { file, task, over }
+        BackgroundWriter { file, state, thread_end }
     }
 
-    fn lost(&self, why: &str) -> String {
+    fn log_failure(&self, why: &str) -> String {
         tracing::error!(event = "snapshot not kept", file = %self.file.display(), why);
         format!("{}: {why}", self.file.display())
     }
 
-    /// To be written as soon as the disk is there; returns its number.
+    /// Submits a snapshot to be written; returns its number.
     pub fn submit(&self, what: T) -> u64 {
-        let mut task = lock(&self.task.0);
-        task.given += 1;
-        let number = task.given;
-        task.next = Some((number, what));
-        if self.over.try_recv() == Err(TryRecvError::Disconnected) {
-            task.done = (number, Some(self.lost("the writer has ended")));
+        let mut state = lock(&self.state.0);
+        state.submitted += 1;
+        let number = state.submitted;
+        state.next = Some((number, what));
+        if self.thread_end.try_recv() == Err(TryRecvError::Disconnected) {
+            state.finished = (number, Some(self.log_failure("the writer has ended")));
         }
-        self.task.1.notify_one();
+        self.state.1.notify_one();
         number
     }
 
-    /// The newest whose write has ended (those before it are kept with it), and why it failed, if it did; it is
-    /// tried again then.
+    /// The last snapshot whose write has finished, and the error if it failed; a failed write is retried. A snapshot on
+    /// disk includes the changes of all before it.
     pub fn progress(&self) -> (u64, Option<String>) {
-        lock(&self.task.0).done.clone()
+        lock(&self.state.0).finished.clone()
     }
 
-    /// Writes a last one, and waits for it, but not for ever.
+    /// Writes a last snapshot and waits for it, at most a second.
     ///
     /// # Errors
-    /// Why it is not on disk.
+    /// Why the snapshot is not on disk.
     pub fn close(self, last: Option<T>) -> Result<(), String> {
         if let Some(last) = last {
             self.submit(last);
         }
-        lock(&self.task.0).ends = true;
-        self.task.1.notify_one();
-        if self.over.recv_timeout(LAST) == Err(RecvTimeoutError::Timeout) {
-            return Err(self.lost("the disk does not answer"));
+        lock(&self.state.0).closing = true;
+        self.state.1.notify_one();
+        if self.thread_end.recv_timeout(CLOSE_TIMEOUT) == Err(RecvTimeoutError::Timeout) {
+            return Err(self.log_failure("the disk does not answer"));
         }
         self.progress().1.map_or(Ok(()), |why| Err(format!("{}: {why}", self.file.display())))
     }
@@ -172,17 +176,17 @@
     use super::*;
 
     #[test]
-    fn a_sealed_text_cut_or_changed_anywhere_is_refused() {
-        let sealed = add_checksum(br#"{"version":7}"#.to_vec());
-        assert_eq!(strip_checksum(sealed.clone()).unwrap(), br#"{"version":7}"#);
-        // A file of a former version has no checksum.
+    fn a_text_with_checksum_cut_or_changed_anywhere_is_refused() {
+        let text = add_checksum(br#"{"version":7}"#.to_vec());
+        assert_eq!(strip_checksum(text.clone()).unwrap(), br#"{"version":7}"#);
+        // Files of former versions have no checksum.
         assert_eq!(strip_checksum(br#"{"version":7}"#.to_vec()).unwrap(), br#"{"version":7}"#);
-        for at in 0..sealed.len() {
-            // A cut right after the text leaves what a former version wrote: whole.
-            let cut = strip_checksum(sealed[..at].to_vec());
+        for at in 0..text.len() {
+            // A cut right after the text leaves a complete file of a former version.
+            let cut = strip_checksum(text[..at].to_vec());
             assert!(cut.is_err() || at == 13, "cut at {at}");
             for bit in 0..8 {
-                let mut flipped = sealed.clone();
+                let mut flipped = text.clone();
                 flipped[at] ^= 1 << bit;
                 let read = strip_checksum(flipped);
                 assert!(read.is_err() || read.unwrap() == br#"{"version":7}"#, "bit {bit} of {at}");
@@ -190,12 +194,12 @@
         }
     }
 
-    /// Finding 16: a snapshot given to nobody is not kept.
+    /// Finding 16: a snapshot submitted after the writer thread had ended counted as written.
     #[test]
     fn a_writer_whose_thread_has_ended_says_so() {
         let writer = BackgroundWriter::new(PathBuf::from("/nonexistent"), |_: &u8| panic!("on purpose"));
         writer.submit(1);
-        assert!(writer.over.recv().is_err(), "the thread's end");
+        assert!(writer.thread_end.recv().is_err(), "the thread's end");
         let number = writer.submit(2);
         assert!(matches!(writer.progress(), (n, Some(why)) if n == number && why.contains("ended")));
         assert!(writer.close(None).is_err());
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,6 +1,6 @@
-//! The release controller: builds are offered to it, fronts vote, stages move on or back, and everybody is
-//! told. [`release`] decides, [`roster`] keeps who is there, [`settings`] holds the settings, [`api`] answers
-//! calls; none of them does I/O. [`server`] has the sockets.
+//! The release controller: operators offer builds, fronts vote, and the controller advances or rolls back a build's
+//! stages and tells fronts and agents. [`release`] decides, [`roster`] tracks machines, [`settings`] parses and
+//! validates the settings, and [`api`] handles requests; none of them does I/O. [`server`] has the sockets.
 pub mod api;
 pub mod atomic_file;
 pub mod release;
--- a/control/src/release.rs
+++ b/control/src/release.rs
@@ -1,18 +1,18 @@
-//! The release state machine: offers, stages, votes, going back. No I/O and no clock: every call is told
-//! the time and what runs where.
+//! The release state machine: offers, stages, votes, rollbacks. It does no I/O and reads no clock: every call is
+//! passed the time and the set of running machines.
 use crate::settings::Settings;
 use rockpick::{Control, Ns, Phase, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: Ns = 1_000_000;
-/// A stage's clock starts when all its machines run; this long after its order half of them are enough, as one
-/// that can't start must not hold a stage for ever.
-const START_WITHIN: Ns = 8_000 * MS;
+/// A stage's clock starts when all its machines run. After this time half of them are enough, so that one machine
+/// that can't start doesn't block the stage for ever.
+const FULL_START_TIMEOUT: Ns = 8_000 * MS;
 
-/// Highest number of a build: notes between fronts carry it in 16 bits.
+/// Highest build number: notes between fronts carry it in 16 bits.
 pub const MAX_BUILD: u32 = 65_535;
 
-/// What runs: place and build.
+/// Running machines, each as the index of its place and its build.
 pub type Running = BTreeSet<(usize, u32)>;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -22,21 +22,21 @@
     at: Ns,
 }
 
-/// The newest build that was offered.
+/// The build offered last.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
     pub build: u32,
     pub stage: u32,
     pub phase: Phase,
-    /// Since when it has been in this stage and phase.
+    /// When it entered this stage and phase.
     pub since: Ns,
-    /// How long this stage has run, all its machines up and nobody holding.
+    /// How long this stage has run, without the time before its machines were up and the time on hold.
     pub run_time: Ns,
-    clock: bool,
+    clock_started: bool,
     votes: BTreeMap<String, Vote>,
 }
 
-/// What moved, for the log.
+/// A change of stage or phase, for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
     pub build: u32,
@@ -45,33 +45,33 @@
     pub why: String,
 }
 
-/// Why a vote does not count.
+/// Why a vote is not counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteRejection {
-    /// Not the present build, or it can't be voted on any more.
+    /// Not the newest build, or one that is no longer open to this vote.
     Build,
-    /// Not the present stage.
+    /// Not the current stage.
     Stage,
-    /// No such verdict under this kind of control.
+    /// The kind of control in force has no such verdict.
     Verdict,
 }
 
 #[derive(Clone, Debug)]
 pub struct Release {
-    /// The build to go back to.
+    /// The build that a rollback returns to.
     pub earlier: u32,
     pub newest: Option<Trial>,
-    /// Places in the order in which stages take them: zone by zone in turn.
-    order: Vec<usize>,
-    /// Places whose agent can't run the newest build: others take their turn, and they count for no progress.
+    /// Places in the order in which stages add them, interleaved by zone.
+    place_order: Vec<usize>,
+    /// Places whose agent can't run the newest build; a stage skips them and takes the next ones in order.
     pub unfit: BTreeSet<usize>,
-    /// Machines that are not warm yet: in place, only so many at once.
+    /// Machines that are not warm yet; an in-place rollout limits how many there are at a time.
     pub cold: Running,
-    ticked: Ns,
+    last_tick: Ns,
 }
 
-/// Takes places zone by zone in turn, so that every stage meets every zone.
-fn order(settings: &Settings) -> Vec<usize> {
+/// Orders places by taking one of each zone in turn, so that every stage covers every zone.
+fn interleave_zones(settings: &Settings) -> Vec<usize> {
     let mut zones: Vec<Vec<usize>> = vec![Vec::new(); settings.zones.len()];
     for (i, place) in settings.places.iter().enumerate() {
         zones[settings.zone_index(&place.zone) as usize].push(i);
@@ -85,40 +85,44 @@
         Release {
             earlier: settings.first_build,
             newest: None,
-            order: order(settings),
+            place_order: interleave_zones(settings),
             unfit: BTreeSet::new(),
             cold: Running::new(),
-            ticked: 0,
+            last_tick: 0,
         }
     }
 
-    /// Goes on under another settings; the trial's stage must exist there.
+    /// Takes over changed settings.
+    ///
+    /// # Errors
+    /// The build on trial is in a stage that the new settings don't have.
     pub fn apply_settings(&mut self, settings: &Settings) -> Result<(), &'static str> {
         let stages = settings.rollout.stages.len();
         let on_trial = self.newest.as_ref().filter(|t| t.phase == Phase::OnTrial);
         if on_trial.is_some_and(|t| t.stage as usize >= stages) {
             return Err("the build on trial is past the last of these stages");
         }
-        self.order = order(settings);
+        self.place_order = interleave_zones(settings);
         Ok(())
     }
 
-    /// Brings back what a snapshot kept.
+    /// Restores the state from a snapshot.
     pub fn restore(&mut self, now: Ns, earlier: u32, newest: Option<(u32, u32, Phase, Ns, Ns)>) {
         self.earlier = earlier;
-        self.ticked = now;
+        self.last_tick = now;
         self.newest = newest.map(|(build, stage, phase, age, run_time)| Trial {
             build,
             stage,
             phase,
             since: now - age,
             run_time,
-            clock: run_time > 0,
+            clock_started: run_time > 0,
             votes: BTreeMap::new(),
         });
     }
 
-    /// Offers a build. One still on trial is taken off by it; one released becomes the one to go back to.
+    /// Offers a build. A previous build still on trial is withdrawn; a released one becomes the build that a rollback
+    /// returns to.
     pub fn offer(&mut self, now: Ns, build: u32) -> Result<Option<Transition>, &'static str> {
         let last = self.newest.as_ref().map_or(self.earlier, |t| t.build.max(self.earlier));
         if build <= last {
@@ -127,12 +131,12 @@
         if build > MAX_BUILD {
             return Err("builds go up to 65535");
         }
-        let mut off = None;
+        let mut withdrawn = None;
         match &self.newest {
             Some(t) if t.phase == Phase::Released => self.earlier = t.build,
             Some(t) if matches!(t.phase, Phase::OnTrial | Phase::GoingBack) => {
                 let why = format!("build {build} was offered");
-                off = Some(Transition { build: t.build, stage: t.stage, phase: Phase::Withdrawn, why });
+                withdrawn = Some(Transition { build: t.build, stage: t.stage, phase: Phase::Withdrawn, why });
             }
             _ => {}
         }
@@ -143,13 +147,13 @@
             phase: Phase::OnTrial,
             since: now,
             run_time: 0,
-            clock: false,
+            clock_started: false,
             votes: BTreeMap::new(),
         });
-        Ok(off)
+        Ok(withdrawn)
     }
 
-    /// A front's vote; it replaces the one before.
+    /// Records a front's vote, which replaces its previous one.
     pub fn vote(
         &mut self, now: Ns, control: Control, front: &str, build: u32, stage: u32, verdict: Verdict,
     ) -> Result<(), VoteRejection> {
@@ -160,12 +164,12 @@
         if !open && verdict != Verdict::NoVote {
             return Err(VoteRejection::Build);
         }
-        let known = match verdict {
+        let applies = match verdict {
             Verdict::On => control != Control::Automatic,
             Verdict::Hold => control == Control::Automatic,
             _ => true,
         };
-        if !known {
+        if !applies {
             return Err(VoteRejection::Verdict);
         }
         if matches!(verdict, Verdict::On | Verdict::Hold) && stage != t.stage {
@@ -175,24 +179,25 @@
         Ok(())
     }
 
-    /// An operator sends the build back.
+    /// Starts a rollback on an operator's request.
     pub fn roll_back(&mut self, now: Ns, build: u32, why: &str) -> Result<Transition, VoteRejection> {
         let t = self.newest.as_mut().filter(|t| t.build == build).ok_or(VoteRejection::Build)?;
         if !matches!(t.phase, Phase::OnTrial | Phase::Released) {
             return Err(VoteRejection::Build);
         }
-        Ok(t.turn(now, t.stage, Phase::GoingBack, why.into()))
+        Ok(t.enter(now, t.stage, Phase::GoingBack, why.into()))
     }
 
-    /// Lets time pass: counts standing votes, runs the stage's clock, moves on or back.
+    /// Advances to `now`: drops expired votes, runs the stage's clock, and moves to the next stage or starts a rollback
+    /// if the votes say so.
     pub fn tick(&mut self, now: Ns, settings: &Settings, running: &Running) -> Option<Transition> {
-        let span = (now - std::mem::replace(&mut self.ticked, now)).max(0);
+        let span = (now - std::mem::replace(&mut self.last_tick, now)).max(0);
         let r = &settings.rollout;
-        let life = r.vote_life_ms as Ns * MS;
-        let wanted = self.chosen(settings);
+        let vote_life = r.vote_life_ms as Ns * MS;
+        let wanted = self.trial_places(settings);
         let earlier = self.earlier;
         let t = self.newest.as_mut()?;
-        t.votes.retain(|_, v| now - v.at < life);
+        t.votes.retain(|_, v| now - v.at < vote_life);
         let count = |t: &Trial, verdict: Verdict, stage: Option<u32>| -> u32 {
             let fits = |v: &&Vote| v.verdict == verdict && stage.is_none_or(|s| s == v.stage);
             t.votes.values().filter(fits).count() as u32
@@ -207,19 +212,19 @@
                     .map(|(f, _)| f.as_str())
                     .collect();
                 let why = format!("back votes of {}", fronts.join(", "));
-                Some(t.turn(now, t.stage, Phase::GoingBack, why))
+                Some(t.enter(now, t.stage, Phase::GoingBack, why))
             }
             Phase::OnTrial => {
                 let up = wanted.iter().filter(|p| running.contains(&(**p, t.build))).count();
                 let all_up = up == wanted.len();
-                // A few that are slow to start hold nothing up; a stage of which most never came says nothing.
-                let late = now - t.since >= START_WITHIN && 2 * up >= wanted.len();
-                let held = r.control() == Control::Automatic
+                // A few slow machines must not delay the stage, but one of which fewer than half run has shown nothing.
+                let late = now - t.since >= FULL_START_TIMEOUT && 2 * up >= wanted.len();
+                let on_hold = r.control() == Control::Automatic
                     && count(t, Verdict::Hold, Some(t.stage)) >= r.hold_votes.max(1);
-                if t.clock && !held {
+                if t.clock_started && !on_hold {
                     t.run_time += span;
                 }
-                t.clock |= all_up || late;
+                t.clock_started |= all_up || late;
                 let (ready, why) = match r.control() {
                     Control::Automatic => {
                         (t.run_time >= r.step_ms as Ns * MS, "its time is over".to_string())
@@ -230,87 +235,89 @@
                         (t.run_time >= r.dwell_ms as Ns * MS && ons >= needed, format!("on votes: {ons}"))
                     }
                 };
-                if !ready || !t.clock {
+                if !ready || !t.clock_started {
                     return None;
                 }
                 let last = t.stage as usize + 1 >= r.stages.len();
                 let phase = if last { Phase::Released } else { Phase::OnTrial };
                 let stage = if last { t.stage } else { t.stage + 1 };
-                Some(t.turn(now, stage, phase, why))
+                Some(t.enter(now, stage, phase, why))
             }
             Phase::GoingBack => {
                 let gone = !running.iter().any(|(_, b)| *b == t.build);
                 let served = running.iter().any(|(_, b)| *b == earlier);
-                (gone && served).then(|| t.turn(now, t.stage, Phase::Withdrawn, "none of it runs".into()))
+                (gone && served).then(|| t.enter(now, t.stage, Phase::Withdrawn, "none of it runs".into()))
             }
             _ => None,
         }
     }
 
-    /// The places that the present stage gives to the newest build.
-    fn chosen(&self, settings: &Settings) -> Vec<usize> {
+    /// The places that run the newest build in the current stage.
+    fn trial_places(&self, settings: &Settings) -> Vec<usize> {
         let Some(t) = &self.newest else { return Vec::new() };
         let share = settings.rollout.stages.get(t.stage as usize).copied().unwrap_or(1.0);
-        let many = (share * self.order.len() as f64 - 1e-9).ceil() as usize;
-        let fit = self.order.iter().filter(|p| !self.unfit.contains(p)).copied();
-        let chosen: Vec<usize> = fit.take(many.clamp(1, self.order.len())).collect();
-        // Where no place is fit, the first ones go on trying.
+        let count = (share * self.place_order.len() as f64 - 1e-9).ceil() as usize;
+        let fit = self.place_order.iter().filter(|p| !self.unfit.contains(p)).copied();
+        let chosen: Vec<usize> = fit.take(count.clamp(1, self.place_order.len())).collect();
+        // If no place is fit, the first one keeps trying.
         if chosen.is_empty() {
-            self.order[..1].to_vec()
+            self.place_order[..1].to_vec()
         } else {
             chosen
         }
     }
 
-    /// In place, every replacement takes a machine's capacity away for as long as the new one is cold: of the
-    /// builds that should come, only so many are wanted at a time that the told share goes on serving.
-    fn paced(&self, settings: &Settings, running: &Running, build: u32, wanted: Running) -> Running {
-        let most =
-            ((1.0 - settings.rollout.serving_share) * self.order.len() as f64).floor().max(1.0) as usize;
-        let mut busy = self.cold.iter().filter(|(_, b)| *b == build).count();
-        let comes = |&(p, b): &(usize, u32)| {
+    /// Limits how many machines of `build` may be starting or cold at a time. In an in-place rollout a replaced
+    /// machine's capacity is missing until the new one is warm, and `serving_share` of the places must keep serving.
+    fn limit_cold(&self, settings: &Settings, running: &Running, build: u32, wanted: Running) -> Running {
+        let max_cold = ((1.0 - settings.rollout.serving_share) * self.place_order.len() as f64)
+            .floor()
+            .max(1.0) as usize;
+        let mut starting_or_cold = self.cold.iter().filter(|(_, b)| *b == build).count();
+        let may_run = |&(p, b): &(usize, u32)| {
             b != build || running.contains(&(p, b)) || {
-                busy += 1;
-                busy <= most
+                starting_or_cold += 1;
+                starting_or_cold <= max_cold
             }
         };
-        let kept: Running = wanted.iter().copied().filter(comes).collect();
-        // What is not replaced yet stays as it is.
+        let kept: Running = wanted.iter().copied().filter(may_run).collect();
+        // Places whose replacement is postponed keep what they run.
         let stay: Vec<(usize, u32)> = (wanted.iter().filter(|w| !kept.contains(w)))
             .flat_map(|(p, _)| running.iter().filter(move |(q, _)| p == q).copied())
             .collect();
         kept.into_iter().chain(stay).collect()
     }
 
-    /// What should run where, given what runs: machines not in it are drained.
+    /// The machines that should run, given those that do; running machines that are not in the result are drained.
     pub fn wanted(&self, settings: &Settings, running: &Running) -> Running {
-        let wanted = self.all_wanted(settings, running);
+        let wanted = self.unpaced_wanted(settings, running);
         let Some(t) = self.newest.as_ref().filter(|_| !settings.rollout.parallel) else { return wanted };
         let build = if t.phase == Phase::GoingBack { self.earlier } else { t.build };
-        self.paced(settings, running, build, wanted)
+        self.limit_cold(settings, running, build, wanted)
     }
 
-    fn all_wanted(&self, settings: &Settings, running: &Running) -> Running {
-        let all = || self.order.iter().copied();
+    fn unpaced_wanted(&self, settings: &Settings, running: &Running) -> Running {
+        let all = || self.place_order.iter().copied();
         let earlier = all().map(|p| (p, self.earlier));
         let Some(t) = &self.newest else { return earlier.collect() };
         let runs = |p: usize, b: u32| running.contains(&(p, b));
         match t.phase {
             Phase::Withdrawn => earlier.collect(),
             Phase::Released => {
-                // In either layout the earlier build leaves a place only once the new one runs there.
+                // In both layouts the earlier build leaves a place only when the new one runs there.
                 let left = earlier.filter(|(p, _)| !runs(*p, t.build));
                 all().map(|p| (p, t.build)).chain(left.collect::<Vec<_>>()).collect()
             }
             Phase::OnTrial => {
-                let chosen: BTreeSet<usize> = self.chosen(settings).into_iter().collect();
+                let chosen: BTreeSet<usize> = self.trial_places(settings).into_iter().collect();
                 let parallel = settings.rollout.parallel;
-                let stays = |p: usize| parallel || !chosen.contains(&p) || !runs(p, t.build);
-                let old = earlier.filter(|(p, _)| stays(*p)).collect::<Vec<_>>();
+                let earlier_stays = |p: usize| parallel || !chosen.contains(&p) || !runs(p, t.build);
+                let old = earlier.filter(|(p, _)| earlier_stays(*p)).collect::<Vec<_>>();
                 chosen.iter().map(|p| (*p, t.build)).chain(old).collect()
             }
             Phase::GoingBack => {
-                // It goes from a place once the earlier one runs there; nothing is sent to it meanwhile.
+                // The new build leaves a place when the earlier one runs there; its cap is 0 in the meantime, so that
+                // fronts send it nothing.
                 let new =
                     all().filter(|p| runs(*p, t.build) && !runs(*p, self.earlier)).map(|p| (p, t.build));
                 earlier.clone().chain(new.collect::<Vec<_>>()).collect()
@@ -318,7 +325,7 @@
         }
     }
 
-    /// Build, stage, phase, cap and since when: what fronts are told.
+    /// What fronts are told: build, stage, phase, cap, and the time of the last transition.
     pub fn announcement(&self, settings: &Settings) -> (u32, u32, Phase, f64, Ns) {
         let Some(t) = &self.newest else { return (self.earlier, 0, Phase::Released, 1.0, 0) };
         let cap = match t.phase {
@@ -329,7 +336,7 @@
         (t.build, t.stage, t.phase, cap, t.since)
     }
 
-    /// Standing votes, for whoever asks.
+    /// The votes in force, by front.
     pub fn votes(&self) -> Vec<(String, Verdict)> {
         let votes = self.newest.iter().flat_map(|t| &t.votes);
         votes.map(|(front, v)| (front.clone(), v.verdict)).collect()
@@ -337,8 +344,9 @@
 }
 
 impl Trial {
-    fn turn(&mut self, now: Ns, stage: u32, phase: Phase, why: String) -> Transition {
-        (self.stage, self.phase, self.since, self.run_time, self.clock) = (stage, phase, now, 0, false);
+    fn enter(&mut self, now: Ns, stage: u32, phase: Phase, why: String) -> Transition {
+        (self.stage, self.phase, self.since, self.run_time, self.clock_started) =
+            (stage, phase, now, 0, false);
         self.votes.retain(|_, v| v.verdict == Verdict::Back && phase == Phase::OnTrial);
         Transition { build: self.build, stage, phase, why }
     }
@@ -371,7 +379,7 @@
         reconcile(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
         assert_eq!(release.wanted(&settings, &running).iter().filter(|(_, b)| *b == 2).count(), 1);
-        assert_eq!(release.wanted(&settings, &running).len(), 11, "the earlier machines stay");
+        assert_eq!(release.wanted(&settings, &running).len(), 11, "machines of the earlier build stay");
         release.tick(SEC, &settings, &running);
         for f in ["f0", "f1", "f2"] {
             release.vote(SEC, Control::ByCount, f, 2, 0, Verdict::On).unwrap();
@@ -411,7 +419,7 @@
         assert_eq!(release.tick(6 * SEC, &settings, &running).unwrap().phase, Phase::GoingBack);
         assert_eq!(release.announcement(&settings).3, 0.0);
         let wanted = release.wanted(&settings, &running);
-        assert_eq!(wanted.len(), 20, "the bad ones stay until the earlier ones run");
+        assert_eq!(wanted.len(), 20, "machines of the bad build stay until those of the earlier one run");
         running = wanted;
         running = release.wanted(&settings, &running);
         assert_eq!(release.tick(7 * SEC, &settings, &running).unwrap().phase, Phase::Withdrawn);
@@ -428,12 +436,12 @@
         reconcile(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
         reconcile(&release, &settings, &mut running);
-        assert_eq!(running.len(), 10, "in place: the earlier one leaves once its successor runs");
+        assert_eq!(running.len(), 10, "in place: the earlier build leaves when its successor runs");
         release.tick(0, &settings, &running);
         assert_eq!(release.vote(0, Control::Automatic, "f0", 2, 0, Verdict::On), Err(VoteRejection::Verdict));
         release.tick(2 * SEC, &settings, &running);
         release.vote(2 * SEC, Control::Automatic, "f0", 2, 0, Verdict::Hold).unwrap();
-        assert_eq!(release.tick(5 * SEC, &settings, &running), None, "held");
+        assert_eq!(release.tick(5 * SEC, &settings, &running), None, "on hold");
         assert_eq!(release.tick(8 * SEC, &settings, &running).unwrap().stage, 1, "the hold has lapsed");
     }
 
@@ -446,7 +454,7 @@
         release.offer(0, 2).unwrap();
         let coming = |r: &Release, running: &Running| {
             let wanted = r.wanted(&settings, running);
-            assert!((0..10).all(|p| wanted.iter().any(|(q, _)| *q == p)), "every place goes on serving");
+            assert!((0..10).all(|p| wanted.iter().any(|(q, _)| *q == p)), "every place keeps serving");
             wanted.into_iter().filter(|w| w.1 == 2 && !running.contains(w)).collect::<Vec<_>>()
         };
         let first = coming(&release, &running);
@@ -456,7 +464,7 @@
         assert_eq!(coming(&release, &running), []);
         release.cold.clear();
         assert_eq!(coming(&release, &running).len(), 2);
-        // Places whose agents fail are left out, and a stage of which most never came does not move.
+        // Places whose agents fail are skipped, and a stage of which fewer than half run does not advance.
         release.unfit = (0..5).collect();
         assert!(coming(&release, &running).iter().all(|(p, _)| *p >= 5));
         for at in [1, 20, 21] {
@@ -478,8 +486,8 @@
         assert!(!release.wanted(&settings, &Running::new()).iter().any(|(_, b)| *b == 2));
     }
 
-    /// Rule 5 begins here: what fronts are told is the cap of the very stage, and none once it goes back. And a
-    /// front's second vote, of a later run too, takes the place of its first.
+    /// Rule 5 depends on this: fronts are told the cap of the current stage, and 0 during a rollback. A front's second
+    /// vote replaces its first, also after a restart of the front.
     #[test]
     fn each_stage_tells_its_own_cap_and_a_front_has_one_vote() {
         let settings = Settings::example(4, 4);
--- a/control/src/repo_files.rs
+++ b/control/src/repo_files.rs
@@ -1,22 +1,22 @@
-//! Files of the repository by HTTP, whole or by a range of bytes (RFC 9110 section 14). Only plain names below
-//! `metadata/` and `targets/` are known, so no path leads out of the folder.
+//! Serves the repository's files over HTTP, whole or by byte range (RFC 9110 section 14). Only plain names below
+//! `metadata/` and `targets/` are valid, so no path leads out of the repository.
 use crate::settings::is_valid_name;
 use rockpick_net::http::Request;
 use std::fs::File;
 use std::io::{ErrorKind, Seek, SeekFrom};
 use std::path::Path;
 
-/// Status, lines, and the body: words, or a file from where it stands and how much of it.
+/// Status, headers and body: a text, or a file with its position set and the number of bytes to send.
 pub enum FileResponse {
     Text(u16, Vec<(&'static str, String)>, String),
     File(u16, Vec<(&'static str, String)>, File, u64),
 }
 
-fn no(status: u16, why: &str) -> FileResponse {
+fn error(status: u16, why: &str) -> FileResponse {
     FileResponse::Text(status, vec![("Content-Type", "text/plain".into())], format!("{why}\n"))
 }
 
-/// The first and last byte of `bytes=A-B`, `bytes=A-` or `bytes=-N` in a file of a length; none: no such range.
+/// The first and last byte of a range `bytes=A-B`, `bytes=A-` or `bytes=-N` of a file; `None` if it can't be satisfied.
 fn range(text: &str, length: u64) -> Option<(u64, u64)> {
     let (from, to) = text.strip_prefix("bytes=")?.split_once('-')?;
     let number = |s: &str| s.bytes().all(|b| b.is_ascii_digit()).then(|| s.parse::<u64>().ok())?;
@@ -29,47 +29,48 @@
 }
 
 pub fn serve(repo: Option<&Path>, request: &Request) -> FileResponse {
-    let Some(repo) = repo else { return no(404, "no repository is served here") };
+    let Some(repo) = repo else { return error(404, "no repository is served here") };
     if request.method != "GET" && request.method != "HEAD" {
-        return no(405, "files are got");
+        return error(405, "files are got");
     }
     let parts: Vec<&str> = request.path().trim_start_matches("/repo/").split('/').collect();
     let (folder, name) = match parts.as_slice() {
         [folder @ ("metadata" | "targets"), name] => (*folder, *name),
-        _ => return no(404, "no such file"),
+        _ => return error(404, "no such file"),
     };
-    // Targets carry a hash of 64 digits before their name.
-    let known = |name: &str| is_valid_name(name) || name.len() <= 130 && name.split('.').all(is_valid_name);
-    if !known(name) || name.starts_with('.') {
-        return no(404, "no such file");
+    // The file name of a target starts with its hash of 64 digits.
+    let is_valid =
+        |name: &str| is_valid_name(name) || name.len() <= 130 && name.split('.').all(is_valid_name);
+    if !is_valid(name) || name.starts_with('.') {
+        return error(404, "no such file");
     }
     let mut file = match File::open(repo.join(folder).join(name)) {
         Ok(file) => file,
-        Err(err) if err.kind() == ErrorKind::NotFound => return no(404, "no such file"),
-        Err(_) => return no(500, "the file can't be read"),
+        Err(err) if err.kind() == ErrorKind::NotFound => return error(404, "no such file"),
+        Err(_) => return error(500, "the file can't be read"),
     };
     let length = match file.metadata() {
         Ok(meta) if meta.is_file() => meta.len(),
-        _ => return no(404, "no such file"),
+        _ => return error(404, "no such file"),
     };
-    let asked = request.lines.get("range");
-    let (status, from, to) = match asked.map(|r| range(r, length)) {
+    let requested_range = request.lines.get("range");
+    let (status, from, to) = match requested_range.map(|r| range(r, length)) {
         None => (200, 0, length),
         Some(Some((from, last))) => (206, from, last + 1),
         Some(None) => {
-            let lines = vec![("Content-Range", format!("bytes */{length}"))];
-            return FileResponse::Text(416, lines, String::new());
+            let headers = vec![("Content-Range", format!("bytes */{length}"))];
+            return FileResponse::Text(416, headers, String::new());
         }
     };
     if file.seek(SeekFrom::Start(from)).is_err() {
-        return no(500, "the file can't be read");
+        return error(500, "the file can't be read");
     }
-    let mut lines =
+    let mut headers =
         vec![("Content-Type", "application/octet-stream".to_string()), ("Accept-Ranges", "bytes".into())];
     if status == 206 {
-        lines.push(("Content-Range", format!("bytes {from}-{}/{length}", to - 1)));
+        headers.push(("Content-Range", format!("bytes {from}-{}/{length}", to - 1)));
     }
-    FileResponse::File(status, lines, file, to - from)
+    FileResponse::File(status, headers, file, to - from)
 }
 
 #[cfg(test)]
--- a/control/src/roster.rs
+++ b/control/src/roster.rs
@@ -1,20 +1,20 @@
-//! Which machines there are, as they report themselves; no I/O and no clock.
+//! The machines that have registered, as they report themselves. It does no I/O and reads no clock.
 use crate::release::Running;
 use crate::settings::Settings;
 use rockpick::{Ns, State};
 use std::collections::BTreeMap;
 
 const MS: Ns = 1_000_000;
-/// A machine unheard of for this long is gone: six of its beats.
+/// A machine is gone after this time without a heartbeat: six heartbeat intervals.
 const SILENCE_TIMEOUT: Ns = 3_000 * MS;
-/// A machine that has gone is forgotten after this; coming back later it is a new one.
+/// A machine that is gone is removed after this time; one that comes back later counts as new.
 const FORGET_AFTER: Ns = 60_000 * MS;
-/// After its start a controller holds its roster back this long: all machines have beaten by then, and an
-/// empty list would tell fronts that all are gone.
+/// A controller that has just started tells nobody its roster for this time, in which all machines send a heartbeat.
+/// An empty roster would tell fronts that all machines are gone.
 pub const SETTLE_TIME: Ns = 2_000 * MS;
-/// A gap between sweeps beyond this means that the controller itself stood still; machines are not blamed.
+/// A longer gap between sweeps means that the controller itself was stalled; it does not count as silence of machines.
 const STALL_GAP: Ns = 1_000 * MS;
-/// Most machines that may register: two builds at every place, and those that are going.
+/// Most machines that may register: two builds at every place, and those that are draining.
 const MAX_MACHINES: usize = 15_000;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -22,7 +22,7 @@
     pub addr: String,
     pub place: usize,
     pub build: u32,
-    /// Differs with every start of its process.
+    /// Differs for each start of the process.
     pub run: u64,
     pub started: Ns,
     pub state: State,
@@ -30,11 +30,11 @@
     leaving: bool,
     open_rpcs: u32,
     draining_since: Option<Ns>,
-    /// The serial of its last change.
+    /// The roster's serial at its last change.
     pub changed_serial: u64,
 }
 
-/// What a machine is to do.
+/// What the controller tells a machine to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
     Serve,
@@ -42,7 +42,7 @@
     Stop,
 }
 
-/// A machine's word for itself.
+/// A machine's report of itself.
 pub struct Heartbeat<'a> {
     pub name: &'a str,
     pub addr: &'a str,
@@ -72,16 +72,16 @@
             return Err("too many machines");
         }
         let known = self.machines.get(heartbeat.name).filter(|m| m.run == heartbeat.run);
-        let twin = self.machines.iter().any(|(name, m)| {
+        let duplicate = self.machines.iter().any(|(name, m)| {
             name != heartbeat.name && m.place == place && m.build == heartbeat.build && m.state == State::Up
         });
-        if known.is_none() && twin {
+        if known.is_none() && duplicate {
             return Err("another machine runs this build at this place");
         }
         let started = now - heartbeat.age.max(0);
-        // A late beat of the process before must not put the one that has its name now out.
-        let there = self.machines.get(heartbeat.name).filter(|m| m.state != State::Gone);
-        if known.is_none() && there.is_some_and(|m| started < m.started) {
+        // A late heartbeat of the previous process must not replace the one that now has its name.
+        let present = self.machines.get(heartbeat.name).filter(|m| m.state != State::Gone);
+        if known.is_none() && present.is_some_and(|m| started < m.started) {
             return Err("a later process has this name");
         }
         let mut m = known.cloned().unwrap_or(Machine {
@@ -100,8 +100,8 @@
         m.last_heard = now;
         m.open_rpcs = heartbeat.open_rpcs;
         m.leaving |= heartbeat.leaving;
-        let wants = wanted.contains(&(place, heartbeat.build)) && !m.leaving;
-        let state = if wants { State::Up } else { State::Draining };
+        let is_wanted = wanted.contains(&(place, heartbeat.build)) && !m.leaving;
+        let state = if is_wanted { State::Up } else { State::Draining };
         if state != m.state {
             m.draining_since = (state == State::Draining).then_some(now);
             m.state = state;
@@ -112,7 +112,7 @@
         let deadline = settings.methods.iter().map(|r| r.deadline_ms).max().unwrap_or(0) as Ns * MS;
         let order = match m.draining_since {
             None => Order::Serve,
-            // Fronts send for the grace after they were told, and what they sent may run to its deadline.
+            // Fronts may still send during the grace after they were told, and those RPCs may run to their deadline.
             Some(at) if now - at > 2 * grace + deadline => Order::Stop,
             Some(at) if now - at > 2 * grace && m.open_rpcs == 0 => Order::Stop,
             Some(_) => Order::Drain,
@@ -121,7 +121,7 @@
         Ok(order)
     }
 
-    /// A machine says that it has ended.
+    /// Records that a machine has reported its end.
     pub fn mark_gone(&mut self, name: &str, run: u64) {
         if let Some(m) = self.machines.get_mut(name).filter(|m| m.run == run && m.state != State::Gone) {
             m.state = State::Gone;
@@ -130,13 +130,13 @@
         }
     }
 
-    /// Finds those that have gone silent, and drains those no longer wanted.
+    /// Marks silent machines as gone and drains those that are no longer wanted; returns what changed.
     pub fn sweep(&mut self, now: Ns, wanted: &Running) -> Vec<(String, State)> {
         let gap = now - std::mem::replace(&mut self.last_sweep, now);
         if gap > STALL_GAP {
             self.machines.values_mut().for_each(|m| m.last_heard += gap);
         }
-        let mut moved = Vec::new();
+        let mut changes = Vec::new();
         self.machines.retain(|_, m| m.state != State::Gone || now - m.last_heard < FORGET_AFTER);
         for (name, m) in &mut self.machines {
             let silent = now - m.last_heard > SILENCE_TIMEOUT;
@@ -152,13 +152,13 @@
                 m.state = state;
                 self.serial += 1;
                 m.changed_serial = self.serial;
-                moved.push((name.clone(), state));
+                changes.push((name.clone(), state));
             }
         }
-        moved
+        changes
     }
 
-    /// What runs: machines that are up.
+    /// Machines that are up.
     pub fn running(&self) -> Running {
         let up = self.machines.values().filter(|m| m.state == State::Up);
         up.map(|m| (m.place, m.build)).collect()
@@ -170,10 +170,10 @@
         cold.map(|m| (m.place, m.build)).collect()
     }
 
-    /// What is there in any way, draining too: a host must not start a second one beside it.
+    /// Machines that are up or draining: a host must not start a second one of the same build beside them.
     pub fn present(&self) -> Running {
-        let there = self.machines.values().filter(|m| m.state != State::Gone);
-        there.map(|m| (m.place, m.build)).collect()
+        let present = self.machines.values().filter(|m| m.state != State::Gone);
+        present.map(|m| (m.place, m.build)).collect()
     }
 }
 
@@ -200,7 +200,7 @@
         assert!(roster.heartbeat(4 * SEC, &settings, &wanted, beat("b", "p9", 0)).is_err());
     }
 
-    /// Finding 25: the former process is heard of once more after the new one has come, then it is gone.
+    /// Finding 25: a heartbeat of the former process arrived after the new process had registered and took its place.
     #[test]
     fn a_late_beat_of_a_former_process_does_not_put_the_new_one_out() {
         let settings = Settings::example(1, 2);
@@ -228,7 +228,7 @@
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
         roster.heartbeat(0, &settings, &wanted, beat("a", "p0", 0)).unwrap();
         roster.sweep(0, &wanted);
-        assert_eq!(roster.sweep(60 * SEC, &wanted), [], "a minute's stall");
+        assert_eq!(roster.sweep(60 * SEC, &wanted), [], "the controller stalled for a minute");
         for tenth in 1..40 {
             roster.sweep(60 * SEC + tenth * SEC / 10, &wanted);
         }
--- a/control/src/server.rs
+++ b/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The controller's sockets: HTTP with JSON, watch streams, the snapshot.
+//! The controller's sockets and files: HTTP with JSON, watch streams, the repository, the snapshot.
 use crate::api::{Api, Response};
 use crate::atomic_file::{self, BackgroundWriter};
 use rockpick_net::{Event, Id, Net, Ns, MS};
@@ -6,12 +6,12 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How often time passes at the api: stages and rosters are told this late at most.
-const PASS: Ns = 20 * MS;
-/// Connections taken: every machine's, every front's and some callers'.
-const MOST_CLIENTS: usize = 20_000;
-/// While a build is on trial its time run is kept this often.
-const SAVE: Ns = 1_000 * MS;
+/// Interval of [`Api::tick`]: stage and roster changes are sent to watchers at most this late.
+const TICK: Ns = 20 * MS;
+/// Most connections: one of each machine, one of each front, and those of callers.
+const MAX_CONNECTIONS: usize = 20_000;
+/// While a build is on trial, its run time is written to the snapshot this often.
+const SAVE_INTERVAL: Ns = 1_000 * MS;
 
 pub struct Controller {
     pub listen: SocketAddr,
@@ -24,56 +24,56 @@
 const SIGINT: i32 = 2;
 
 impl Controller {
-    /// Runs until a signal ends it; `ready` hears the address taken.
+    /// Runs until a signal ends it; `ready` is called with the address it listens on.
     ///
     /// # Errors
-    /// A snapshot that can't be read or makes no sense, an address that can't be listened on.
+    /// The snapshot can't be read or is invalid, or the address can't be bound.
     pub fn run(self, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
-        let mut net = Net::new(MOST_CLIENTS).map_err(|err| err.to_string())?;
+        let mut net = Net::new(MAX_CONNECTIONS).map_err(|err| err.to_string())?;
         let file = self.state.as_ref().map(|dir| dir.join("controller.json"));
         if let Some(dir) = &self.state {
             std::fs::create_dir_all(dir).map_err(|err| format!("{}: {err}", dir.display()))?;
         }
-        let kept = match &file {
+        let stored = match &file {
             Some(file) => {
                 atomic_file::load_checked(file).map_err(|err| format!("{}: {err}", file.display()))?
             }
             None => None,
         };
-        let mut api = Api::restore(net.now(), kept.as_deref())?;
+        let mut api = Api::restore(net.now(), stored.as_deref())?;
         for signal in [SIGTERM, SIGINT] {
             net.on_signal(signal).map_err(|err| err.to_string())?;
         }
         let (_, at) = net.listen(self.listen).map_err(|err| format!("{}: {err}", self.listen))?;
         ready(at);
         tracing::info!(event = "controller up", at = %at, settings_version = api.version);
-        // What was acknowledged is kept first: answers to changes wait here until their snapshot is on disk.
+        // A change is acknowledged only when it is durable: its response waits here until the snapshot is on disk.
         let writer = file.map(|file| BackgroundWriter::new(file, |text: &Vec<u8>| Ok(text.clone())));
-        let mut waiting: Vec<Waiting> = Vec::new();
-        let (mut events, mut passed, mut saved) = (Vec::new(), Ns::MIN / 2, 0);
+        let mut pending: Vec<PendingResponse> = Vec::new();
+        let (mut events, mut last_tick, mut last_save) = (Vec::new(), Ns::MIN / 2, 0);
         loop {
-            net.turn(&mut events, if waiting.is_empty() { PASS } else { 2 * MS })
+            net.turn(&mut events, if pending.is_empty() { TICK } else { 2 * MS })
                 .map_err(|err| err.to_string())?;
             let now = net.now();
             if let Some(writer) = &writer {
                 let (done, why) = writer.progress();
-                let (over, rest) = waiting.into_iter().partition(|w| w.number <= done);
-                waiting = rest;
-                say(&mut net, over, why.as_deref());
+                let (written, rest) = pending.into_iter().partition(|w| w.number <= done);
+                pending = rest;
+                send_responses(&mut net, written, why.as_deref());
             }
             for event in std::mem::take(&mut events) {
                 match event {
                     Event::Request { conn, request } if request.path().starts_with("/repo/") => {
                         use crate::repo_files::FileResponse;
-                        fn plain<'a>(lines: &'a [(&'static str, String)]) -> Vec<(&'a str, &'a str)> {
-                            lines.iter().map(|(n, v)| (*n, v.as_str())).collect()
+                        fn borrowed<'a>(headers: &'a [(&'static str, String)]) -> Vec<(&'a str, &'a str)> {
+                            headers.iter().map(|(n, v)| (*n, v.as_str())).collect()
                         }
                         match crate::repo_files::serve(self.repo.as_deref(), &request) {
-                            FileResponse::Text(status, lines, body) => {
-                                net.answer(conn, status, &plain(&lines), body.as_bytes());
+                            FileResponse::Text(status, headers, body) => {
+                                net.answer(conn, status, &borrowed(&headers), body.as_bytes());
                             }
-                            FileResponse::File(status, lines, file, long) => {
-                                net.answer_file(conn, status, &plain(&lines), file, long);
+                            FileResponse::File(status, headers, file, length) => {
+                                net.answer_file(conn, status, &borrowed(&headers), file, length);
                             }
                         }
                     }
@@ -82,10 +82,11 @@
                             Response::Json(status, value) => {
                                 let changed = api.dirty.then(|| api.snapshot(now)).flatten();
                                 let number = writer.as_ref().zip(changed).map(|(w, text)| w.submit(text));
-                                let answer = Waiting { number: number.unwrap_or(0), conn, status, value };
+                                let response =
+                                    PendingResponse { number: number.unwrap_or(0), conn, status, value };
                                 match number {
-                                    Some(_) => waiting.push(answer),
-                                    None => say(&mut net, vec![answer], None),
+                                    Some(_) => pending.push(response),
+                                    None => send_responses(&mut net, vec![response], None),
                                 }
                             }
                             Response::Watch => {
@@ -96,16 +97,16 @@
                     Event::Left { conn } => api.unwatch(conn),
                     Event::Signal { .. } => {
                         let last = api.snapshot(now);
-                        let kept = writer.map_or(Ok(()), |writer| writer.close(last));
-                        say(&mut net, waiting, kept.as_ref().err().map(String::as_str));
+                        let stored = writer.map_or(Ok(()), |writer| writer.close(last));
+                        send_responses(&mut net, pending, stored.as_ref().err().map(String::as_str));
                         tracing::info!(event = "controller down");
-                        return kept;
+                        return stored;
                     }
                     _ => {}
                 }
             }
-            if now - passed >= PASS {
-                passed = now;
+            if now - last_tick >= TICK {
+                last_tick = now;
                 for (conn, mut line) in api.tick(now) {
                     line.push('\n');
                     if !net.stream(conn, line.as_bytes()) {
@@ -115,8 +116,8 @@
             }
             let on_trial =
                 api.release.as_ref().and_then(|r| r.newest.as_ref()).is_some_and(|t| t.run_time > 0);
-            if api.dirty || on_trial && now - saved >= SAVE {
-                saved = now;
+            if api.dirty || on_trial && now - last_save >= SAVE_INTERVAL {
+                last_save = now;
                 if let (Some(text), Some(writer)) = (api.snapshot(now), &writer) {
                     writer.submit(text);
                 }
@@ -125,17 +126,17 @@
     }
 }
 
-/// An answer, and the number of the snapshot that holds what it acknowledges.
-struct Waiting {
+/// A response that waits for the snapshot with the change it acknowledges, and that snapshot's number.
+struct PendingResponse {
     number: u64,
     conn: Id,
     status: u16,
     value: Value,
 }
 
-/// Gives answers; where the snapshot is not on disk, in the words of that.
-fn say(net: &mut Net, answers: Vec<Waiting>, why: Option<&str>) {
-    for Waiting { conn, status, value, .. } in answers {
+/// Sends responses, or an error if their snapshot could not be written (`why`).
+fn send_responses(net: &mut Net, responses: Vec<PendingResponse>, why: Option<&str>) {
+    for PendingResponse { conn, status, value, .. } in responses {
         let (status, value) = match why {
             None => (status, value),
             Some(why) => {
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings: what an operator may tell a deployment, given by API call as one JSON document, checked as
-//! a whole. Times are whole milliseconds here and whole nanoseconds everywhere else.
+//! The settings of a deployment: one JSON document that an operator puts by an API call, validated as a whole. Times
+//! are whole milliseconds here and whole nanoseconds everywhere else.
 use rockpick::{Control, Group, Guard, Method, Ns, Post, Repeat, Rights, Rollout};
 use rockpick_tenant::Books;
 use serde::{Deserialize, Serialize};
@@ -7,14 +7,14 @@
 
 const MS: Ns = 1_000_000;
 
-/// Most methods, zones, fronts and places: five times the largest fleet that was asked for.
+/// Most methods, zones, fronts and places: five times the largest fleet that was required.
 const MAX_METHODS: usize = 64;
 pub const MAX_ZONES: usize = 64;
 pub const MAX_WEIGHT: f64 = 1e6;
 const MAX_FRONTS: usize = 5_000;
 const MAX_PLACES: usize = 5_000;
 pub const MAX_STAGES: usize = 32;
-/// Longest time that a field takes: a day.
+/// Longest time that a field accepts: a day.
 const MAX_MS: u64 = 86_400_000;
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
@@ -29,10 +29,10 @@
     pub places: Vec<Place>,
     /// The build that all places run before the first offer.
     pub first_build: u32,
-    /// Service lost, as a share, if every pick crossed zones.
+    /// Share of the service that would be lost if every pick crossed zones.
     #[serde(default)]
     pub cross_zone_price: f64,
-    /// Where tenants come from; without it all callers are alike.
+    /// The directory of tenants; without it all callers are treated alike.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub directory: Option<Books>,
 }
@@ -80,9 +80,9 @@
 #[serde(deny_unknown_fields)]
 pub struct RolloutSettings {
     pub control: ControlKind,
-    /// Machines of the earlier build stay until the release.
+    /// Whether machines of the earlier build keep running until the release.
     pub parallel: bool,
-    /// Shares of the places, one a stage, rising.
+    /// Share of the places that run the build on trial, by stage, not falling.
     pub stages: Vec<f64>,
     pub caps: Vec<f64>,
     pub free: f64,
@@ -107,10 +107,10 @@
     #[serde(default = "one")]
     pub back_votes: u32,
     pub told_every_ms: u64,
-    /// In place: the share of places that goes on serving warm while others are replaced.
+    /// For a rollout in place: the share of places that keep serving, warm, while others are replaced.
     #[serde(default = "three_quarters")]
     pub serving_share: f64,
-    /// 0: no tallies.
+    /// 0 turns tallies off.
     #[serde(default)]
     pub tally_every_ms: u64,
     #[serde(default)]
@@ -134,7 +134,7 @@
     pub overload_factor: f64,
     pub fall_time_ms: u64,
     pub ask_within_ms: u64,
-    /// Taken off the time that a client has left: the answer's way back.
+    /// Subtracted from the time a client has left, for the answer's way back.
     pub answer_margin_ms: u64,
 }
 
@@ -163,130 +163,134 @@
     pub weight: f64,
 }
 
-/// A field that can't be taken, by its path.
+/// An invalid field, named by its path.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct FieldError {
     pub field: String,
     pub why: String,
 }
 
-/// Names go into paths, headers and logs, so they are plain.
+/// Names are used in paths, headers and logs, so only a few characters are allowed.
 pub fn is_valid_name(name: &str) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    !name.is_empty() && name.len() <= 64 && name.bytes().all(fits)
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    !name.is_empty() && name.len() <= 64 && name.bytes().all(allowed)
 }
 
 impl Settings {
-    /// Reads and checks a document; every error names its field.
+    /// Parses and validates a document; every error names its field.
     pub fn parse(text: &[u8]) -> Result<Settings, Vec<FieldError>> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let settings: Settings = serde_path_to_error::deserialize(&mut json).map_err(|err| {
             vec![FieldError { field: err.path().to_string(), why: err.inner().to_string() }]
         })?;
         json.end().map_err(|err| vec![FieldError { field: ".".into(), why: err.to_string() }])?;
-        let wrong = settings.validate();
-        if wrong.is_empty() {
+        let errors = settings.validate();
+        if errors.is_empty() {
             Ok(settings)
         } else {
-            Err(wrong)
+            Err(errors)
         }
     }
 
-    /// All that is wrong, not just the first.
+    /// Returns all errors, not just the first.
     pub fn validate(&self) -> Vec<FieldError> {
-        let mut wrong = Vec::new();
-        let mut must = |good: bool, field: String, why: &str| {
-            if !good {
-                wrong.push(FieldError { field, why: why.into() });
+        let mut errors = Vec::new();
+        let mut require = |valid: bool, field: String, why: &str| {
+            if !valid {
+                errors.push(FieldError { field, why: why.into() });
             }
         };
         let share = |x: f64| (0.0..=1.0).contains(&x);
-        must((1..=MAX_METHODS).contains(&self.methods.len()), "methods".into(), "1 to 64 are wanted");
+        require((1..=MAX_METHODS).contains(&self.methods.len()), "methods".into(), "1 to 64 are wanted");
         let mut names = BTreeSet::new();
         for (i, m) in self.methods.iter().enumerate() {
             let at = |f: &str| format!("methods[{i}].{f}");
-            must(is_valid_name(&m.name), at("name"), "1 to 64 letters, digits, '-', '_' or '.'");
-            must(names.insert(&m.name), at("name"), "given twice");
+            require(is_valid_name(&m.name), at("name"), "1 to 64 letters, digits, '-', '_' or '.'");
+            require(names.insert(&m.name), at("name"), "given twice");
             let aim = (1..=m.deadline_ms).contains(&m.soft_deadline_ms);
-            must(aim, at("soft_deadline_ms"), "1 to deadline_ms");
-            must(m.deadline_ms <= MAX_MS, at("deadline_ms"), "a day at most");
-            must(m.utility > 0.0 && m.utility <= 1e9, at("utility"), "above 0, at most 1e9");
+            require(aim, at("soft_deadline_ms"), "1 to deadline_ms");
+            require(m.deadline_ms <= MAX_MS, at("deadline_ms"), "a day at most");
+            require(m.utility > 0.0 && m.utility <= 1e9, at("utility"), "above 0, at most 1e9");
             let window = m.repeat != RepeatKind::Tokened || (1..=MAX_MS).contains(&m.remembered_ms);
-            must(window, at("remembered_ms"), "wanted for a tokened method");
+            require(window, at("remembered_ms"), "wanted for a tokened method");
         }
         let r = &self.rollout;
         let at = |f: &str| format!("rollout.{f}");
-        must((1..=MAX_STAGES).contains(&r.stages.len()), at("stages"), "1 to 32 are wanted");
-        must(r.caps.len() == r.stages.len(), at("caps"), "one a stage is wanted");
+        require((1..=MAX_STAGES).contains(&r.stages.len()), at("stages"), "1 to 32 are wanted");
+        require(r.caps.len() == r.stages.len(), at("caps"), "one a stage is wanted");
         for (i, pair) in r.stages.windows(2).enumerate() {
-            must(pair[0] <= pair[1], format!("rollout.stages[{}]", i + 1), "lower than the stage before");
+            require(pair[0] <= pair[1], format!("rollout.stages[{}]", i + 1), "lower than the stage before");
         }
         for (i, s) in r.stages.iter().enumerate() {
-            must(*s > 0.0 && *s <= 1.0, format!("rollout.stages[{i}]"), "above 0, at most 1");
+            require(*s > 0.0 && *s <= 1.0, format!("rollout.stages[{i}]"), "above 0, at most 1");
         }
         for (i, c) in r.caps.iter().enumerate() {
-            must(share(*c), format!("rollout.caps[{i}]"), "0 to 1");
+            require(share(*c), format!("rollout.caps[{i}]"), "0 to 1");
         }
-        must((0.0..=1e6).contains(&r.free), at("free"), "0 to 1e6");
-        must((32..=MAX_MS).contains(&r.window_ms), at("window_ms"), "32 ms to a day");
-        must(r.guarded_stages <= r.stages.len(), at("guarded_stages"), "more than there are stages");
-        must(r.dwell_ms <= MAX_MS, at("dwell_ms"), "a day at most");
+        require((0.0..=1e6).contains(&r.free), at("free"), "0 to 1e6");
+        require((32..=MAX_MS).contains(&r.window_ms), at("window_ms"), "32 ms to a day");
+        require(r.guarded_stages <= r.stages.len(), at("guarded_stages"), "more than there are stages");
+        require(r.dwell_ms <= MAX_MS, at("dwell_ms"), "a day at most");
         let steps = r.control != ControlKind::Automatic || (1..=MAX_MS).contains(&r.step_ms);
-        must(steps, at("step_ms"), "wanted under automatic control, a day at most");
-        must((100..=MAX_MS).contains(&r.vote_life_ms), at("vote_life_ms"), "100 ms to a day");
-        must((10..=60_000).contains(&r.call_timeout_ms), at("call_timeout_ms"), "10 ms to a minute");
-        must(r.votes_a_second >= 1.0 && r.votes_a_second <= 1e6, at("votes_a_second"), "1 to 1e6");
+        require(steps, at("step_ms"), "wanted under automatic control, a day at most");
+        require((100..=MAX_MS).contains(&r.vote_life_ms), at("vote_life_ms"), "100 ms to a day");
+        require((10..=60_000).contains(&r.call_timeout_ms), at("call_timeout_ms"), "10 ms to a minute");
+        require(r.votes_a_second >= 1.0 && r.votes_a_second <= 1e6, at("votes_a_second"), "1 to 1e6");
         let fronts = self.fronts.len() as u32;
         for (name, n) in
             [("on_votes", r.on_votes), ("hold_votes", r.hold_votes), ("back_votes", r.back_votes)]
         {
-            must((1..=fronts.max(1)).contains(&n), at(name), "1 to the count of fronts");
+            require((1..=fronts.max(1)).contains(&n), at(name), "1 to the count of fronts");
         }
-        must((100..=60_000).contains(&r.told_every_ms), at("told_every_ms"), "100 ms to a minute");
+        require((100..=60_000).contains(&r.told_every_ms), at("told_every_ms"), "100 ms to a minute");
         let tallies = r.tally_every_ms == 0 || (100..=60_000).contains(&r.tally_every_ms);
-        must(tallies, at("tally_every_ms"), "0, or 100 ms to a minute");
-        must(share(r.tally_sample), at("tally_sample"), "0 to 1");
-        must((0.0..1.0).contains(&r.serving_share), at("serving_share"), "0 to under 1");
+        require(tallies, at("tally_every_ms"), "0, or 100 ms to a minute");
+        require(share(r.tally_sample), at("tally_sample"), "0 to 1");
+        require((0.0..1.0).contains(&r.serving_share), at("serving_share"), "0 to under 1");
         let g = &self.guard;
         let at = |f: &str| format!("guard.{f}");
-        must(g.drain_grace_ms <= MAX_MS, at("drain_grace_ms"), "a day at most");
-        must(g.cold_from > 0.0 && g.cold_from <= 1.0, at("cold_from"), "above 0, at most 1");
-        must(g.cold_time_ms <= MAX_MS, at("cold_time_ms"), "a day at most");
-        must(g.overload_factor >= 1.0 && g.overload_factor <= 1e3, at("overload_factor"), "1 to 1000");
-        must((1..=MAX_MS).contains(&g.fall_time_ms), at("fall_time_ms"), "1 ms to a day");
-        must((100..=MAX_MS).contains(&g.ask_within_ms), at("ask_within_ms"), "100 ms to a day");
-        must(g.answer_margin_ms <= 10_000, at("answer_margin_ms"), "10 s at most");
-        must((1..=64).contains(&self.rights.most_picks), "rights.most_picks".into(), "1 to 64");
-        must(self.rights.longest_wait_ms <= MAX_MS, "rights.longest_wait_ms".into(), "a day at most");
-        must((1..=MAX_ZONES).contains(&self.zones.len()), "zones".into(), "1 to 64 are wanted");
+        require(g.drain_grace_ms <= MAX_MS, at("drain_grace_ms"), "a day at most");
+        require(g.cold_from > 0.0 && g.cold_from <= 1.0, at("cold_from"), "above 0, at most 1");
+        require(g.cold_time_ms <= MAX_MS, at("cold_time_ms"), "a day at most");
+        require(g.overload_factor >= 1.0 && g.overload_factor <= 1e3, at("overload_factor"), "1 to 1000");
+        require((1..=MAX_MS).contains(&g.fall_time_ms), at("fall_time_ms"), "1 ms to a day");
+        require((100..=MAX_MS).contains(&g.ask_within_ms), at("ask_within_ms"), "100 ms to a day");
+        require(g.answer_margin_ms <= 10_000, at("answer_margin_ms"), "10 s at most");
+        require((1..=64).contains(&self.rights.most_picks), "rights.most_picks".into(), "1 to 64");
+        require(self.rights.longest_wait_ms <= MAX_MS, "rights.longest_wait_ms".into(), "a day at most");
+        require((1..=MAX_ZONES).contains(&self.zones.len()), "zones".into(), "1 to 64 are wanted");
         let zones: BTreeSet<&String> = self.zones.iter().collect();
-        must(zones.len() == self.zones.len(), "zones".into(), "one given twice");
+        require(zones.len() == self.zones.len(), "zones".into(), "one given twice");
         for (i, z) in self.zones.iter().enumerate() {
-            must(is_valid_name(z), format!("zones[{i}]"), "1 to 64 letters, digits, '-', '_' or '.'");
+            require(is_valid_name(z), format!("zones[{i}]"), "1 to 64 letters, digits, '-', '_' or '.'");
         }
-        must((1..=MAX_FRONTS).contains(&self.fronts.len()), "fronts".into(), "1 to 5000 are wanted");
-        must((1..=MAX_PLACES).contains(&self.places.len()), "places".into(), "1 to 5000 are wanted");
+        require((1..=MAX_FRONTS).contains(&self.fronts.len()), "fronts".into(), "1 to 5000 are wanted");
+        require((1..=MAX_PLACES).contains(&self.places.len()), "places".into(), "1 to 5000 are wanted");
         let (fronts, places) = (self.fronts.iter().enumerate(), self.places.iter().enumerate());
         let named = fronts.map(|(i, f)| (format!("fronts[{i}]"), &f.name, &f.zone));
         let mut names = BTreeSet::new();
         for (at, name, zone) in named.chain(places.map(|(i, p)| (format!("places[{i}]"), &p.name, &p.zone))) {
-            must(is_valid_name(name), format!("{at}.name"), "1 to 64 letters, digits, '-', '_' or '.'");
-            must(names.insert(name), format!("{at}.name"), "given twice");
-            must(zones.contains(zone), format!("{at}.zone"), "not among zones");
+            require(is_valid_name(name), format!("{at}.name"), "1 to 64 letters, digits, '-', '_' or '.'");
+            require(names.insert(name), format!("{at}.name"), "given twice");
+            require(zones.contains(zone), format!("{at}.zone"), "not among zones");
         }
         for (i, p) in self.places.iter().enumerate() {
-            must(
+            require(
                 p.weight > 0.0 && p.weight <= MAX_WEIGHT,
                 format!("places[{i}].weight"),
                 "above 0, at most 1e6",
             );
         }
-        must((1..=crate::release::MAX_BUILD).contains(&self.first_build), "first_build".into(), "1 to 65535");
-        must(share(self.cross_zone_price), "cross_zone_price".into(), "0 to 1");
+        require(
+            (1..=crate::release::MAX_BUILD).contains(&self.first_build),
+            "first_build".into(),
+            "1 to 65535",
+        );
+        require(share(self.cross_zone_price), "cross_zone_price".into(), "0 to 1");
         for (field, why) in self.directory.iter().flat_map(Books::check) {
-            must(false, format!("directory.{field}"), &why);
+            require(false, format!("directory.{field}"), &why);
         }
-        wrong
+        errors
     }
 
     pub fn zone_index(&self, name: &str) -> u32 {
@@ -297,7 +301,7 @@
         self.methods.iter().position(|m| m.name == name)
     }
 
-    /// What the front of this name is told at start.
+    /// The configuration that the front of this name gets at its start.
     pub fn front_config(&self, front: &str, seed: u64) -> Option<Post> {
         let rank = self.fronts.iter().position(|f| f.name == front)?;
         let ms = |n: u64| n as Ns * MS;
@@ -308,7 +312,7 @@
             zone: self.zone_index(&self.fronts[rank].zone),
             seed,
             ask_roster: true,
-            // The loop's turns are far shorter; this is what a time-out may be late by on a busy machine.
+            // Turns of the event loop are far shorter; this is how late a timeout may fire on a busy machine.
             step: 5 * MS,
             cross_zone_price: self.cross_zone_price,
             handshake_price: 0.0,
@@ -364,7 +368,7 @@
         })
     }
 
-    /// A small settings to begin with: `rockpick settings --example`, rehearsals and tests.
+    /// Settings of a small deployment, for `rockpick settings --example`, rehearsals and tests.
     pub fn example(fronts: usize, places: usize) -> Settings {
         let zones = ["north", "south"];
         let method = |name: &str, soft, deadline, utility, repeat| MethodSettings {
@@ -455,8 +459,8 @@
         assert_eq!(fields, ["methods[1].utility", "rollout.caps", "guard.overload_factor", "places[3].zone"]);
         let mut json = serde_json::to_value(Settings::example(2, 4)).unwrap();
         json["methods"][2]["repeat"] = "perhaps".into();
-        let wrong = Settings::parse(json.to_string().as_bytes()).unwrap_err();
-        assert_eq!(wrong[0].field, "methods[2].repeat");
+        let errors = Settings::parse(json.to_string().as_bytes()).unwrap_err();
+        assert_eq!(errors[0].field, "methods[2].repeat");
         assert!(Settings::parse(b"{\"zoness\":1}").is_err() && Settings::parse(b"[").is_err());
     }
 }
