--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The agent on each server: the controller orders, the agent acts and reports what is. [`mind`] decides
-//! without I/O; `hand` has the downloads, the processes and the calls.
+//! The agent on each server: the controller orders, the agent acts and reports what is. [`lifecycle`] decides
+//! without I/O; `runtime` has the downloads, the processes and the calls.
 mod fetch;
-mod hand;
-pub mod mind;
-mod proc;
+pub mod lifecycle;
+mod process;
+mod runtime;
 
-pub use hand::Agent;
+pub use runtime::Agent;
--- a/agent/src/mind.rs
+++ b/agent/src/lifecycle.rs
@@ -1,5 +1,5 @@
 //! What the agent of one place decides: no I/O, no clock. Orders say which builds should run here; events say
-//! what became of what was done; [`Mind::step`] says what to do next.
+//! what became of what was done; [`Lifecycle::step`] says what to do next.
 //!
 //! Who is right when agent, controller and roster disagree: about what *runs*, the agent, which looks at its
 //! processes and reports what is; about what *should* run, the order of the highest generation; about who may
@@ -22,7 +22,7 @@
 const FIRST_WAIT: Ns = SEC / 2;
 const LONGEST_WAIT: Ns = 30 * SEC;
 /// Failures in a row after which the place is told of as unfit for the build; tries go on.
-pub const UNFIT: u32 = 3;
+pub const UNFIT_FAILURES: u32 = 3;
 /// A build that has run this long has left its earlier failures behind.
 const STEADY: Ns = 60 * SEC;
 /// Artefacts kept that nobody wants now; the one to go back to is kept besides.
@@ -41,7 +41,7 @@
     Failed,
 }
 
-pub fn word(state: State) -> &'static str {
+pub fn state_name(state: State) -> &'static str {
     match state {
         State::Fetching => "fetching",
         State::Verified => "verified",
@@ -56,18 +56,18 @@
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Do {
+pub enum Action {
     /// Fetch the build and check it against what was signed.
     Fetch(u32),
     /// Leave a fetch; what has come of it may stay for a later one.
-    Leave(u32),
+    CancelFetch(u32),
     /// Check the artefact once more, then start it.
     Start(u32),
     /// Ask the process to end; then kill its whole group.
-    Ask(u32),
+    Terminate(u32),
     Kill(u32),
     /// Throw an artefact away.
-    Discard(u32),
+    Delete(u32),
 }
 
 #[derive(Clone, Debug)]
@@ -80,30 +80,30 @@
     pub why: String,
 }
 
-pub struct Mind {
+pub struct Lifecycle {
     pub generation: u64,
     pub wanted: BTreeSet<u32>,
     pub keep: BTreeSet<u32>,
     pub jobs: BTreeMap<u32, Job>,
     /// Artefacts that are here and were checked.
-    pub have: BTreeSet<u32>,
+    pub artefacts: BTreeSet<u32>,
     chance: StdRng,
 }
 
-impl Mind {
-    pub fn new(seed: u64) -> Mind {
-        Mind {
+impl Lifecycle {
+    pub fn new(seed: u64) -> Lifecycle {
+        Lifecycle {
             generation: 0,
             wanted: BTreeSet::new(),
             keep: BTreeSet::new(),
             jobs: BTreeMap::new(),
-            have: BTreeSet::new(),
+            artefacts: BTreeSet::new(),
             chance: StdRng::seed_from_u64(seed),
         }
     }
 
     /// An order; one older than the last taken changes nothing.
-    pub fn ordered(&mut self, generation: u64, wanted: BTreeSet<u32>, keep: BTreeSet<u32>) -> bool {
+    pub fn apply_order(&mut self, generation: u64, wanted: BTreeSet<u32>, keep: BTreeSet<u32>) -> bool {
         if generation < self.generation {
             return false;
         }
@@ -118,15 +118,15 @@
     }
 
     /// A process of this build was found running when the agent came up. What is, not what was ordered.
-    pub fn found(&mut self, now: Ns, build: u32, state: State) {
+    pub fn adopt(&mut self, now: Ns, build: u32, state: State) {
         self.job(build, state, now);
-        self.have.insert(build);
+        self.artefacts.insert(build);
     }
 
     pub fn fetched(&mut self, now: Ns, build: u32, end: Result<(), String>) {
         match end {
             Ok(()) => {
-                self.have.insert(build);
+                self.artefacts.insert(build);
                 if self.jobs.get(&build).is_some_and(|j| j.state == State::Fetching) {
                     self.job(build, State::Verified, now);
                 }
@@ -151,8 +151,8 @@
     }
 
     /// The artefact is not what was signed for any more: fetched anew.
-    pub fn spoilt(&mut self, now: Ns, build: u32, why: String) {
-        self.have.remove(&build);
+    pub fn artefact_damaged(&mut self, now: Ns, build: u32, why: String) {
+        self.artefacts.remove(&build);
         self.failed(now, build, why);
     }
 
@@ -167,11 +167,11 @@
     }
 
     /// The controller's word that fronts have left it and its drain is over.
-    pub fn drained(&mut self, now: Ns, build: u32) -> Vec<Do> {
+    pub fn drained(&mut self, now: Ns, build: u32) -> Vec<Action> {
         match self.jobs.get_mut(&build).filter(|j| j.state == State::Draining) {
             Some(job) => {
                 (job.state, job.since) = (State::Stopping, now);
-                vec![Do::Ask(build)]
+                vec![Action::Terminate(build)]
             }
             None => Vec::new(),
         }
@@ -191,13 +191,15 @@
 
     /// Failed so often in a row that the place should not be counted on for this build.
     pub fn unfit(&self, build: u32) -> bool {
-        self.jobs.get(&build).is_some_and(|j| j.failures >= UNFIT && !matches!(j.state, State::Serving))
+        self.jobs
+            .get(&build)
+            .is_some_and(|j| j.failures >= UNFIT_FAILURES && !matches!(j.state, State::Serving))
     }
 
-    pub fn step(&mut self, now: Ns) -> Vec<Do> {
+    pub fn step(&mut self, now: Ns) -> Vec<Action> {
         let mut todo = Vec::new();
         for build in self.wanted.clone() {
-            let have = self.have.contains(&build);
+            let have = self.artefacts.contains(&build);
             let state = self.jobs.get(&build).map(|j| j.state);
             let again = self.jobs.get(&build).is_some_and(|j| j.state == State::Failed && j.retry <= now);
             match state {
@@ -205,11 +207,11 @@
                 Some(State::Failed) if again && have => self.job(build, State::Verified, now),
                 None => {
                     self.job(build, State::Fetching, now);
-                    todo.push(Do::Fetch(build));
+                    todo.push(Action::Fetch(build));
                 }
                 Some(State::Failed) if again => {
                     self.job(build, State::Fetching, now);
-                    todo.push(Do::Fetch(build));
+                    todo.push(Action::Fetch(build));
                 }
                 // Wanted again before its drain was over: it never stopped serving.
                 Some(State::Draining) => self.job(build, State::Serving, now),
@@ -218,7 +220,7 @@
             if self.jobs.get(&build).is_some_and(|j| j.state == State::Verified) {
                 // Its start is in hand: the event of it moves the state on.
                 self.job(build, State::Starting, now);
-                todo.push(Do::Start(build));
+                todo.push(Action::Start(build));
             }
         }
         let unwanted: Vec<u32> = self.jobs.keys().copied().filter(|b| !self.wanted.contains(b)).collect();
@@ -226,13 +228,13 @@
             match self.jobs[&build].state {
                 State::Fetching => {
                     self.jobs.remove(&build);
-                    todo.push(Do::Leave(build));
+                    todo.push(Action::CancelFetch(build));
                 }
                 State::Verified | State::Failed => drop(self.jobs.remove(&build)),
                 // It has never served, so nobody has to be told first.
                 State::Starting | State::Warming => {
                     self.job(build, State::Stopping, now);
-                    todo.push(Do::Ask(build));
+                    todo.push(Action::Terminate(build));
                 }
                 State::Serving => self.job(build, State::Draining, now),
                 State::Draining | State::Stopping => {}
@@ -244,15 +246,15 @@
             let stops = job.state == State::Stopping && waited > KILL_AFTER;
             if (starts || stops) && !job.killed {
                 job.killed = true;
-                todo.push(Do::Kill(*build));
+                todo.push(Action::Kill(*build));
             }
         }
         // The lowest artefacts go first: the newest are the likeliest to be wanted again.
         let needed = |b: &u32| self.wanted.contains(b) || self.keep.contains(b) || self.jobs.contains_key(b);
-        let idle: Vec<u32> = self.have.iter().copied().filter(|b| !needed(b)).collect();
+        let idle: Vec<u32> = self.artefacts.iter().copied().filter(|b| !needed(b)).collect();
         for build in idle.iter().take(idle.len().saturating_sub(MOST_KEPT)) {
-            self.have.remove(build);
-            todo.push(Do::Discard(*build));
+            self.artefacts.remove(build);
+            todo.push(Action::Delete(*build));
         }
         todo
     }
@@ -262,11 +264,11 @@
 mod tests {
     use super::*;
 
-    fn serving(builds: &[u32]) -> Mind {
-        let mut mind = Mind::new(1);
-        builds.iter().for_each(|b| mind.found(0, *b, State::Serving));
-        mind.ordered(1, builds.iter().copied().collect(), BTreeSet::new());
-        mind
+    fn serving(builds: &[u32]) -> Lifecycle {
+        let mut lifecycle = Lifecycle::new(1);
+        builds.iter().for_each(|b| lifecycle.adopt(0, *b, State::Serving));
+        lifecycle.apply_order(1, builds.iter().copied().collect(), BTreeSet::new());
+        lifecycle
     }
 
     fn set(builds: &[u32]) -> BTreeSet<u32> {
@@ -275,92 +277,92 @@
 
     #[test]
     fn a_build_is_fetched_checked_started_and_serves_only_when_ready() {
-        let mut mind = Mind::new(1);
-        mind.ordered(1, set(&[2]), set(&[]));
-        assert_eq!(mind.step(0), [Do::Fetch(2)]);
-        assert_eq!(mind.step(SEC), []);
-        mind.fetched(SEC, 2, Ok(()));
-        assert_eq!(mind.step(SEC), [Do::Start(2)]);
-        assert_eq!(mind.step(SEC), [], "once");
-        mind.ready(SEC, 2);
-        assert_eq!(mind.jobs[&2].state, State::Starting, "not before it listens");
-        mind.listens(SEC, 2);
-        mind.ready(SEC, 2);
-        assert_eq!((mind.jobs[&2].state, mind.step(60 * SEC)), (State::Serving, vec![]));
+        let mut lifecycle = Lifecycle::new(1);
+        lifecycle.apply_order(1, set(&[2]), set(&[]));
+        assert_eq!(lifecycle.step(0), [Action::Fetch(2)]);
+        assert_eq!(lifecycle.step(SEC), []);
+        lifecycle.fetched(SEC, 2, Ok(()));
+        assert_eq!(lifecycle.step(SEC), [Action::Start(2)]);
+        assert_eq!(lifecycle.step(SEC), [], "once");
+        lifecycle.ready(SEC, 2);
+        assert_eq!(lifecycle.jobs[&2].state, State::Starting, "not before it listens");
+        lifecycle.listens(SEC, 2);
+        lifecycle.ready(SEC, 2);
+        assert_eq!((lifecycle.jobs[&2].state, lifecycle.step(60 * SEC)), (State::Serving, vec![]));
     }
 
     #[test]
     fn an_older_order_undoes_nothing_and_a_rollback_meets_every_state() {
-        let mut mind = serving(&[1, 2]);
-        assert!(mind.ordered(7, set(&[1]), set(&[1])));
-        assert!(!mind.ordered(6, set(&[1, 2]), set(&[1])));
-        assert_eq!((mind.step(0), mind.jobs[&2].state), (vec![], State::Draining));
-        assert_eq!(mind.step(60 * SEC), [], "it goes on until its drain is over, however long");
-        assert_eq!(mind.drained(60 * SEC, 2), [Do::Ask(2)]);
-        assert_eq!(mind.drained(60 * SEC, 1), [], "one that serves is not ended by a word for another");
-        assert_eq!(mind.step(66 * SEC), [Do::Kill(2)]);
-        assert_eq!(mind.step(67 * SEC), [], "once");
-        mind.exited(67 * SEC, 2, "killed".into());
-        assert!(!mind.jobs.contains_key(&2));
+        let mut lifecycle = serving(&[1, 2]);
+        assert!(lifecycle.apply_order(7, set(&[1]), set(&[1])));
+        assert!(!lifecycle.apply_order(6, set(&[1, 2]), set(&[1])));
+        assert_eq!((lifecycle.step(0), lifecycle.jobs[&2].state), (vec![], State::Draining));
+        assert_eq!(lifecycle.step(60 * SEC), [], "it goes on until its drain is over, however long");
+        assert_eq!(lifecycle.drained(60 * SEC, 2), [Action::Terminate(2)]);
+        assert_eq!(lifecycle.drained(60 * SEC, 1), [], "one that serves is not ended by a word for another");
+        assert_eq!(lifecycle.step(66 * SEC), [Action::Kill(2)]);
+        assert_eq!(lifecycle.step(67 * SEC), [], "once");
+        lifecycle.exited(67 * SEC, 2, "killed".into());
+        assert!(!lifecycle.jobs.contains_key(&2));
         for state in [State::Starting, State::Warming] {
-            let mut mind = serving(&[1]);
-            mind.found(0, 2, state);
-            mind.ordered(2, set(&[1]), set(&[]));
-            assert_eq!(mind.step(0), [Do::Ask(2)], "{state:?}: never served, so at once");
+            let mut lifecycle = serving(&[1]);
+            lifecycle.adopt(0, 2, state);
+            lifecycle.apply_order(2, set(&[1]), set(&[]));
+            assert_eq!(lifecycle.step(0), [Action::Terminate(2)], "{state:?}: never served, so at once");
         }
-        let mut mind = serving(&[1]);
-        mind.ordered(2, set(&[1, 2]), set(&[]));
-        assert_eq!(mind.step(0), [Do::Fetch(2)]);
-        mind.ordered(3, set(&[1]), set(&[]));
-        assert_eq!(mind.step(0), [Do::Leave(2)]);
-        mind.fetched(SEC, 2, Ok(()));
-        assert_eq!(mind.step(SEC), [], "what comes late starts nothing");
+        let mut lifecycle = serving(&[1]);
+        lifecycle.apply_order(2, set(&[1, 2]), set(&[]));
+        assert_eq!(lifecycle.step(0), [Action::Fetch(2)]);
+        lifecycle.apply_order(3, set(&[1]), set(&[]));
+        assert_eq!(lifecycle.step(0), [Action::CancelFetch(2)]);
+        lifecycle.fetched(SEC, 2, Ok(()));
+        assert_eq!(lifecycle.step(SEC), [], "what comes late starts nothing");
     }
 
     #[test]
     fn failures_wait_longer_each_time_and_make_the_place_unfit() {
-        let mut mind = Mind::new(1);
-        mind.ordered(1, set(&[2]), set(&[]));
+        let mut lifecycle = Lifecycle::new(1);
+        lifecycle.apply_order(1, set(&[2]), set(&[]));
         let (mut now, mut waits) = (0, Vec::new());
         for _ in 0..9 {
             let began = now;
-            while !mind.step(now).contains(&Do::Fetch(2)) {
+            while !lifecycle.step(now).contains(&Action::Fetch(2)) {
                 now += SEC / 100;
             }
             waits.push(now - began);
-            mind.fetched(now, 2, Err("no".into()));
+            lifecycle.fetched(now, 2, Err("no".into()));
         }
         assert!(waits[1] >= FIRST_WAIT / 2 && waits[4] >= 2 * SEC && waits[8] <= LONGEST_WAIT, "{waits:?}");
-        assert!(mind.unfit(2));
+        assert!(lifecycle.unfit(2));
         // One that does not come up in time is killed, and its end counts as a failure.
-        let mut mind = serving(&[]);
-        mind.ordered(2, set(&[3]), set(&[]));
-        mind.have.insert(3);
-        assert_eq!(mind.step(0), [Do::Start(3)]);
-        assert_eq!(mind.step(11 * SEC), [Do::Kill(3)]);
-        mind.exited(11 * SEC, 3, "killed".into());
-        assert_eq!(mind.jobs[&3].state, State::Failed);
+        let mut lifecycle = serving(&[]);
+        lifecycle.apply_order(2, set(&[3]), set(&[]));
+        lifecycle.artefacts.insert(3);
+        assert_eq!(lifecycle.step(0), [Action::Start(3)]);
+        assert_eq!(lifecycle.step(11 * SEC), [Action::Kill(3)]);
+        lifecycle.exited(11 * SEC, 3, "killed".into());
+        assert_eq!(lifecycle.jobs[&3].state, State::Failed);
     }
 
     #[test]
     fn the_one_to_go_back_to_is_never_thrown_away() {
-        let mut mind = serving(&[9]);
-        mind.have.extend([1, 2, 3, 4, 5]);
-        mind.ordered(2, set(&[9]), set(&[1, 9]));
-        assert_eq!(mind.step(0), [Do::Discard(2), Do::Discard(3)]);
-        assert!(mind.have.contains(&1));
+        let mut lifecycle = serving(&[9]);
+        lifecycle.artefacts.extend([1, 2, 3, 4, 5]);
+        lifecycle.apply_order(2, set(&[9]), set(&[1, 9]));
+        assert_eq!(lifecycle.step(0), [Action::Delete(2), Action::Delete(3)]);
+        assert!(lifecycle.artefacts.contains(&1));
     }
 
     #[test]
     fn a_drain_taken_back_serves_on_and_a_crash_while_draining_is_an_end() {
-        let mut mind = serving(&[1, 2]);
-        mind.ordered(2, set(&[1]), set(&[]));
-        mind.step(0);
-        mind.ordered(3, set(&[1, 2]), set(&[]));
-        assert_eq!((mind.step(0), mind.jobs[&2].state), (vec![], State::Serving));
-        mind.ordered(4, set(&[1]), set(&[]));
-        mind.step(0);
-        mind.exited(0, 2, "crashed".into());
-        assert!(!mind.jobs.contains_key(&2));
+        let mut lifecycle = serving(&[1, 2]);
+        lifecycle.apply_order(2, set(&[1]), set(&[]));
+        lifecycle.step(0);
+        lifecycle.apply_order(3, set(&[1, 2]), set(&[]));
+        assert_eq!((lifecycle.step(0), lifecycle.jobs[&2].state), (vec![], State::Serving));
+        lifecycle.apply_order(4, set(&[1]), set(&[]));
+        lifecycle.step(0);
+        lifecycle.exited(0, 2, "crashed".into());
+        assert!(!lifecycle.jobs.contains_key(&2));
     }
 }
--- a/agent/src/proc.rs
+++ b/agent/src/process.rs
@@ -10,7 +10,7 @@
 
 /// What is kept of a process, written before it is started.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Kept {
+pub struct ProcessRecord {
     pub build: u32,
     pub name: String,
     pub run: u64,
@@ -20,8 +20,8 @@
     pub served: bool,
 }
 
-pub struct Proc {
-    pub kept: Kept,
+pub struct Process {
+    pub kept: ProcessRecord,
     dir: PathBuf,
     child: Option<Child>,
     pid: Option<i32>,
@@ -47,16 +47,18 @@
     t.tv_sec * 1_000_000_000 + t.tv_nsec
 }
 
-impl Proc {
+impl Process {
     fn file(dir: &Path, build: u32, what: &str) -> PathBuf {
         dir.join(format!("{build}.{what}"))
     }
 
     /// Starts an artefact. The process itself writes down its id before it becomes the build, so that an agent
     /// killed at any moment finds it again.
-    pub fn start(dir: &Path, kept: Kept, artefact: &Path, env: &[(&str, String)]) -> io::Result<Proc> {
+    pub fn start(
+        dir: &Path, kept: ProcessRecord, artefact: &Path, env: &[(&str, String)],
+    ) -> io::Result<Process> {
         fs::create_dir_all(dir)?;
-        let [pid, out, err] = ["pid", "out", "err"].map(|w| Proc::file(dir, kept.build, w));
+        let [pid, out, err] = ["pid", "out", "err"].map(|w| Process::file(dir, kept.build, w));
         for old in [&pid, &out] {
             match fs::remove_file(old) {
                 Err(err) if err.kind() != io::ErrorKind::NotFound => return Err(err),
@@ -64,7 +66,7 @@
             }
         }
         let text = serde_json::to_vec(&kept).map_err(io::Error::other)?;
-        rockpick_control::atomic_file::replace(&Proc::file(dir, kept.build, "run"), &text)?;
+        rockpick_control::atomic_file::replace(&Process::file(dir, kept.build, "run"), &text)?;
         let script = r#"echo $$ > "$0.new" && mv "$0.new" "$0" && exec "$1""#;
         let child = Command::new("/bin/sh")
             .args(["-c", script])
@@ -78,7 +80,15 @@
             .spawn()?;
         let id = child.id() as i32;
         let ticks = stat(id).map(|s| s.0);
-        Ok(Proc { kept, dir: dir.into(), child: Some(child), pid: Some(id), ticks, at: None, asked: false })
+        Ok(Process {
+            kept,
+            dir: dir.into(),
+            child: Some(child),
+            pid: Some(id),
+            ticks,
+            at: None,
+            asked: false,
+        })
     }
 
     /// What an earlier agent had started, if it still runs.
@@ -86,10 +96,11 @@
     /// # Errors
     /// Names the record that can't be read: it must not pass for no process, as the build would be started a
     /// second time beside the first.
-    pub fn find(dir: &Path, build: u32) -> Result<Option<Proc>, String> {
-        let [run, named] = ["run", "pid"].map(|what| Proc::file(dir, build, what));
+    pub fn find(dir: &Path, build: u32) -> Result<Option<Process>, String> {
+        let [run, named] = ["run", "pid"].map(|what| Process::file(dir, build, what));
         let text = fs::read(&run).map_err(|err| format!("{}: {err}", run.display()))?;
-        let kept: Kept = serde_json::from_slice(&text).map_err(|err| format!("{}: {err}", run.display()))?;
+        let kept: ProcessRecord =
+            serde_json::from_slice(&text).map_err(|err| format!("{}: {err}", run.display()))?;
         // One that was started this moment may not have written its id yet: it is given a second.
         let read = || match rockpick_control::atomic_file::load(&named) {
             Ok(text) => Ok(text.and_then(|t| std::str::from_utf8(&t).ok()?.trim().parse::<i32>().ok())),
@@ -109,7 +120,7 @@
         if zombie || (began - kept.started).abs() > 5_000_000_000 {
             return Ok(None);
         }
-        Ok(Some(Proc {
+        Ok(Some(Process {
             kept,
             dir: dir.into(),
             child: None,
@@ -137,7 +148,8 @@
     /// Where it listens, once it has said so.
     pub fn listens(&mut self) -> Option<std::net::SocketAddr> {
         if self.at.is_none() {
-            let text = fs::read_to_string(Proc::file(&self.dir, self.kept.build, "out")).unwrap_or_default();
+            let text =
+                fs::read_to_string(Process::file(&self.dir, self.kept.build, "out")).unwrap_or_default();
             let line = text.lines().find_map(|l| l.strip_prefix("listening "));
             self.at = line.and_then(|at| at.trim().parse().ok());
         }
@@ -154,7 +166,7 @@
     pub fn note_served(&mut self) {
         if !self.kept.served {
             self.kept.served = true;
-            let at = Proc::file(&self.dir, self.kept.build, "run");
+            let at = Process::file(&self.dir, self.kept.build, "run");
             let text = serde_json::to_vec(&self.kept).map_err(io::Error::other);
             if let Err(err) = text.and_then(|text| rockpick_control::atomic_file::replace(&at, &text)) {
                 tracing::error!(event = "record not kept", file = %at.display(), why = %err);
@@ -164,7 +176,7 @@
 
     pub fn forget(dir: &Path, build: u32) {
         for what in ["run", "pid", "out"] {
-            let _ = fs::remove_file(Proc::file(dir, build, what));
+            let _ = fs::remove_file(Process::file(dir, build, what));
         }
     }
 
@@ -188,7 +200,7 @@
         let dir = std::env::temp_dir().join(format!("rockpick-test-record-{}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
         fs::write(dir.join("7.run"), b"{\"build\":7,").unwrap();
-        let why = Proc::find(&dir, 7).err().unwrap();
+        let why = Process::find(&dir, 7).err().unwrap();
         assert!(why.contains("7.run") && dir.join("7.run").exists(), "{why}");
         let _ = fs::remove_dir_all(dir);
     }
--- a/agent/src/hand.rs
+++ b/agent/src/runtime.rs
@@ -1,7 +1,7 @@
-//! What the agent does: beats to the controller, fetches, processes. It decides nothing; see [`crate::mind`].
+//! What the agent does: beats to the controller, fetches, processes. It decides nothing; see [`crate::lifecycle`].
 use crate::fetch::{self, Fetch, Next};
-use crate::mind::{word, Do, Mind, Ns, State};
-use crate::proc::{clock, Kept, Proc};
+use crate::lifecycle::{state_name, Action, Lifecycle, Ns, State};
+use crate::process::{clock, Process, ProcessRecord};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick_net::{http, Call, End, Event, Id, Net, MS, SEC};
@@ -53,8 +53,8 @@
 struct Hand {
     agent: Agent,
     net: Net,
-    mind: Mind,
-    procs: BTreeMap<u32, Proc>,
+    lifecycle: Lifecycle,
+    procs: BTreeMap<u32, Process>,
     held: BTreeMap<u32, u64>,
     fetch: Option<Fetch>,
     /// Fetches that wait for the one before.
@@ -128,7 +128,7 @@
         let seed = self.seed;
         let mut hand = Hand {
             net,
-            mind: Mind::new(seed),
+            lifecycle: Lifecycle::new(seed),
             procs: BTreeMap::new(),
             held: BTreeMap::new(),
             fetch: None,
@@ -171,20 +171,20 @@
         for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
             let name = entry.file_name();
             let build = name.to_str().and_then(|n| n.strip_prefix("build-")).and_then(|n| n.parse().ok());
-            self.mind
-                .have
+            self.lifecycle
+                .artefacts
                 .extend(build.into_iter().filter(|b: &u32| fetch::place(&self.agent.state, *b).1.exists()));
         }
-        for build in Proc::recorded(&self.runs()) {
-            match Proc::find(&self.runs(), build)? {
+        for build in Process::recorded(&self.runs()) {
+            match Process::find(&self.runs(), build)? {
                 Some(proc) => {
                     // One that has served is taken for serving; if it is not ordered any more, it drains.
                     let state = if proc.kept.served { State::Serving } else { State::Starting };
-                    tracing::info!(event = "found", build, state = word(state));
-                    self.mind.found(self.net.now(), build, state);
+                    tracing::info!(event = "found", build, state = state_name(state));
+                    self.lifecycle.adopt(self.net.now(), build, state);
                     self.procs.insert(build, proc);
                 }
-                None => Proc::forget(&self.runs(), build),
+                None => Process::forget(&self.runs(), build),
             }
         }
         Ok(())
@@ -193,8 +193,8 @@
     fn order(&mut self, said: &Value) -> bool {
         match read_order(said) {
             Ok(Some((generation, builds, keep))) => {
-                let fresh = generation > self.mind.generation;
-                self.mind.ordered(generation, builds, keep) && fresh
+                let fresh = generation > self.lifecycle.generation;
+                self.lifecycle.apply_order(generation, builds, keep) && fresh
             }
             Ok(None) => false,
             Err(field) => {
@@ -235,12 +235,12 @@
                     if let Err(why) = &end {
                         tracing::warn!(event = "refused", build, why);
                     }
-                    self.mind.fetched(now, build, end);
+                    self.lifecycle.fetched(now, build, end);
                 }
                 Found::Sound(build, Ok(artefact)) => self.start(build, &artefact),
                 Found::Sound(build, Err(why)) => {
                     tracing::warn!(event = "spoilt", build, why);
-                    self.mind.spoilt(now, build, why);
+                    self.lifecycle.artefact_damaged(now, build, why);
                 }
             }
         }
@@ -251,16 +251,16 @@
                 tracing::info!(event = "ended", build, how);
                 // What it has left behind of its group goes with it.
                 proc.signal(Signal::KILL);
-                Proc::forget(&self.agent.state.join("runs"), build);
+                Process::forget(&self.agent.state.join("runs"), build);
                 self.procs.remove(&build);
                 self.held.remove(&build);
-                self.mind.exited(now, build, how);
+                self.lifecycle.exited(now, build, how);
                 continue;
             }
             if proc.listens().is_some() {
-                self.mind.listens(now, build);
+                self.lifecycle.listens(now, build);
             }
-            let warming = self.mind.jobs.get(&build).is_some_and(|j| j.state == State::Warming);
+            let warming = self.lifecycle.jobs.get(&build).is_some_and(|j| j.state == State::Warming);
             if warming && self.asking.insert(build) {
                 self.look(build, What::Ready(build), "/probe");
             }
@@ -270,16 +270,16 @@
             self.net.cancel(id);
             self.ended(id, End::Unreachable);
         }
-        for todo in self.mind.step(now) {
+        for todo in self.lifecycle.step(now) {
             self.carry_out(todo);
         }
         self.fetching();
-        for (build, job) in &self.mind.jobs {
+        for (build, job) in &self.lifecycle.jobs {
             if self.told.insert(*build, job.state) != Some(job.state) {
-                tracing::info!(event = "build", build, state = word(job.state), why = job.why);
+                tracing::info!(event = "build", build, state = state_name(job.state), why = job.why);
             }
         }
-        self.told.retain(|b, _| self.mind.jobs.contains_key(b));
+        self.told.retain(|b, _| self.lifecycle.jobs.contains_key(b));
         if now >= self.beat_at && !self.beating {
             self.beat();
         }
@@ -301,36 +301,36 @@
         }
     }
 
-    fn carry_out(&mut self, todo: Do) {
+    fn carry_out(&mut self, todo: Action) {
         let dir = self.agent.state.clone();
         match todo {
-            Do::Fetch(build) => drop(self.queue.insert(build)),
-            Do::Leave(build) => {
+            Action::Fetch(build) => drop(self.queue.insert(build)),
+            Action::CancelFetch(build) => {
                 self.queue.remove(&build);
                 if self.fetch.as_ref().is_some_and(|f| f.build == build) {
                     self.fetch = None;
                 }
             }
-            Do::Start(build) => {
+            Action::Start(build) => {
                 aside(
                     self.to.clone(),
                     move |end| Found::Sound(build, end),
                     move || fetch::sound(&dir, build),
                 );
             }
-            Do::Ask(build) => match self.procs.get_mut(&build) {
+            Action::Terminate(build) => match self.procs.get_mut(&build) {
                 Some(proc) => {
                     proc.asked = true;
                     proc.signal(Signal::TERM);
                 }
                 // Its start was still in hand: there is nothing to end.
-                None => self.mind.exited(self.net.now(), build, "never started".into()),
+                None => self.lifecycle.exited(self.net.now(), build, "never started".into()),
             },
-            Do::Kill(build) => match self.procs.get(&build) {
+            Action::Kill(build) => match self.procs.get(&build) {
                 Some(proc) => proc.signal(Signal::KILL),
-                None => self.mind.exited(self.net.now(), build, "never started".into()),
+                None => self.lifecycle.exited(self.net.now(), build, "never started".into()),
             },
-            Do::Discard(build) => {
+            Action::Delete(build) => {
                 let (at, told) = fetch::place(&dir, build);
                 // First the record: an artefact without one is never started.
                 if let Err(err) = fs::remove_file(told).and_then(|()| fs::remove_file(at)) {
@@ -343,13 +343,13 @@
     fn start(&mut self, build: u32, artefact: &std::path::Path) {
         let now = self.net.now();
         // A rollback may have come while the artefact was looked at.
-        if self.mind.jobs.get(&build).is_none_or(|j| j.state != State::Starting)
+        if self.lifecycle.jobs.get(&build).is_none_or(|j| j.state != State::Starting)
             || self.procs.contains_key(&build)
         {
             return;
         }
         let name = format!("{}..{build}", self.agent.place);
-        let kept = Kept {
+        let kept = ProcessRecord {
             build,
             name: name.clone(),
             run: clock() as u64 >> 10 & 0xffff_ffff_ffff,
@@ -363,9 +363,9 @@
             ("ROCKPICK_CONTROLLER", self.agent.controller.to_string()),
             ("ROCKPICK_LISTEN", "127.0.0.1:0".into()),
         ];
-        match Proc::start(&self.runs(), kept, artefact, &env) {
+        match Process::start(&self.runs(), kept, artefact, &env) {
             Ok(proc) => drop(self.procs.insert(build, proc)),
-            Err(err) => self.mind.failed(now, build, err.to_string()),
+            Err(err) => self.lifecycle.failed(now, build, err.to_string()),
         }
     }
 
@@ -380,7 +380,7 @@
             let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_secs() as i64);
             match Fetch::begin(build, &self.agent.state, wall) {
                 Ok(fetch) => self.fetch = Some(fetch),
-                Err(why) => return self.mind.fetched(now, build, Err(why)),
+                Err(why) => return self.lifecycle.fetched(now, build, Err(why)),
             }
         }
         let Some(next) = self.fetch.as_ref().map(Fetch::next) else { return };
@@ -408,22 +408,23 @@
         let now = self.net.now();
         self.beating = true;
         let mut builds = Vec::new();
-        for (build, job) in &self.mind.jobs {
+        for (build, job) in &self.lifecycle.jobs {
             let proc = self.procs.get(build);
             let serves = matches!(job.state, State::Serving | State::Draining);
-            builds.push(json!({ "build": build, "state": word(job.state), "why": job.why,
-                "unfit": self.mind.unfit(*build),
+            builds.push(json!({ "build": build, "state": state_name(job.state), "why": job.why,
+                "unfit": self.lifecycle.unfit(*build),
                 "name": proc.map(|p| &p.kept.name), "run": proc.map(|p| p.kept.run),
                 "addr": proc.and_then(|p| p.at).filter(|_| serves).map(|a| a.to_string()),
                 "age_ms": proc.map_or(0.0, |p| (clock() - p.kept.started) as f64 / MS as f64),
                 "held": self.held.get(build).copied().unwrap_or(0) }));
         }
         let body =
-            json!({ "run": self.run, "generation": self.mind.generation, "builds": builds }).to_string();
+            json!({ "run": self.run, "generation": self.lifecycle.generation, "builds": builds }).to_string();
         let (to, target) = (self.agent.controller, format!("/agents/{}", self.agent.place));
         self.ask(What::Beat, to, ("POST", &target), "", &body, CALL);
         // What each build holds is asked between beats, for the next one.
-        let draining = self.mind.jobs.iter().filter(|(_, j)| j.state == State::Draining).map(|(b, _)| *b);
+        let draining =
+            self.lifecycle.jobs.iter().filter(|(_, j)| j.state == State::Draining).map(|(b, _)| *b);
         for build in draining.collect::<Vec<_>>() {
             self.look(build, What::Held(build), "/status");
         }
@@ -453,7 +454,7 @@
             (What::Ready(build), end) => {
                 self.asking.remove(&build);
                 if matches!(end, End::Answer(r) if r.status == 200) {
-                    self.mind.ready(now, build);
+                    self.lifecycle.ready(now, build);
                     if let Some(proc) = self.procs.get_mut(&build) {
                         proc.note_served();
                     }
@@ -476,7 +477,7 @@
                 if let Err(why) = went {
                     tracing::warn!(event = "fetch failed", build, why);
                     self.fetch = None;
-                    self.mind.fetched(now, build, Err(why));
+                    self.lifecycle.fetched(now, build, Err(why));
                 }
             }
         }
@@ -484,8 +485,8 @@
 
     fn ordered(&mut self, said: &Value) {
         if self.order(said) {
-            let kept = json!({ "generation": self.mind.generation, "builds": self.mind.wanted, "keep": self.mind.keep });
-            tracing::info!(event = "order", generation = self.mind.generation, builds = ?self.mind.wanted);
+            let kept = json!({ "generation": self.lifecycle.generation, "builds": self.lifecycle.wanted, "keep": self.lifecycle.keep });
+            tracing::info!(event = "order", generation = self.lifecycle.generation, builds = ?self.lifecycle.wanted);
             let file = self.agent.state.join("order.json");
             if let Err(err) = rockpick_control::atomic_file::replace(&file, kept.to_string().as_bytes()) {
                 tracing::error!(event = "order not kept", why = %err);
@@ -493,7 +494,7 @@
         }
         for (build, order) in said["orders"].as_object().into_iter().flatten() {
             if let (Ok(build), Some("stop")) = (build.parse::<u32>(), order.as_str()) {
-                for todo in self.mind.drained(self.net.now(), build) {
+                for todo in self.lifecycle.drained(self.net.now(), build) {
                     self.carry_out(todo);
                 }
             }
