--- a/agent/src/lib.rs
+++ b/agent/src/lib.rs
@@ -1,5 +1,5 @@
-//! The agent on each server: the controller orders, the agent acts and reports what is. [`lifecycle`] decides
-//! without I/O; `runtime` has the downloads, the processes and the calls.
+//! The agent on each server: it carries out the controller's orders and reports what runs. [`lifecycle`] decides and
+//! does no I/O; `runtime` does the downloads, the processes and the calls.
 mod fetch;
 pub mod lifecycle;
 mod process;
--- a/agent/src/lifecycle.rs
+++ b/agent/src/lifecycle.rs
@@ -1,32 +1,32 @@
-//! What the agent of one place decides: no I/O, no clock. Orders say which builds should run here; events say
-//! what became of what was done; [`Lifecycle::step`] says what to do next.
+//! The decisions of one place's agent, without I/O or a clock. Orders say which builds should run here, events report
+//! the results of actions, and [`Lifecycle::step`] returns the next actions.
 //!
-//! Who is right when agent, controller and roster disagree: about what *runs*, the agent, which looks at its
-//! processes and reports what is; about what *should* run, the order of the highest generation; about who may
-//! still be sent RPCs, the roster, as fronts know nothing else. So an agent never ends a build that has served
-//! before the controller says that its drain is over, whatever the order.
+//! Which source is authoritative when agent, controller and roster disagree: on what *runs*, the agent, which observes
+//! its processes; on what *should* run, the order of the highest generation; on which machines may still receive RPCs,
+//! the roster, as fronts know nothing else. So an agent never ends a build that has served before the controller
+//! reports that its drain is over, whatever the order says.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whole nanoseconds.
+/// Time in nanoseconds.
 pub type Ns = i64;
 const SEC: Ns = 1_000_000_000;
 
-/// A build that is not ready within this has failed.
-const START_WITHIN: Ns = 10 * SEC;
-/// A process that was asked to end and has not is killed after this.
-const KILL_AFTER: Ns = 5 * SEC;
-/// Waits after failures double from here to there, and are drawn from their upper half, so that a fleet whose
-/// fetches fail together does not come again together.
-const FIRST_WAIT: Ns = SEC / 2;
-const LONGEST_WAIT: Ns = 30 * SEC;
-/// Failures in a row after which the place is told of as unfit for the build; tries go on.
+/// A build that is not ready after this time has failed.
+const START_TIMEOUT: Ns = 10 * SEC;
+/// Delay between SIGTERM and SIGKILL.
+const KILL_DELAY: Ns = 5 * SEC;
+/// Bounds of the retry delay, which doubles with each failure. It is drawn from its upper half, so that a fleet whose
+/// fetches fail together does not retry together.
+const MIN_RETRY_DELAY: Ns = SEC / 2;
+const MAX_RETRY_DELAY: Ns = 30 * SEC;
+/// Consecutive failures after which the place is reported as unfit for the build; retries go on.
 pub const UNFIT_FAILURES: u32 = 3;
-/// A build that has run this long has left its earlier failures behind.
-const STEADY: Ns = 60 * SEC;
-/// Artefacts kept that nobody wants now; the one to go back to is kept besides.
-const MOST_KEPT: usize = 2;
+/// A build that has run this long starts again at no failures.
+const STABLE_TIME: Ns = 60 * SEC;
+/// Most artefacts kept that are not wanted now, besides the one for a rollback.
+const MAX_IDLE_ARTEFACTS: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
@@ -37,7 +37,7 @@
     Serving,
     Draining,
     Stopping,
-    /// Waits to be tried again.
+    /// Waits for a retry.
     Failed,
 }
 
@@ -54,19 +54,20 @@
     }
 }
 
-/// What to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Fetch the build and check it against what was signed.
+    /// Fetch the build and verify it against the signed metadata.
     Fetch(u32),
-    /// Leave a fetch; what has come of it may stay for a later one.
+    /// Cancel a fetch; bytes received so far may be kept for a later one.
     CancelFetch(u32),
-    /// Check the artefact once more, then start it.
+    /// Verify the artefact again, then start it.
     Start(u32),
-    /// Ask the process to end; then kill its whole group.
+    /// Send SIGTERM to the process group.
     Terminate(u32),
+    /// Send SIGKILL to the process group.
     Kill(u32),
-    /// Throw an artefact away.
+    /// Delete an artefact.
     Delete(u32),
 }
 
@@ -75,7 +76,7 @@
     pub state: State,
     since: Ns,
     failures: u32,
-    retry: Ns,
+    retry_at: Ns,
     killed: bool,
     pub why: String,
 }
@@ -85,9 +86,9 @@
     pub wanted: BTreeSet<u32>,
     pub keep: BTreeSet<u32>,
     pub jobs: BTreeMap<u32, Job>,
-    /// Artefacts that are here and were checked.
+    /// Builds whose artefact is on disk and was verified.
     pub artefacts: BTreeSet<u32>,
-    chance: StdRng,
+    rng: StdRng,
 }
 
 impl Lifecycle {
@@ -98,11 +99,11 @@
             keep: BTreeSet::new(),
             jobs: BTreeMap::new(),
             artefacts: BTreeSet::new(),
-            chance: StdRng::seed_from_u64(seed),
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// An order; one older than the last taken changes nothing.
+    /// Applies an order; one of a lower generation than the last is ignored. Returns whether it was applied.
     pub fn apply_order(&mut self, generation: u64, wanted: BTreeSet<u32>, keep: BTreeSet<u32>) -> bool {
         if generation < self.generation {
             return false;
@@ -111,15 +112,15 @@
         true
     }
 
-    fn job(&mut self, build: u32, state: State, now: Ns) {
-        let fresh = Job { state, since: now, failures: 0, retry: 0, killed: false, why: String::new() };
-        let job = self.jobs.entry(build).or_insert(fresh);
+    fn set_state(&mut self, build: u32, state: State, now: Ns) {
+        let new_job = Job { state, since: now, failures: 0, retry_at: 0, killed: false, why: String::new() };
+        let job = self.jobs.entry(build).or_insert(new_job);
         (job.state, job.since, job.killed) = (state, now, false);
     }
 
-    /// A process of this build was found running when the agent came up. What is, not what was ordered.
+    /// Takes over a process of this build that was found running at the agent's start, whatever the order says.
     pub fn adopt(&mut self, now: Ns, build: u32, state: State) {
-        self.job(build, state, now);
+        self.set_state(build, state, now);
         self.artefacts.insert(build);
     }
 
@@ -128,35 +129,35 @@
             Ok(()) => {
                 self.artefacts.insert(build);
                 if self.jobs.get(&build).is_some_and(|j| j.state == State::Fetching) {
-                    self.job(build, State::Verified, now);
+                    self.set_state(build, State::Verified, now);
                 }
             }
             Err(why) => self.failed(now, build, why),
         }
     }
 
-    /// The process listens; then it is ready for RPCs.
+    /// The process listens, but is not ready for RPCs yet.
     pub fn listens(&mut self, now: Ns, build: u32) {
-        self.moved(now, build, State::Starting, State::Warming);
+        self.advance(now, build, State::Starting, State::Warming);
     }
 
     pub fn ready(&mut self, now: Ns, build: u32) {
-        self.moved(now, build, State::Warming, State::Serving);
+        self.advance(now, build, State::Warming, State::Serving);
     }
 
-    fn moved(&mut self, now: Ns, build: u32, from: State, to: State) {
+    fn advance(&mut self, now: Ns, build: u32, from: State, to: State) {
         if let Some(job) = self.jobs.get_mut(&build).filter(|j| j.state == from) {
             (job.state, job.since) = (to, now);
         }
     }
 
-    /// The artefact is not what was signed for any more: fetched anew.
+    /// The artefact no longer matches its recorded hash; it will be fetched again.
     pub fn artefact_damaged(&mut self, now: Ns, build: u32, why: String) {
         self.artefacts.remove(&build);
         self.failed(now, build, why);
     }
 
-    /// The process has ended, by itself or as asked.
+    /// The process has ended, by itself or on request.
     pub fn exited(&mut self, now: Ns, build: u32, how: String) {
         match self.jobs.get(&build).map(|j| j.state) {
             Some(State::Stopping) => drop(self.jobs.remove(&build)),
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The controller's word that fronts have left it and its drain is over.
+    /// The controller reports that the build's drain is over and fronts no longer use it.
     pub fn drained(&mut self, now: Ns, build: u32) -> Vec<Action> {
         match self.jobs.get_mut(&build).filter(|j| j.state == State::Draining) {
             Some(job) => {
@@ -178,49 +179,53 @@
     }
 
     pub fn failed(&mut self, now: Ns, build: u32, why: String) {
-        let draw = self.chance.random_range(0.5..1.0);
+        let draw = self.rng.random_range(0.5..1.0);
         let Some(job) = self.jobs.get_mut(&build) else { return };
-        if matches!(job.state, State::Serving | State::Draining) && now - job.since > STEADY {
+        if matches!(job.state, State::Serving | State::Draining) && now - job.since > STABLE_TIME {
             job.failures = 0;
         }
         job.failures += 1;
-        let wait = (FIRST_WAIT << (job.failures - 1).min(16)).min(LONGEST_WAIT);
+        let wait = (MIN_RETRY_DELAY << (job.failures - 1).min(16)).min(MAX_RETRY_DELAY);
         (job.state, job.since, job.why) = (State::Failed, now, why);
-        job.retry = now + (wait as f64 * draw) as Ns;
+        job.retry_at = now + (wait as f64 * draw) as Ns;
     }
 
-    /// Failed so often in a row that the place should not be counted on for this build.
+    /// Whether the build has failed so often in a row that the place should not be relied on for it.
     pub fn unfit(&self, build: u32) -> bool {
         self.jobs
             .get(&build)
             .is_some_and(|j| j.failures >= UNFIT_FAILURES && !matches!(j.state, State::Serving))
     }
 
+    /// Compares the order with the state of each build and returns the actions to take.
     pub fn step(&mut self, now: Ns) -> Vec<Action> {
-        let mut todo = Vec::new();
+        let mut actions = Vec::new();
         for build in self.wanted.clone() {
-            let have = self.artefacts.contains(&build);
+            let has_artefact = self.artefacts.contains(&build);
             let state = self.jobs.get(&build).map(|j| j.state);
-            let again = self.jobs.get(&build).is_some_and(|j| j.state == State::Failed && j.retry <= now);
+            let retry_due =
+                self.jobs.get(&build).is_some_and(|j| j.state == State::Failed && j.retry_at <= now);
             match state {
-                None if have => self.job(build, State::Verified, now),
-                Some(State::Failed) if again && have => self.job(build, State::Verified, now),
+                None if has_artefact => self.set_state(build, State::Verified, now),
+                Some(State::Failed) if retry_due && has_artefact => {
+                    self.set_state(build, State::Verified, now)
+                }
                 None => {
-                    self.job(build, State::Fetching, now);
-                    todo.push(Action::Fetch(build));
+                    self.set_state(build, State::Fetching, now);
+                    actions.push(Action::Fetch(build));
                 }
-                Some(State::Failed) if again => {
-                    self.job(build, State::Fetching, now);
-                    todo.push(Action::Fetch(build));
+                Some(State::Failed) if retry_due => {
+                    self.set_state(build, State::Fetching, now);
+                    actions.push(Action::Fetch(build));
                 }
-                // Wanted again before its drain was over: it never stopped serving.
-                Some(State::Draining) => self.job(build, State::Serving, now),
+                // Wanted again before its drain was over, so it never stopped serving.
+                Some(State::Draining) => self.set_state(build, State::Serving, now),
                 _ => {}
             }
             if self.jobs.get(&build).is_some_and(|j| j.state == State::Verified) {
-                // Its start is in hand: the event of it moves the state on.
-                self.job(build, State::Starting, now);
-                todo.push(Action::Start(build));
+                // The start is under way; the event that reports it changes the state.
+                self.set_state(build, State::Starting, now);
+                actions.push(Action::Start(build));
             }
         }
         let unwanted: Vec<u32> = self.jobs.keys().copied().filter(|b| !self.wanted.contains(b)).collect();
@@ -228,35 +233,36 @@
             match self.jobs[&build].state {
                 State::Fetching => {
                     self.jobs.remove(&build);
-                    todo.push(Action::CancelFetch(build));
+                    actions.push(Action::CancelFetch(build));
                 }
                 State::Verified | State::Failed => drop(self.jobs.remove(&build)),
-                // It has never served, so nobody has to be told first.
+                // It has never served, so no drain is needed.
                 State::Starting | State::Warming => {
-                    self.job(build, State::Stopping, now);
-                    todo.push(Action::Terminate(build));
+                    self.set_state(build, State::Stopping, now);
+                    actions.push(Action::Terminate(build));
                 }
-                State::Serving => self.job(build, State::Draining, now),
+                State::Serving => self.set_state(build, State::Draining, now),
                 State::Draining | State::Stopping => {}
             }
         }
         for (build, job) in &mut self.jobs {
-            let waited = now - job.since;
-            let starts = matches!(job.state, State::Starting | State::Warming) && waited > START_WITHIN;
-            let stops = job.state == State::Stopping && waited > KILL_AFTER;
-            if (starts || stops) && !job.killed {
+            let elapsed = now - job.since;
+            let start_timed_out =
+                matches!(job.state, State::Starting | State::Warming) && elapsed > START_TIMEOUT;
+            let stop_timed_out = job.state == State::Stopping && elapsed > KILL_DELAY;
+            if (start_timed_out || stop_timed_out) && !job.killed {
                 job.killed = true;
-                todo.push(Action::Kill(*build));
+                actions.push(Action::Kill(*build));
             }
         }
-        // The lowest artefacts go first: the newest are the likeliest to be wanted again.
+        // The lowest builds are deleted first: the newest are the most likely to be wanted again.
         let needed = |b: &u32| self.wanted.contains(b) || self.keep.contains(b) || self.jobs.contains_key(b);
         let idle: Vec<u32> = self.artefacts.iter().copied().filter(|b| !needed(b)).collect();
-        for build in idle.iter().take(idle.len().saturating_sub(MOST_KEPT)) {
+        for build in idle.iter().take(idle.len().saturating_sub(MAX_IDLE_ARTEFACTS)) {
             self.artefacts.remove(build);
-            todo.push(Action::Delete(*build));
+            actions.push(Action::Delete(*build));
         }
-        todo
+        actions
     }
 }
 
@@ -297,9 +303,13 @@
         assert!(lifecycle.apply_order(7, set(&[1]), set(&[1])));
         assert!(!lifecycle.apply_order(6, set(&[1, 2]), set(&[1])));
         assert_eq!((lifecycle.step(0), lifecycle.jobs[&2].state), (vec![], State::Draining));
-        assert_eq!(lifecycle.step(60 * SEC), [], "it goes on until its drain is over, however long");
+        assert_eq!(lifecycle.step(60 * SEC), [], "it keeps serving until its drain is over, however long");
         assert_eq!(lifecycle.drained(60 * SEC, 2), [Action::Terminate(2)]);
-        assert_eq!(lifecycle.drained(60 * SEC, 1), [], "one that serves is not ended by a word for another");
+        assert_eq!(
+            lifecycle.drained(60 * SEC, 1),
+            [],
+            "a serving build ignores a report that its drain is over"
+        );
         assert_eq!(lifecycle.step(66 * SEC), [Action::Kill(2)]);
         assert_eq!(lifecycle.step(67 * SEC), [], "once");
         lifecycle.exited(67 * SEC, 2, "killed".into());
@@ -308,7 +318,11 @@
             let mut lifecycle = serving(&[1]);
             lifecycle.adopt(0, 2, state);
             lifecycle.apply_order(2, set(&[1]), set(&[]));
-            assert_eq!(lifecycle.step(0), [Action::Terminate(2)], "{state:?}: never served, so at once");
+            assert_eq!(
+                lifecycle.step(0),
+                [Action::Terminate(2)],
+                "{state:?}: never served, so terminated at once"
+            );
         }
         let mut lifecycle = serving(&[1]);
         lifecycle.apply_order(2, set(&[1, 2]), set(&[]));
@@ -316,7 +330,7 @@
         lifecycle.apply_order(3, set(&[1]), set(&[]));
         assert_eq!(lifecycle.step(0), [Action::CancelFetch(2)]);
         lifecycle.fetched(SEC, 2, Ok(()));
-        assert_eq!(lifecycle.step(SEC), [], "what comes late starts nothing");
+        assert_eq!(lifecycle.step(SEC), [], "a late fetch starts nothing");
     }
 
     #[test]
@@ -332,9 +346,12 @@
             waits.push(now - began);
             lifecycle.fetched(now, 2, Err("no".into()));
         }
-        assert!(waits[1] >= FIRST_WAIT / 2 && waits[4] >= 2 * SEC && waits[8] <= LONGEST_WAIT, "{waits:?}");
+        assert!(
+            waits[1] >= MIN_RETRY_DELAY / 2 && waits[4] >= 2 * SEC && waits[8] <= MAX_RETRY_DELAY,
+            "{waits:?}"
+        );
         assert!(lifecycle.unfit(2));
-        // One that does not come up in time is killed, and its end counts as a failure.
+        // A build that is not ready in time is killed, and its exit counts as a failure.
         let mut lifecycle = serving(&[]);
         lifecycle.apply_order(2, set(&[3]), set(&[]));
         lifecycle.artefacts.insert(3);
@@ -345,7 +362,7 @@
     }
 
     #[test]
-    fn the_one_to_go_back_to_is_never_thrown_away() {
+    fn the_build_to_roll_back_to_is_never_deleted() {
         let mut lifecycle = serving(&[9]);
         lifecycle.artefacts.extend([1, 2, 3, 4, 5]);
         lifecycle.apply_order(2, set(&[9]), set(&[1, 9]));
--- a/cli/tests/agent.rs
+++ b/cli/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The agent with a real controller, repository and processes: what must never start, and what must end.
+//! The agent with a real controller, repository and processes: which builds must never start, and which must end.
 mod peers;
 
 use peers::*;
@@ -10,14 +10,14 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-struct Yard {
+struct Deployment {
     dir: tempfile::TempDir,
     controller: Option<Proc>,
     at: std::net::SocketAddr,
     agents: Vec<Child>,
 }
 
-impl Drop for Yard {
+impl Drop for Deployment {
     fn drop(&mut self) {
         for agent in &mut self.agents {
             let pid = rustix::process::Pid::from_raw(agent.id() as i32).unwrap();
@@ -31,7 +31,7 @@
     Command::new(env!("CARGO_BIN_EXE_rockpick")).args(args).output().unwrap()
 }
 
-impl Yard {
+impl Deployment {
     fn path(&self, name: &str) -> PathBuf {
         self.dir.path().join(name)
     }
@@ -40,33 +40,34 @@
         self.path(name).to_string_lossy().into_owned()
     }
 
-    /// A repository with some builds, and a controller that serves it.
-    fn begin(places: usize, builds: &[(u32, &str)]) -> Yard {
+    /// Makes a repository with these builds and starts a controller that serves it.
+    fn new(places: usize, builds: &[(u32, &str)]) -> Deployment {
         let at = "127.0.0.1:0".parse().unwrap();
-        let mut yard = Yard { dir: tempfile::tempdir().unwrap(), controller: None, at, agents: Vec::new() };
-        let (repo, keys) = (yard.text("repo"), yard.text("keys"));
+        let mut deployment =
+            Deployment { dir: tempfile::tempdir().unwrap(), controller: None, at, agents: Vec::new() };
+        let (repo, keys) = (deployment.text("repo"), deployment.text("keys"));
         assert!(rockpick(&["repo", "init", "--dir", &repo, "--keys", &keys]).status.success());
-        builds.iter().for_each(|(build, more)| yard.add(*build, more));
-        yard.control();
-        let mut charter = Settings::example(1, places);
-        charter.guard.drain_grace_ms = 300;
-        charter.methods.iter_mut().for_each(|m| (m.soft_deadline_ms, m.deadline_ms) = (200, 400));
-        let settings = serde_json::to_string(&charter).unwrap();
-        assert_eq!(rockpick_rehearse::call(yard.at, "PUT", "/settings", &settings).unwrap().status, 200);
-        yard
+        builds.iter().for_each(|(build, more)| deployment.add_build(*build, more));
+        deployment.start_controller();
+        let mut settings = Settings::example(1, places);
+        settings.guard.drain_grace_ms = 300;
+        settings.methods.iter_mut().for_each(|m| (m.soft_deadline_ms, m.deadline_ms) = (200, 400));
+        let text = serde_json::to_string(&settings).unwrap();
+        assert_eq!(rockpick_rehearse::call(deployment.at, "PUT", "/settings", &text).unwrap().status, 200);
+        deployment
     }
 
-    fn control(&mut self) {
+    fn start_controller(&mut self) {
         let (state, repo, at) = (self.text("control"), self.text("repo"), self.at.to_string());
         self.controller = Some(start(&["controller", "--state", &state, "--repo", &repo, "--listen", &at]));
         self.at = self.controller.as_ref().unwrap().at;
     }
 
-    /// Each build writes a line to `ran` when it starts; `more` runs before it serves.
-    fn add(&self, build: u32, more: &str) {
+    /// Adds a build that appends a line to the file `ran` when it starts; the shell commands `more` run before it serves.
+    fn add_build(&self, build: u32, more: &str) {
         let artefact = self.path("artefact");
         let script = format!(
-            "#!/bin/sh\necho $ROCKPICK_NAME >> \"$YARD/ran\"\n{more}\nexec \"$ROCKPICK_PROGRAM\" machine --agent \
+            "#!/bin/sh\necho $ROCKPICK_NAME >> \"$TEST_DIR/ran\"\n{more}\nexec \"$ROCKPICK_PROGRAM\" machine --agent \
              --controller \"$ROCKPICK_CONTROLLER\" --name \"$ROCKPICK_NAME\" --place \"$ROCKPICK_PLACE\" \
              --build \"$ROCKPICK_BUILD\"\n"
         );
@@ -79,7 +80,7 @@
         assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     }
 
-    fn agent(&mut self, place: &str) {
+    fn start_agent(&mut self, place: &str) {
         let (root, state) = (self.text("repo/metadata/1.root.json"), self.text(&format!("agent-{place}")));
         let at = self.at.to_string();
         let args = ["agent", "--machine", place, "--controller", &at, "--state", &state, "--root", &root];
@@ -87,7 +88,7 @@
             .args(args)
             .args(["--take-down", "--rate", "1e8"])
             .env("ROCKPICK_PROGRAM", env!("CARGO_BIN_EXE_rockpick"))
-            .env("YARD", self.dir.path())
+            .env("TEST_DIR", self.dir.path())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(fs::File::create(self.path(&format!("agent-{place}.log"))).unwrap())
@@ -100,7 +101,7 @@
         get(self.at, "/status")
     }
 
-    /// The state of a build as the place's agent tells it.
+    /// The state of a build as reported by the place's agent.
     fn state(&self, place: &str, build: u32) -> String {
         let status = self.status();
         let agents = status["agents"].as_array().unwrap();
@@ -109,7 +110,7 @@
         found.map_or("none".into(), |b| b["state"].as_str().unwrap().to_string())
     }
 
-    fn ran(&self) -> Vec<String> {
+    fn started_builds(&self) -> Vec<String> {
         let text = fs::read_to_string(self.path("ran")).unwrap_or_default();
         text.lines().map(String::from).collect()
     }
@@ -129,127 +130,139 @@
 }
 
 #[test]
-fn a_corrupt_or_unsigned_build_never_starts_and_the_place_is_told_of_as_unfit() {
-    let mut yard = Yard::begin(2, &[(1, ""), (2, "")]);
-    let target = targets(&yard.path("repo"), "build-2");
+fn a_corrupt_or_unsigned_build_never_starts_and_the_place_is_reported_as_unfit() {
+    let mut deployment = Deployment::new(2, &[(1, ""), (2, "")]);
+    let target = targets(&deployment.path("repo"), "build-2");
     let mut bytes = fs::read(&target).unwrap();
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     fs::write(&target, &bytes).unwrap();
-    yard.agent("p0");
-    yard.agent("p1");
-    until("build 1 serves", || ["p0", "p1"].iter().all(|p| yard.state(p, 1) == "serving"));
-    assert_eq!(yard.post("/builds", "{\"build\":2}"), 201);
+    deployment.start_agent("p0");
+    deployment.start_agent("p1");
+    until("build 1 serves", || ["p0", "p1"].iter().all(|p| deployment.state(p, 1) == "serving"));
+    assert_eq!(deployment.post("/builds", "{\"build\":2}"), 201);
     until("the first place is unfit", || {
-        yard.state("p0", 2) == "failed" && yard.log("p0").contains("its hash")
+        deployment.state("p0", 2) == "failed" && deployment.log("p0").contains("its hash")
     });
-    // The other place takes its turn, and fails likewise; the stage does not move.
-    until("the second place tries", || yard.state("p1", 2) == "failed");
-    assert_eq!(yard.status()["stage"]["stage"], 0);
-    assert_eq!(yard.post("/builds", "{\"build\":3}"), 201);
-    until("a build that nobody signed is refused", || {
-        yard.log("p0").contains("build-3: not signed for")
-            || yard.log("p1").contains("build-3: not signed for")
+    // The stage takes the other place, which fails too, so the stage does not advance.
+    until("the second place tries", || deployment.state("p1", 2) == "failed");
+    assert_eq!(deployment.status()["stage"]["stage"], 0);
+    assert_eq!(deployment.post("/builds", "{\"build\":3}"), 201);
+    until("an unsigned build is refused", || {
+        deployment.log("p0").contains("build-3: not signed for")
+            || deployment.log("p1").contains("build-3: not signed for")
     });
-    let ran = yard.ran();
+    let ran = deployment.started_builds();
     assert!(ran.iter().all(|name| name.ends_with("..1")), "{ran:?}");
-    assert!(["p0", "p1"].iter().all(|p| yard.state(p, 1) == "serving"), "the earlier build serves on");
+    assert!(
+        ["p0", "p1"].iter().all(|p| deployment.state(p, 1) == "serving"),
+        "the earlier build keeps serving"
+    );
 }
 
 #[test]
 fn an_artefact_changed_on_disk_is_not_started_again() {
-    let mut yard = Yard::begin(1, &[(1, "")]);
-    yard.agent("p0");
-    until("build 1 serves", || yard.state("p0", 1) == "serving");
-    let artefact = yard.path("agent-p0/artefacts/build-1");
+    let mut deployment = Deployment::new(1, &[(1, "")]);
+    deployment.start_agent("p0");
+    until("build 1 serves", || deployment.state("p0", 1) == "serving");
+    let artefact = deployment.path("agent-p0/artefacts/build-1");
     fs::set_permissions(&artefact, fs::Permissions::from_mode(0o700)).unwrap();
     let text = fs::read_to_string(&artefact).unwrap();
     fs::write(&artefact, text.replace("echo $ROCKPICK_NAME", "echo intruder")).unwrap();
-    let pid: i32 = fs::read_to_string(yard.path("agent-p0/runs/1.pid")).unwrap().trim().parse().unwrap();
+    let pid: i32 =
+        fs::read_to_string(deployment.path("agent-p0/runs/1.pid")).unwrap().trim().parse().unwrap();
     rustix::process::kill_process(
         rustix::process::Pid::from_raw(pid).unwrap(),
         rustix::process::Signal::KILL,
     )
     .unwrap();
-    until("it has been fetched anew and serves", || {
-        yard.ran().len() == 2 && yard.state("p0", 1) == "serving"
+    until("it has been fetched again and serves", || {
+        deployment.started_builds().len() == 2 && deployment.state("p0", 1) == "serving"
     });
-    assert_eq!(yard.ran(), ["p0..1", "p0..1"]);
-    assert!(yard.log("p0").contains("changed on disk"));
+    assert_eq!(deployment.started_builds(), ["p0..1", "p0..1"]);
+    assert!(deployment.log("p0").contains("changed on disk"));
 }
 
 #[test]
-fn a_rollback_in_mid_start_reaches_an_agent_that_was_away_and_ends_within_thirty_seconds() {
-    // Build 2 takes its time before it listens.
-    let mut yard = Yard::begin(2, &[(1, ""), (2, "sleep 8")]);
-    yard.agent("p0");
-    yard.agent("p1");
-    until("build 1 serves", || ["p0", "p1"].iter().all(|p| yard.state(p, 1) == "serving"));
-    yard.post("/builds", "{\"build\":2}");
-    until("build 2 is starting", || yard.ran().iter().any(|r| r.ends_with("..2")));
-    let away = if yard.ran().contains(&"p0..2".to_string()) { 0 } else { 1 };
-    let place = ["p0", "p1"][away];
-    yard.agents[away].kill().unwrap();
-    yard.agents[away].wait().unwrap();
-    let pid: i32 =
-        fs::read_to_string(yard.path(&format!("agent-{place}/runs/2.pid"))).unwrap().trim().parse().unwrap();
-    let began = Instant::now();
-    assert_eq!(yard.post("/builds/2/back", ""), 200);
-    yard.agent(place);
+fn a_rollback_in_mid_start_reaches_an_agent_that_was_down_and_ends_within_thirty_seconds() {
+    // Build 2 sleeps before it listens.
+    let mut deployment = Deployment::new(2, &[(1, ""), (2, "sleep 8")]);
+    deployment.start_agent("p0");
+    deployment.start_agent("p1");
+    until("build 1 serves", || ["p0", "p1"].iter().all(|p| deployment.state(p, 1) == "serving"));
+    deployment.post("/builds", "{\"build\":2}");
+    until("build 2 is starting", || deployment.started_builds().iter().any(|r| r.ends_with("..2")));
+    let down = if deployment.started_builds().contains(&"p0..2".to_string()) { 0 } else { 1 };
+    let place = ["p0", "p1"][down];
+    deployment.agents[down].kill().unwrap();
+    deployment.agents[down].wait().unwrap();
+    let pid: i32 = fs::read_to_string(deployment.path(&format!("agent-{place}/runs/2.pid")))
+        .unwrap()
+        .trim()
+        .parse()
+        .unwrap();
+    let started = Instant::now();
+    assert_eq!(deployment.post("/builds/2/back", ""), 200);
+    deployment.start_agent(place);
     until("its process has ended", || !Path::new(&format!("/proc/{pid}/stat")).exists());
-    until("nothing is left of it", || yard.state(place, 2) == "none");
-    assert!(began.elapsed() < Duration::from_secs(30));
-    until("withdrawn", || yard.status()["stage"]["phase"] == "withdrawn");
-    assert_eq!(yard.state(place, 1), "serving", "found again, and left alone");
-    assert_eq!(yard.ran().iter().filter(|r| r.ends_with("..1")).count(), 2, "it was not started twice");
+    until("the agent has removed the build", || deployment.state(place, 2) == "none");
+    assert!(started.elapsed() < Duration::from_secs(30));
+    until("withdrawn", || deployment.status()["stage"]["phase"] == "withdrawn");
+    assert_eq!(deployment.state(place, 1), "serving", "adopted as it was");
+    assert_eq!(
+        deployment.started_builds().iter().filter(|r| r.ends_with("..1")).count(),
+        2,
+        "build 1 was not started twice"
+    );
 }
 
 #[test]
 fn expired_and_rolled_back_manifests_in_mid_stage_stop_the_new_build_alone() {
-    let mut yard = Yard::begin(1, &[(1, "")]);
-    let metadata = yard.path("repo/metadata");
+    let mut deployment = Deployment::new(1, &[(1, "")]);
+    let metadata = deployment.path("repo/metadata");
     let old = fs::read(metadata.join("timestamp.json")).unwrap();
-    yard.agent("p0");
-    until("build 1 serves", || yard.state("p0", 1) == "serving");
-    yard.add(2, "");
+    deployment.start_agent("p0");
+    until("build 1 serves", || deployment.state("p0", 1) == "serving");
+    deployment.add_build(2, "");
     let new = fs::read(metadata.join("timestamp.json")).unwrap();
-    yard.post("/builds", "{\"build\":2}");
-    until("build 2 serves", || yard.state("p0", 2) == "serving");
-    // The repository goes back to what it was before build 2; build 3 is offered.
+    deployment.post("/builds", "{\"build\":2}");
+    until("build 2 serves", || deployment.state("p0", 2) == "serving");
+    // The repository is rolled back to its state before build 2, and build 3 is offered.
     fs::write(metadata.join("timestamp.json"), &old).unwrap();
-    yard.post("/builds", "{\"build\":3}");
-    until("the rollback is refused", || yard.log("p0").contains("rolled back"));
+    deployment.post("/builds", "{\"build\":3}");
+    until("the rollback is refused", || deployment.log("p0").contains("rolled back"));
     fs::write(metadata.join("timestamp.json"), &new).unwrap();
-    yard.add(3, "");
-    until("build 3 serves", || yard.state("p0", 3) == "serving");
-    assert_eq!(yard.state("p0", 1), "serving");
-    let ran = yard.ran();
+    deployment.add_build(3, "");
+    until("build 3 serves", || deployment.state("p0", 3) == "serving");
+    assert_eq!(deployment.state("p0", 1), "serving");
+    let ran = deployment.started_builds();
     assert_eq!(ran.iter().filter(|r| r.ends_with("..1")).count(), 1, "{ran:?}");
 }
 
 #[test]
 fn drains_run_in_order_and_a_restarted_controller_orders_nothing_it_does_not_know() {
-    let mut yard = Yard::begin(1, &[(1, ""), (2, "")]);
-    yard.agent("p0");
-    until("build 1 serves", || yard.state("p0", 1) == "serving");
-    yard.post("/builds", "{\"build\":2}");
-    until("build 2 serves", || yard.state("p0", 2) == "serving");
-    let generation = yard.status()["generation"].as_u64().unwrap();
-    yard.controller = None;
-    yard.control();
+    let mut deployment = Deployment::new(1, &[(1, ""), (2, "")]);
+    deployment.start_agent("p0");
+    until("build 1 serves", || deployment.state("p0", 1) == "serving");
+    deployment.post("/builds", "{\"build\":2}");
+    until("build 2 serves", || deployment.state("p0", 2) == "serving");
+    let generation = deployment.status()["generation"].as_u64().unwrap();
+    deployment.controller = None;
+    deployment.start_controller();
     until("both are known again", || {
-        let up = yard.status()["machines"].as_array().unwrap().iter().filter(|m| m["state"] == "up").count();
+        let up =
+            deployment.status()["machines"].as_array().unwrap().iter().filter(|m| m["state"] == "up").count();
         up == 2
     });
-    assert!(yard.status()["generation"].as_u64().unwrap() >= generation);
-    assert_eq!(yard.ran().len(), 2, "nothing was ended or started anew");
-    let began = Instant::now();
-    assert_eq!(yard.post("/builds/2/back", ""), 200);
-    until("told as draining before it ends", || {
-        let status = yard.status();
+    assert!(deployment.status()["generation"].as_u64().unwrap() >= generation);
+    assert_eq!(deployment.started_builds().len(), 2, "nothing was ended or started again");
+    let started = Instant::now();
+    assert_eq!(deployment.post("/builds/2/back", ""), 200);
+    until("reported as draining before it ends", || {
+        let status = deployment.status();
         let m = status["machines"].as_array().unwrap().iter().find(|m| m["name"] == "p0..2").cloned();
         m.is_some_and(|m| m["state"] == "draining")
     });
-    until("ended", || yard.state("p0", 2) == "none");
-    assert!(began.elapsed() > Duration::from_millis(600), "not before the grace was over");
+    until("ended", || deployment.state("p0", 2) == "none");
+    assert!(started.elapsed() > Duration::from_millis(600), "not before the grace was over");
 }
