--- a/trust/src/client.rs
+++ b/trust/src/client.rs
@@ -1,20 +1,20 @@
-//! The client workflow of the TUF specification, section 5, as a state machine without I/O: it says which
-//! file it wants next and how long that may be; its caller fetches, and hands over what came. What it has
-//! come to trust is in [`Trusted`], to be kept between refreshes.
+//! The client workflow of the TUF specification, section 5, as a state machine without I/O: it names the file it needs
+//! next and that file's maximum length; the caller fetches it and passes the result. The caller stores what has been
+//! verified, [`Trusted`], between refreshes.
 //!
-//! Delegations are not followed: the top-level targets role signs all builds. The clock is the caller's word,
-//! taken once a refresh (section 5.1).
+//! Delegations are not followed: the top-level targets role signs all builds. The caller passes the time, once per
+//! refresh (section 5.1).
 use crate::meta::{malformed, parse_date, sha256, FileIndex, FileInfo, Root, Signed, Targets, VerifyError};
 use std::collections::BTreeMap;
 
-/// Longest root and timestamp that are fetched, whose lengths nobody signs; and the most for the others.
+/// Maximum lengths of a root and a timestamp, whose lengths are not signed, and of other metadata.
 pub const MAX_ROOT: usize = 512 * 1024;
 pub const MAX_TIMESTAMP: usize = 16 * 1024;
 pub const MAX_OTHER: usize = 1024 * 1024;
-/// Roots looked for in one refresh (section 5.3: Y, some bound): two years of weekly rotation.
+/// Most roots fetched in one refresh (the bound Y of section 5.3): two years of weekly rotation.
 const MAX_ROOTS: u64 = 128;
 
-/// What is trusted, byte for byte as it came. Only the root must be there.
+/// Trusted metadata, byte for byte as received. Only the root is required.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Trusted {
     pub root: Vec<u8>,
@@ -23,10 +23,10 @@
     pub targets: Option<Vec<u8>>,
 }
 
-/// What the refresh wants next.
+/// What the refresh needs next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
-    /// This metadata file, at most so long; `optional`: that it is not there is an answer.
+    /// A metadata file, at most `max_length` bytes long. An `optional` one may be missing.
     File {
         name: String,
         max_length: usize,
@@ -49,7 +49,7 @@
     now: i64,
     step: Step,
     root: Root,
-    first: u64,
+    first_version: u64,
     timestamp: Option<FileIndex>,
     snapshot: Option<FileIndex>,
     targets: Option<Targets>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Is this the file that was told of?
+/// Checks a file against the length and hash listed for it.
 fn check_file(name: &str, bytes: &[u8], expected: &FileInfo) -> Result<(), VerifyError> {
     if expected.length.is_some_and(|l| l != bytes.len() as u64) {
         return Err(VerifyError::Mismatch(format!("{name}: its length")));
@@ -75,21 +75,21 @@
 }
 
 impl Refresh {
-    /// Begins with what is trusted, at a time in seconds since 1970.
+    /// Starts from the trusted metadata; `now` is in seconds since 1970.
     ///
     /// # Errors
-    /// The trusted root itself must be one that its own keys have signed.
+    /// The trusted root is not signed by its own keys.
     pub fn new(trusted: Trusted, now: i64) -> Result<Refresh, VerifyError> {
         let signed = Signed::read(&trusted.root)?;
         let root: Root = signed.parse_signed("root")?;
         signed.verify_role(&root, "root")?;
-        let first = root.version;
+        let first_version = root.version;
         let mut refresh = Refresh {
             trusted,
             now,
             step: Step::Root,
             root,
-            first,
+            first_version,
             timestamp: None,
             snapshot: None,
             targets: None,
@@ -98,8 +98,8 @@
         Ok(refresh)
     }
 
-    /// Reads what was trusted before, for the checks against rollback; what the root no longer vouches for
-    /// is left out. Its expiry does not matter here.
+    /// Parses the metadata trusted before, for the checks against rollback, without what the current root's keys have
+    /// not signed. Its expiry does not matter here.
     fn load_trusted(&mut self) {
         let read = |bytes: &Option<Vec<u8>>, role: &str| -> Option<Signed> {
             let signed = Signed::read(bytes.as_ref()?).ok()?;
@@ -143,10 +143,10 @@
         }
     }
 
-    /// Takes what came for the present want; none: it is not there.
+    /// Handles the file that [`Refresh::next_request`] asked for; `None` if it does not exist.
     ///
     /// # Errors
-    /// The check that failed. What was trusted stays trusted, and the refresh ends there.
+    /// The check that failed. Metadata that was trusted stays trusted, and the refresh must not be continued.
     pub fn receive(&mut self, bytes: Option<&[u8]>) -> Result<(), VerifyError> {
         match (self.step, bytes) {
             (Step::Root, None) => self.finish_roots(),
@@ -162,7 +162,8 @@
         }
     }
 
-    /// Section 5.3.3 to 5.3.8: signed by the trusted root's keys and by its own, and the very next version.
+    /// Sections 5.3.3 to 5.3.8: the new root is signed by the trusted root's keys and by its own, and has the next
+    /// version.
     fn next_root(&mut self, bytes: &[u8]) -> Result<(), VerifyError> {
         let signed = Signed::read(bytes)?;
         let root: Root = signed.parse_signed("root")?;
@@ -172,7 +173,7 @@
         if root.version != wanted {
             return Err(VerifyError::Version { role: "root".into(), got: root.version, wanted });
         }
-        // Section 5.3.11: new keys for these roles recover from a fast-forward attack.
+        // Section 5.3.11: new keys for these roles allow recovery from a fast-forward attack.
         let keys_changed = |role: &str| {
             let keys = |r: &Root| r.roles.get(role).cloned();
             keys(&self.root) != keys(&root)
@@ -183,7 +184,7 @@
         }
         self.root = root;
         self.trusted.root = bytes.to_vec();
-        if self.root.version >= self.first + MAX_ROOTS {
+        if self.root.version >= self.first_version + MAX_ROOTS {
             return self.finish_roots();
         }
         Ok(())
@@ -213,7 +214,7 @@
             }
             if snapshot(old).is_some_and(|v| expected < v) {
                 return Err(VerifyError::Rollback(format!(
-                    "snapshot {expected} told of after {:?}",
+                    "snapshot {expected} listed after {:?}",
                     snapshot(old)
                 )));
             }
@@ -241,7 +242,7 @@
         }
         for (name, old) in self.snapshot.iter().flat_map(|s| &s.meta) {
             match new.meta.get(name) {
-                None => return Err(VerifyError::Rollback(format!("{name} is no longer told of"))),
+                None => return Err(VerifyError::Rollback(format!("{name} is no longer listed"))),
                 Some(now) if now.version < old.version => {
                     return Err(VerifyError::Rollback(format!(
                         "{name} {:?} after {:?}",
@@ -279,7 +280,7 @@
         Ok(())
     }
 
-    /// Once done: a target's line, and the path to fetch it under (section 5.7, consistent snapshots).
+    /// After the refresh: a target's metadata, and the path to fetch it from (section 5.7, consistent snapshots).
     pub fn target(&self, name: &str) -> Option<(FileInfo, String)> {
         let file = self.targets.as_ref().filter(|_| self.step == Step::Done)?.targets.get(name)?.clone();
         let hash = file.hashes.get("sha256")?;
--- a/trust/src/meta.rs
+++ b/trust/src/meta.rs
@@ -1,5 +1,5 @@
-//! Metadata as the TUF specification 1.0 has it (sections 4.2 to 4.6): canonical JSON, keys, signatures,
-//! thresholds, versions, expiry.
+//! Metadata of the TUF specification 1.0 (sections 4.2 to 4.6): canonical JSON, keys, signatures, thresholds, versions,
+//! expiry.
 use ed25519_dalek::{Signature, VerifyingKey};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -9,32 +9,32 @@
 pub const SPEC_VERSION: &str = "1.0.31";
 pub const ROLES: [&str; 4] = ["root", "targets", "snapshot", "timestamp"];
 
-/// Why metadata is not trusted. Each names the check that failed.
+/// Why metadata is not trusted: the check that failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum VerifyError {
-    /// Not the JSON that is wanted.
+    /// Not valid JSON of the expected form.
     Malformed(String),
-    /// Fewer valid signatures than the threshold asks for.
+    /// Fewer valid signatures than the role's threshold.
     Threshold {
         role: String,
         valid: usize,
         wanted: usize,
     },
-    /// Not the version that must come now.
+    /// Not the version expected next.
     Version {
         role: String,
         got: u64,
         wanted: u64,
     },
-    /// Older than what was trusted before.
+    /// Older than the version trusted before.
     Rollback(String),
     Expired {
         role: String,
         at: String,
     },
-    /// Another length or hash than was signed for.
+    /// A length or hash that differs from the signed one.
     Mismatch(String),
-    /// Something that must be there is not.
+    /// A required part is missing.
     Missing(String),
 }
 
@@ -43,10 +43,10 @@
         match self {
             VerifyError::Malformed(why) => write!(out, "malformed: {why}"),
             VerifyError::Threshold { role, valid, wanted } => {
-                write!(out, "{role}: {valid} valid signatures where {wanted} are wanted")
+                write!(out, "{role}: {valid} valid signatures, {wanted} required")
             }
             VerifyError::Version { role, got, wanted } => {
-                write!(out, "{role}: version {got} where {wanted} must come")
+                write!(out, "{role}: version {got}, expected {wanted}")
             }
             VerifyError::Rollback(what) => write!(out, "rolled back: {what}"),
             VerifyError::Expired { role, at } => write!(out, "{role}: expired at {at}"),
@@ -60,7 +60,7 @@
     VerifyError::Malformed(why.to_string())
 }
 
-/// Bytes that are signed and hashed: OLPC canonical JSON.
+/// Encodes a value as OLPC canonical JSON, the form that is signed and hashed.
 pub fn canonical(value: &Value) -> Result<Vec<u8>, VerifyError> {
     let mut out = Vec::new();
     let mut ser = serde_json::Serializer::with_formatter(&mut out, olpc_cjson::CanonicalFormatter::new());
@@ -85,7 +85,7 @@
         Key { keytype: "ed25519".into(), scheme: "ed25519".into(), keyval }
     }
 
-    /// Section 4.2: the hash of the key's canonical form.
+    /// The key's id (section 4.2): the hash of its canonical form.
     pub fn id(&self) -> Result<String, VerifyError> {
         Ok(sha256(&canonical(&serde_json::to_value(self).map_err(malformed)?)?))
     }
@@ -117,7 +117,7 @@
     pub roles: BTreeMap<String, Role>,
 }
 
-/// A line that tells of another metadata file, or of a target.
+/// Version, length and hashes of a metadata file or a target.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct FileInfo {
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -130,7 +130,7 @@
     pub custom: Option<Value>,
 }
 
-/// Timestamp and snapshot: what they tell of other files.
+/// A timestamp or snapshot: the metadata files it lists.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct FileIndex {
     #[serde(rename = "_type")]
@@ -163,7 +163,7 @@
     pub signed: Value,
 }
 
-/// Most signatures looked at: more than any threshold in use.
+/// Most signatures accepted: more than any threshold in use.
 const MAX_SIGNATURES: usize = 64;
 
 impl Signed {
@@ -174,21 +174,21 @@
         }
         let spec = signed.signed["spec_version"].as_str().unwrap_or("");
         if !spec.starts_with("1.") {
-            return Err(malformed(format!("spec_version '{spec}' where 1.x is wanted")));
+            return Err(malformed(format!("spec_version '{spec}', expected 1.x")));
         }
         Ok(signed)
     }
 
-    /// The signed part, of this type.
+    /// Parses the signed part, which must be of this `_type`.
     pub fn parse_signed<T: for<'a> Deserialize<'a>>(&self, kind: &str) -> Result<T, VerifyError> {
         if self.signed["_type"] != kind {
-            return Err(malformed(format!("_type {} where {kind} is wanted", self.signed["_type"])));
+            return Err(malformed(format!("_type {}, expected {kind}", self.signed["_type"])));
         }
         serde_json::from_value(self.signed.clone()).map_err(malformed)
     }
 
-    /// Section 5.3.4 and like it: a threshold of distinct keys of the role has signed. A key under two ids
-    /// counts once, and an id that is not its key's hash not at all.
+    /// Checks that at least the threshold of distinct keys of the role have signed (section 5.3.4 and others). A key
+    /// listed under two ids counts once, and one whose id is not its hash does not count.
     pub fn verify_role(&self, root: &Root, role: &str) -> Result<(), VerifyError> {
         let Some(wanted) = root.roles.get(role) else {
             return Err(VerifyError::Missing(format!("role {role}")));
@@ -219,7 +219,7 @@
     }
 }
 
-/// Seconds since 1970 of `YYYY-MM-DDTHH:MM:SSZ` (the one form that section 4.2 allows).
+/// Parses `YYYY-MM-DDTHH:MM:SSZ`, the only form that section 4.2 allows, to seconds since 1970.
 ///
 /// ```
 /// use rockpick_trust::meta::{format_date, parse_date};
@@ -246,7 +246,7 @@
     Some(days(y, m, d) * 86_400 + h * 3_600 + min * 60 + s)
 }
 
-/// Days since 1970-01-01 in the Gregorian calendar, by eras of 400 years that begin in March.
+/// Days since 1970-01-01 in the Gregorian calendar, computed in eras of 400 years that begin in March.
 fn days(y: i64, m: i64, d: i64) -> i64 {
     let y = if m <= 2 { y - 1 } else { y };
     let era = y.div_euclid(400);
@@ -255,6 +255,7 @@
     era * 146_097 + year * 365 + year / 4 - year / 100 + day - 719_468
 }
 
+/// Formats seconds since 1970 as `YYYY-MM-DDTHH:MM:SSZ`.
 pub fn format_date(at: i64) -> String {
     let (day, second) = (at.div_euclid(86_400), at.rem_euclid(86_400));
     let z = day + 719_468;
--- a/trust/src/repo.rs
+++ b/trust/src/repo.rs
@@ -1,5 +1,5 @@
-//! The repository: a folder of metadata and targets, and keys kept apart from it, each readable by its owner
-//! only. Roles are separable: a command needs only the keys of the roles that it signs.
+//! The repository: a folder of metadata and targets, and a separate folder of keys, each readable by its owner only. A
+//! command needs only the keys of the roles that it signs.
 use crate::client::{Refresh, Request, Trusted};
 use crate::meta::{
     canonical, format_date, malformed, sha256, FileIndex, FileInfo, Key, KeySignature, Role, Root, Signed,
@@ -17,9 +17,9 @@
 use std::os::unix::fs::{DirBuilderExt, OpenOptionsExt, PermissionsExt};
 use std::path::{Path, PathBuf};
 
-/// How long each role's metadata is good, in days: roots by hand once a year, timestamps by a nightly job.
+/// Days for which a role's metadata is valid: roots are signed by hand once a year, timestamps by a nightly job.
 const VALIDITY_DAYS: [(&str, i64); 4] = [("root", 365), ("targets", 90), ("snapshot", 14), ("timestamp", 2)];
-/// Largest artefact taken in, before and after unpacking.
+/// Largest artefact, packed and unpacked.
 pub const MAX_ARTEFACT: u64 = 1 << 30;
 
 pub struct Repo {
@@ -36,19 +36,19 @@
     error.to_string()
 }
 
-/// The signing keys of a role, from `DIR/ROLE-N.key`: a seed of 32 bytes in hex.
+/// Loads the signing keys of a role from `DIR/ROLE-N.key`, each a seed of 32 bytes in hex.
 pub fn load_keys(dir: &Path, role: &str) -> Result<Vec<SigningKey>, String> {
     let mut files: Vec<PathBuf> =
         fs::read_dir(dir).map_err(with_path(dir))?.flatten().map(|e| e.path()).collect();
     files.sort();
-    let ours = |p: &PathBuf| {
+    let is_of_role = |p: &PathBuf| {
         let name = p.file_name().and_then(|n| n.to_str()).unwrap_or("");
         let nth =
             name.strip_suffix(".key").and_then(|n| n.strip_prefix(role)).and_then(|n| n.strip_prefix('-'));
         nth.is_some_and(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()))
     };
     let mut keys = Vec::new();
-    for file in files.into_iter().filter(ours) {
+    for file in files.into_iter().filter(is_of_role) {
         let mode = fs::metadata(&file).map_err(with_path(&file))?.permissions().mode();
         if mode & 0o077 != 0 {
             return Err(format!(
@@ -64,12 +64,12 @@
     Ok(keys)
 }
 
-/// Makes keys for a role beside those it has; returns all new ones.
-fn make_keys(dir: &Path, role: &str, many: usize) -> Result<Vec<SigningKey>, String> {
+/// Generates new keys for a role in addition to those it has; returns the new ones.
+fn make_keys(dir: &Path, role: &str, count: usize) -> Result<Vec<SigningKey>, String> {
     fs::DirBuilder::new().recursive(true).mode(0o700).create(dir).map_err(with_path(dir))?;
     let mut made = Vec::new();
     let mut nth = 1;
-    while made.len() < many {
+    while made.len() < count {
         let file = dir.join(format!("{role}-{nth}.key"));
         nth += 1;
         if file.exists() {
@@ -91,7 +91,7 @@
     Key::ed25519(&key.verifying_key().to_bytes())
 }
 
-/// Signs with all keys given.
+/// Signs with all of `keys`.
 pub fn sign(part: &impl Serialize, keys: &[SigningKey]) -> Result<Vec<u8>, String> {
     let signed = serde_json::to_value(part).map_err(|err| err.to_string())?;
     let bytes = canonical(&signed).map_err(to_text)?;
@@ -117,7 +117,7 @@
         atomic_file::replace(&at, bytes).map_err(with_path(&at))
     }
 
-    /// The newest root.
+    /// Reads the newest root.
     pub fn root(&self) -> Result<Root, String> {
         let dir = self.dir.join("metadata");
         let names = fs::read_dir(&dir).map_err(with_path(&dir))?.flatten();
@@ -137,30 +137,30 @@
             .map_err(to_text)
     }
 
-    /// A new repository, with keys of its own: `many` a role, all of which must sign.
-    pub fn init(&self, keydir: &Path, many: usize) -> Result<(), String> {
-        if !(1..=16).contains(&many) {
+    /// Creates a repository and its keys: `count` for each role, all of which must sign.
+    pub fn init(&self, keydir: &Path, count: usize) -> Result<(), String> {
+        if !(1..=16).contains(&count) {
             return Err("1 to 16 keys a role".into());
         }
         for sub in ["metadata", "targets"] {
             let at = self.dir.join(sub);
             fs::create_dir_all(&at).map_err(with_path(&at))?;
         }
-        // Also one whose root can't be read: it must not be written over for that.
+        // True also for a repository whose root can't be read, which must not be overwritten.
         if self.newest("root").is_ok() {
             return Err(format!("{}: there is a repository already", self.dir.display()));
         }
-        let (mut listed, mut roles, mut held) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (mut root_keys, mut roles, mut role_keys) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         for role in ROLES {
-            let keys = make_keys(keydir, role, many)?;
+            let keys = make_keys(keydir, role, count)?;
             let mut keyids = Vec::new();
             for key in &keys {
                 let id = public_key(key).id().map_err(to_text)?;
-                listed.insert(id.clone(), public_key(key));
+                root_keys.insert(id.clone(), public_key(key));
                 keyids.push(id);
             }
-            roles.insert(role.to_string(), Role { keyids, threshold: many });
-            held.insert(role, keys);
+            roles.insert(role.to_string(), Role { keyids, threshold: count });
+            role_keys.insert(role, keys);
         }
         let root = Root {
             kind: "root".into(),
@@ -168,10 +168,10 @@
             consistent_snapshot: true,
             version: 1,
             expires: self.expires("root"),
-            keys: listed,
+            keys: root_keys,
             roles,
         };
-        self.write("1.root.json", &sign(&root, &held["root"])?)?;
+        self.write("1.root.json", &sign(&root, &role_keys["root"])?)?;
         let targets = Targets {
             kind: "targets".into(),
             spec_version: SPEC_VERSION.into(),
@@ -179,21 +179,22 @@
             expires: self.expires("targets"),
             targets: BTreeMap::new(),
         };
-        self.write("1.targets.json", &sign(&targets, &held["targets"])?)?;
+        self.write("1.targets.json", &sign(&targets, &role_keys["targets"])?)?;
         self.snapshot(keydir, 1, 1)?;
         self.timestamp(keydir, 1)
     }
 
     fn signing_keys(&self, keydir: &Path, role: &str) -> Result<Vec<SigningKey>, String> {
         let root = self.root()?;
-        let known = root.roles.get(role).ok_or(format!("{role}: no such role"))?;
-        let ours = |key: &SigningKey| public_key(key).id().is_ok_and(|id| known.keyids.contains(&id));
-        let keys: Vec<SigningKey> = load_keys(keydir, role)?.into_iter().filter(ours).collect();
-        if keys.len() < known.threshold {
+        let role_info = root.roles.get(role).ok_or(format!("{role}: no such role"))?;
+        let is_of_role =
+            |key: &SigningKey| public_key(key).id().is_ok_and(|id| role_info.keyids.contains(&id));
+        let keys: Vec<SigningKey> = load_keys(keydir, role)?.into_iter().filter(is_of_role).collect();
+        if keys.len() < role_info.threshold {
             return Err(format!(
                 "{role}: {} of its keys are here, {} must sign",
                 keys.len(),
-                known.threshold
+                role_info.threshold
             ));
         }
         Ok(keys)
@@ -207,7 +208,7 @@
         self.write(&format!("{version}.snapshot.json"), &sign(&index, &keys)?)
     }
 
-    /// The last step of any change: until it is done, clients see the state before.
+    /// The last step of every change: until then clients see the previous state.
     fn timestamp(&self, keydir: &Path, version: u64) -> Result<(), String> {
         let keys = self.signing_keys(keydir, "timestamp")?;
         let snapshot = self.newest("snapshot")?;
@@ -239,9 +240,9 @@
         all.max().ok_or(format!("{}: no {role}", dir.display()))
     }
 
-    /// Takes a build in, as target `build-N`, packed if told; all roles below root sign.
+    /// Adds a build as target `build-N`, compressed if `pack`; signs targets, snapshot and timestamp.
     pub fn add(&self, keydir: &Path, build: u32, artefact: &Path, pack: bool) -> Result<String, String> {
-        // What no controller can offer must not be signed for.
+        // A controller can't offer builds out of this range.
         if !(1..=MAX_BUILD).contains(&build) {
             return Err(format!("build {build}: 1 to {MAX_BUILD}"));
         }
@@ -260,9 +261,9 @@
         let newest = self.newest("targets")?;
         let mut targets: Targets = self.read(&format!("{newest}.targets.json"), "targets")?;
         if targets.targets.contains_key(&name) {
-            return Err(format!("{name}: it is there already, and a build never changes"));
+            return Err(format!("{name}: it exists already, and a build never changes"));
         }
-        // All keys must be at hand before anything is written.
+        // All keys must be available before anything is written.
         let signers = self.signing_keys(keydir, "targets")?;
         self.signing_keys(keydir, "snapshot")?;
         self.signing_keys(keydir, "timestamp")?;
@@ -278,14 +279,15 @@
         Ok(name)
     }
 
-    /// A snapshot of the newest targets, then a timestamp of that.
+    /// Writes a snapshot of the newest targets, then a timestamp of that snapshot.
     fn publish(&self, keydir: &Path) -> Result<(), String> {
         self.snapshot(keydir, self.newest("snapshot")? + 1, self.newest("targets")?)?;
         let timestamp: FileIndex = self.read("timestamp.json", "timestamp")?;
         self.timestamp(keydir, timestamp.version + 1)
     }
 
-    /// Signs a role anew, with a new version and expiry; what rests on it is told where the keys are here.
+    /// Signs a role's metadata again with a new version and expiry. Signing targets or the snapshot also signs the
+    /// metadata that list them.
     pub fn sign(&self, keydir: &Path, role: &str) -> Result<(), String> {
         match role {
             "timestamp" => {
@@ -311,16 +313,17 @@
         }
     }
 
-    /// New keys for a role in place of its old ones, by a new root that old and new root keys sign.
+    /// Replaces a role's keys by new ones, through a new root signed with the old and, if replaced, the new root keys.
     pub fn rotate(&self, keydir: &Path, role: &str) -> Result<(), String> {
         let old = self.root()?;
         let mut signers = self.signing_keys(keydir, "root")?;
-        let known =
+        let role_info =
             old.roles.get(role).ok_or(format!("{role}: root, targets, snapshot or timestamp"))?.clone();
-        let made = make_keys(keydir, role, known.threshold)?;
+        let made = make_keys(keydir, role, role_info.threshold)?;
         let mut root = Root { version: old.version + 1, expires: self.expires("root"), ..old };
         root.keys.retain(|id, _| {
-            !known.keyids.contains(id) || root.roles.iter().any(|(r, k)| r != role && k.keyids.contains(id))
+            !role_info.keyids.contains(id)
+                || root.roles.iter().any(|(r, k)| r != role && k.keyids.contains(id))
         });
         let mut keyids = Vec::new();
         for key in &made {
@@ -328,19 +331,19 @@
             root.keys.insert(id.clone(), public_key(key));
             keyids.push(id);
         }
-        root.roles.insert(role.into(), Role { keyids, threshold: known.threshold });
+        root.roles.insert(role.into(), Role { keyids, threshold: role_info.threshold });
         if role == "root" {
             signers.extend(made);
         }
         self.write(&format!("{}.root.json", root.version), &sign(&root, &signers)?)?;
-        // What the old keys had signed is signed by the new ones.
+        // The role's metadata is signed again with the new keys.
         match role {
             "root" => Ok(()),
             role => self.sign(keydir, role),
         }
     }
 
-    /// Walks the client's way from a trusted root through all metadata and every target.
+    /// Runs the client workflow from a trusted root and verifies every target; returns the targets' names.
     pub fn verify(&self, root: &[u8]) -> Result<Vec<String>, String> {
         let trusted = Trusted { root: root.to_vec(), ..Trusted::default() };
         let mut refresh = Refresh::new(trusted, self.now).map_err(to_text)?;
@@ -367,7 +370,7 @@
     }
 }
 
-/// Are these the bytes that were signed for?
+/// Checks an artefact against its signed length and hash.
 pub fn verify_artefact(file: &FileInfo, bytes: &[u8]) -> Result<(), VerifyError> {
     if file.length != Some(bytes.len() as u64) {
         return Err(VerifyError::Mismatch("its length".into()));
@@ -379,7 +382,7 @@
     }
 }
 
-/// The artefact in plain; a packed one is bounded by the length that was signed for.
+/// Unpacks an artefact, to at most its signed unpacked length.
 pub fn unpack(file: &FileInfo, bytes: &[u8]) -> Result<Vec<u8>, VerifyError> {
     let custom = file.custom.as_ref().unwrap_or(&Value::Null);
     let packed = match custom["packed"].as_str() {
--- a/trust/src/tests.rs
+++ b/trust/src/tests.rs
@@ -1,4 +1,4 @@
-//! Attacks that the specification names, against a real repository in a folder.
+//! Attacks named in the specification, against a real repository in a folder.
 use crate::client::{Refresh, Request, Trusted};
 use crate::meta::{Root, Signed, VerifyError};
 use crate::repo::{load_keys, sign, unpack, Repo};
@@ -8,21 +8,21 @@
 const NOW: i64 = 1_796_130_000;
 const DAY: i64 = 86_400;
 
-struct Set {
+struct TestRepo {
     _dir: tempfile::TempDir,
     repo: Repo,
     keydir: PathBuf,
 }
 
-fn set(many: usize) -> Set {
-    let dir = tempfile::tempdir().unwrap();
-    let repo = Repo { dir: dir.path().join("repo"), now: NOW };
-    let keydir = dir.path().join("keys");
-    repo.init(&keydir, many).unwrap();
-    Set { _dir: dir, repo, keydir }
-}
+impl TestRepo {
+    fn new(keys_per_role: usize) -> TestRepo {
+        let dir = tempfile::tempdir().unwrap();
+        let repo = Repo { dir: dir.path().join("repo"), now: NOW };
+        let keydir = dir.path().join("keys");
+        repo.init(&keydir, keys_per_role).unwrap();
+        TestRepo { _dir: dir, repo, keydir }
+    }
 
-impl Set {
     fn file(&self, name: &str) -> PathBuf {
         self.repo.dir.join("metadata").join(name)
     }
@@ -31,7 +31,7 @@
         Trusted { root: fs::read(self.file("1.root.json")).unwrap(), ..Trusted::default() }
     }
 
-    /// Refreshes against the folder as it is.
+    /// Runs a refresh against the files in the folder.
     fn refresh(&self, trusted: Trusted, now: i64) -> Result<Refresh, VerifyError> {
         let mut refresh = Refresh::new(trusted, now)?;
         while let Request::File { name, .. } = refresh.next_request() {
@@ -49,171 +49,175 @@
 
 #[test]
 fn a_refresh_finds_the_builds_and_a_rotation_of_every_role_is_followed() {
-    let set = set(2);
-    set.add(1);
-    let kept = set.refresh(set.trusted(), NOW).unwrap().trusted;
+    let test_repo = TestRepo::new(2);
+    test_repo.add(1);
+    let kept = test_repo.refresh(test_repo.trusted(), NOW).unwrap().trusted;
     for role in ["timestamp", "snapshot", "targets", "root", "root"] {
-        set.repo.rotate(&set.keydir, role).unwrap();
+        test_repo.repo.rotate(&test_repo.keydir, role).unwrap();
     }
-    set.add(2);
-    for from in [set.trusted(), kept] {
-        let refresh = set.refresh(from, NOW).unwrap();
+    test_repo.add(2);
+    for from in [test_repo.trusted(), kept] {
+        let refresh = test_repo.refresh(from, NOW).unwrap();
         assert_eq!((refresh.root_version(), refresh.targets().count()), (6, 2));
         let (file, path) = refresh.target("build-2").unwrap();
-        let bytes = fs::read(set.repo.dir.join("targets").join(path)).unwrap();
+        let bytes = fs::read(test_repo.repo.dir.join("targets").join(path)).unwrap();
         assert_eq!(unpack(&file, &bytes).unwrap(), b"build 2");
     }
-    assert_eq!(set.repo.verify(&set.trusted().root).unwrap(), ["build-1", "build-2"]);
+    assert_eq!(test_repo.repo.verify(&test_repo.trusted().root).unwrap(), ["build-1", "build-2"]);
 }
 
 #[test]
 fn one_signature_short_of_the_threshold_or_doubled_is_refused() {
-    let set = set(2);
-    let mut timestamp = Signed::read(&fs::read(set.file("timestamp.json")).unwrap()).unwrap();
+    let test_repo = TestRepo::new(2);
+    let mut timestamp = Signed::read(&fs::read(test_repo.file("timestamp.json")).unwrap()).unwrap();
     timestamp.signatures[1] = timestamp.signatures[0].clone();
-    fs::write(set.file("timestamp.json"), serde_json::to_vec(&timestamp).unwrap()).unwrap();
-    let refused = set.refresh(set.trusted(), NOW).err().unwrap();
+    fs::write(test_repo.file("timestamp.json"), serde_json::to_vec(&timestamp).unwrap()).unwrap();
+    let refused = test_repo.refresh(test_repo.trusted(), NOW).err().unwrap();
     assert_eq!(refused, VerifyError::Threshold { role: "timestamp".into(), valid: 1, wanted: 2 });
 }
 
 #[test]
 fn every_byte_of_signed_metadata_counts() {
-    let set = set(1);
-    set.add(1);
+    let test_repo = TestRepo::new(1);
+    test_repo.add(1);
     for name in ["timestamp.json", "2.snapshot.json", "2.targets.json"] {
-        let good = fs::read(set.file(name)).unwrap();
-        let mut unnoticed = 0;
+        let good = fs::read(test_repo.file(name)).unwrap();
+        let mut accepted = 0;
         for at in (0..good.len()).step_by(3) {
             let mut bad = good.clone();
             bad[at] ^= 1;
-            fs::write(set.file(name), &bad).unwrap();
-            // White space and the like may change in a timestamp, whose bytes nobody hashes; its meaning not.
-            if let Ok(refresh) = set.refresh(set.trusted(), NOW) {
+            fs::write(test_repo.file(name), &bad).unwrap();
+            // The bytes of a timestamp are not hashed, so white space may change, but not the content.
+            if let Ok(refresh) = test_repo.refresh(test_repo.trusted(), NOW) {
                 let meaning = |bytes: &[u8]| Signed::read(bytes).unwrap().signed;
                 assert_eq!(meaning(&bad), meaning(&good), "{name} at {at}");
                 assert_eq!(refresh.targets().count(), 1);
-                unnoticed += 1;
+                accepted += 1;
             }
         }
-        assert!(name == "timestamp.json" || unnoticed == 0, "{name}: hashed by what tells of it");
-        fs::write(set.file(name), &good).unwrap();
+        assert!(name == "timestamp.json" || accepted == 0, "{name}: its hash is signed");
+        fs::write(test_repo.file(name), &good).unwrap();
     }
 }
 
 #[test]
 fn rollback_freeze_and_mix_and_match_are_refused() {
-    let set = set(1);
-    set.add(1);
+    let test_repo = TestRepo::new(1);
+    test_repo.add(1);
     let older =
-        ["timestamp.json", "2.snapshot.json", "2.targets.json"].map(|n| fs::read(set.file(n)).unwrap());
-    set.add(3);
-    let kept = set.refresh(set.trusted(), NOW).unwrap().trusted;
-    let newer = fs::read(set.file("timestamp.json")).unwrap();
-    // An older timestamp, then one that tells of an older snapshot under a higher version.
-    fs::write(set.file("timestamp.json"), &older[0]).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
-    let signers = load_keys(&set.keydir, "timestamp").unwrap();
+        ["timestamp.json", "2.snapshot.json", "2.targets.json"].map(|n| fs::read(test_repo.file(n)).unwrap());
+    test_repo.add(3);
+    let kept = test_repo.refresh(test_repo.trusted(), NOW).unwrap().trusted;
+    let newer = fs::read(test_repo.file("timestamp.json")).unwrap();
+    // An older timestamp, then one of a higher version that lists an older snapshot.
+    fs::write(test_repo.file("timestamp.json"), &older[0]).unwrap();
+    assert!(matches!(test_repo.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
+    let signers = load_keys(&test_repo.keydir, "timestamp").unwrap();
     let mut index = Signed::read(&older[0]).unwrap().signed;
     index["version"] = 9.into();
-    fs::write(set.file("timestamp.json"), sign(&index, &signers).unwrap()).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
-    // Time goes by and nothing new comes.
-    fs::write(set.file("timestamp.json"), &newer).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW + 3 * DAY), Err(VerifyError::Expired { .. })));
-    // An older targets file under the name of the newer.
-    let good = fs::read(set.file("3.targets.json")).unwrap();
-    fs::write(set.file("3.targets.json"), &older[2]).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Mismatch(_))));
-    // What was trusted is trusted still: a good repository is taken again.
-    fs::write(set.file("3.targets.json"), good).unwrap();
-    assert!(set.refresh(kept, NOW).is_ok());
+    fs::write(test_repo.file("timestamp.json"), sign(&index, &signers).unwrap()).unwrap();
+    assert!(matches!(test_repo.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
+    // Freeze: no new timestamp until the last has expired.
+    fs::write(test_repo.file("timestamp.json"), &newer).unwrap();
+    assert!(matches!(test_repo.refresh(kept.clone(), NOW + 3 * DAY), Err(VerifyError::Expired { .. })));
+    // An older targets file under the name of the newer one.
+    let good = fs::read(test_repo.file("3.targets.json")).unwrap();
+    fs::write(test_repo.file("3.targets.json"), &older[2]).unwrap();
+    assert!(matches!(test_repo.refresh(kept.clone(), NOW), Err(VerifyError::Mismatch(_))));
+    // What was trusted stays trusted: a good repository is accepted again.
+    fs::write(test_repo.file("3.targets.json"), good).unwrap();
+    assert!(test_repo.refresh(kept, NOW).is_ok());
 }
 
 #[test]
 fn a_root_must_be_the_next_one_and_signed_by_old_and_new_keys() {
-    let set = set(1);
-    let stranger = super::tests::set(1);
-    set.repo.rotate(&set.keydir, "root").unwrap();
-    let good = fs::read(set.file("2.root.json")).unwrap();
+    let test_repo = TestRepo::new(1);
+    let other_repo = TestRepo::new(1);
+    test_repo.repo.rotate(&test_repo.keydir, "root").unwrap();
+    let good = fs::read(test_repo.file("2.root.json")).unwrap();
     // Signed by the new keys alone.
-    let new = load_keys(&set.keydir, "root").unwrap().pop().unwrap();
+    let new = load_keys(&test_repo.keydir, "root").unwrap().pop().unwrap();
     let part = Signed::read(&good).unwrap().signed;
-    fs::write(set.file("2.root.json"), sign(&part, std::slice::from_ref(&new)).unwrap()).unwrap();
-    assert!(matches!(set.refresh(set.trusted(), NOW), Err(VerifyError::Threshold { .. })));
-    // A version left out.
+    fs::write(test_repo.file("2.root.json"), sign(&part, std::slice::from_ref(&new)).unwrap()).unwrap();
+    assert!(matches!(test_repo.refresh(test_repo.trusted(), NOW), Err(VerifyError::Threshold { .. })));
+    // A skipped version.
     let mut part = part;
     part["version"] = 3.into();
-    let both = load_keys(&set.keydir, "root").unwrap();
-    fs::write(set.file("2.root.json"), sign(&part, &both).unwrap()).unwrap();
-    assert!(matches!(set.refresh(set.trusted(), NOW), Err(VerifyError::Version { got: 3, wanted: 2, .. })));
-    // Somebody else's root altogether.
-    fs::write(set.file("2.root.json"), fs::read(stranger.file("1.root.json")).unwrap()).unwrap();
-    assert!(set.refresh(set.trusted(), NOW).is_err());
+    let both = load_keys(&test_repo.keydir, "root").unwrap();
+    fs::write(test_repo.file("2.root.json"), sign(&part, &both).unwrap()).unwrap();
+    assert!(matches!(
+        test_repo.refresh(test_repo.trusted(), NOW),
+        Err(VerifyError::Version { got: 3, wanted: 2, .. })
+    ));
+    // The root of another repository.
+    fs::write(test_repo.file("2.root.json"), fs::read(other_repo.file("1.root.json")).unwrap()).unwrap();
+    assert!(test_repo.refresh(test_repo.trusted(), NOW).is_err());
     // A year later the root itself has expired.
-    fs::write(set.file("2.root.json"), good).unwrap();
-    let late = set.refresh(set.trusted(), NOW + 366 * DAY).err().unwrap();
+    fs::write(test_repo.file("2.root.json"), good).unwrap();
+    let late = test_repo.refresh(test_repo.trusted(), NOW + 366 * DAY).err().unwrap();
     assert!(matches!(late, VerifyError::Expired { role, .. } if role == "root"));
 }
 
 #[test]
-fn new_timestamp_keys_recover_from_a_version_run_ahead() {
-    let set = set(1);
-    let signers = load_keys(&set.keydir, "timestamp").unwrap();
-    let good = fs::read(set.file("timestamp.json")).unwrap();
+fn new_timestamp_keys_recover_from_a_fast_forward_attack() {
+    let test_repo = TestRepo::new(1);
+    let signers = load_keys(&test_repo.keydir, "timestamp").unwrap();
+    let good = fs::read(test_repo.file("timestamp.json")).unwrap();
     let mut index = Signed::read(&good).unwrap().signed;
     index["version"] = 1_000_000.into();
-    fs::write(set.file("timestamp.json"), sign(&index, &signers).unwrap()).unwrap();
-    let kept = set.refresh(set.trusted(), NOW).unwrap().trusted;
-    fs::write(set.file("timestamp.json"), &good).unwrap();
-    assert!(matches!(set.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
-    set.repo.rotate(&set.keydir, "timestamp").unwrap();
-    assert!(set.refresh(kept, NOW).is_ok());
+    fs::write(test_repo.file("timestamp.json"), sign(&index, &signers).unwrap()).unwrap();
+    let kept = test_repo.refresh(test_repo.trusted(), NOW).unwrap().trusted;
+    fs::write(test_repo.file("timestamp.json"), &good).unwrap();
+    assert!(matches!(test_repo.refresh(kept.clone(), NOW), Err(VerifyError::Rollback(_))));
+    test_repo.repo.rotate(&test_repo.keydir, "timestamp").unwrap();
+    assert!(test_repo.refresh(kept, NOW).is_ok());
 }
 
 #[test]
-fn a_packed_build_is_bounded_when_unpacked_and_keys_are_their_owners_alone() {
-    let set = set(1);
-    set.add(2);
-    let refresh = set.refresh(set.trusted(), NOW).unwrap();
+fn a_packed_build_is_bounded_when_unpacked_and_keys_are_readable_by_their_owner_only() {
+    let test_repo = TestRepo::new(1);
+    test_repo.add(2);
+    let refresh = test_repo.refresh(test_repo.trusted(), NOW).unwrap();
     let (mut file, _) = refresh.target("build-2").unwrap();
     let bomb = zstd::encode_all(vec![0u8; 1 << 26].as_slice(), 3).unwrap();
     assert!(matches!(unpack(&file, &bomb), Err(VerifyError::Mismatch(_))));
     file.custom.as_mut().unwrap()["unpacked_length"] = (1u64 << 40).into();
     assert!(matches!(unpack(&file, &bomb), Err(VerifyError::Missing(_))));
-    let key = set.keydir.join("root-1.key");
+    let key = test_repo.keydir.join("root-1.key");
     use std::os::unix::fs::PermissionsExt;
     assert_eq!(fs::metadata(&key).unwrap().permissions().mode() & 0o777, 0o600);
     fs::set_permissions(&key, fs::Permissions::from_mode(0o644)).unwrap();
-    assert!(set.repo.rotate(&set.keydir, "root").unwrap_err().contains("others may read it"));
-    // Without the key of a role, nothing of it can be signed, and nothing is half done.
-    fs::remove_file(set.keydir.join("timestamp-1.key")).unwrap();
-    let artefact = set.repo.dir.join("artefact");
-    // Finding 32: builds that no controller can offer.
-    assert!([0, 65_536].iter().all(|b| set
+    assert!(test_repo.repo.rotate(&test_repo.keydir, "root").unwrap_err().contains("others may read it"));
+    // Without the key of a role, adding a build fails and writes nothing.
+    fs::remove_file(test_repo.keydir.join("timestamp-1.key")).unwrap();
+    let artefact = test_repo.repo.dir.join("artefact");
+    // Finding 32: build numbers that a controller can't offer are rejected.
+    assert!([0, 65_536].iter().all(|b| test_repo
         .repo
-        .add(&set.keydir, *b, &artefact, false)
+        .add(&test_repo.keydir, *b, &artefact, false)
         .unwrap_err()
         .contains("65535")));
-    let before = fs::read_dir(set.repo.dir.join("metadata")).unwrap().count();
-    assert!(set.repo.add(&set.keydir, 4, &artefact, false).unwrap_err().contains("timestamp"));
-    assert_eq!(fs::read_dir(set.repo.dir.join("metadata")).unwrap().count(), before);
+    let before = fs::read_dir(test_repo.repo.dir.join("metadata")).unwrap().count();
+    assert!(test_repo.repo.add(&test_repo.keydir, 4, &artefact, false).unwrap_err().contains("timestamp"));
+    assert_eq!(fs::read_dir(test_repo.repo.dir.join("metadata")).unwrap().count(), before);
 }
 
-/// Finding 38: a repository whose root can't be read is one all the same.
+/// Finding 38: a repository whose root can't be read must not be overwritten by a new one.
 #[test]
-fn a_repository_with_a_broken_root_is_not_written_over() {
-    let set = set(1);
-    let at = set.repo.dir.join("metadata/1.root.json");
+fn a_repository_with_a_broken_root_is_not_overwritten() {
+    let test_repo = TestRepo::new(1);
+    let at = test_repo.repo.dir.join("metadata/1.root.json");
     fs::write(&at, b"torn").unwrap();
-    assert!(set.repo.init(&set.keydir, 1).unwrap_err().contains("already"));
+    assert!(test_repo.repo.init(&test_repo.keydir, 1).unwrap_err().contains("already"));
     assert_eq!(fs::read(&at).unwrap(), b"torn");
 }
 
-/// What the freeze covers: another major version of the specification is refused, unknown fields are signed over.
+/// Compatibility rule: another major version of the specification is rejected; unknown fields are kept and
+/// covered by the signatures.
 #[test]
 fn another_major_version_is_refused_and_unknown_fields_are_kept() {
-    let set = set(1);
-    let mut root: serde_json::Value = serde_json::from_slice(&set.trusted().root).unwrap();
+    let test_repo = TestRepo::new(1);
+    let mut root: serde_json::Value = serde_json::from_slice(&test_repo.trusted().root).unwrap();
     root["signed"]["later"] = 1.into();
     let read = |root: &serde_json::Value| Signed::read(root.to_string().as_bytes());
     let signed = read(&root).unwrap();
