--- a/agent/src/lifecycle.rs
+++ b/agent/src/lifecycle.rs
@@ -282,7 +282,7 @@
     }
 
     #[test]
-    fn a_build_is_fetched_checked_started_and_serves_only_when_ready() {
+    fn a_build_is_fetched_verified_started_and_serves_only_when_ready() {
         let mut lifecycle = Lifecycle::new(1);
         lifecycle.apply_order(1, set(&[2]), set(&[]));
         assert_eq!(lifecycle.step(0), [Action::Fetch(2)]);
@@ -298,7 +298,7 @@
     }
 
     #[test]
-    fn an_older_order_undoes_nothing_and_a_rollback_meets_every_state() {
+    fn an_older_order_is_ignored_and_a_rollback_works_in_every_state() {
         let mut lifecycle = serving(&[1, 2]);
         assert!(lifecycle.apply_order(7, set(&[1]), set(&[1])));
         assert!(!lifecycle.apply_order(6, set(&[1, 2]), set(&[1])));
@@ -334,16 +334,16 @@
     }
 
     #[test]
-    fn failures_wait_longer_each_time_and_make_the_place_unfit() {
+    fn failures_double_the_retry_delay_and_make_the_place_unfit() {
         let mut lifecycle = Lifecycle::new(1);
         lifecycle.apply_order(1, set(&[2]), set(&[]));
         let (mut now, mut waits) = (0, Vec::new());
         for _ in 0..9 {
-            let began = now;
+            let started = now;
             while !lifecycle.step(now).contains(&Action::Fetch(2)) {
                 now += SEC / 100;
             }
-            waits.push(now - began);
+            waits.push(now - started);
             lifecycle.fetched(now, 2, Err("no".into()));
         }
         assert!(
@@ -371,7 +371,7 @@
     }
 
     #[test]
-    fn a_drain_taken_back_serves_on_and_a_crash_while_draining_is_an_end() {
+    fn a_cancelled_drain_serves_again_and_a_crash_while_draining_ends_the_job() {
         let mut lifecycle = serving(&[1, 2]);
         lifecycle.apply_order(2, set(&[1]), set(&[]));
         lifecycle.step(0);
--- a/agent/src/runtime.rs
+++ b/agent/src/runtime.rs
@@ -165,10 +165,10 @@
     fn restore(&mut self) -> Result<(), String> {
         let file = self.agent.state.join("order.json");
         if let Some(text) = rockpick_control::atomic_file::load(&file).map_err(|err| err.to_string())? {
-            let kept: Value =
+            let order: Value =
                 serde_json::from_slice(&text).map_err(|err| format!("{}: {err}", file.display()))?;
-            parse_order(&kept).map_err(|field| format!("{}: {field}", file.display()))?;
-            self.apply_order(&kept);
+            parse_order(&order).map_err(|field| format!("{}: {field}", file.display()))?;
+            self.apply_order(&order);
         }
         let folder = self.agent.state.join("artefacts");
         for entry in fs::read_dir(folder).into_iter().flatten().flatten() {
@@ -508,10 +508,10 @@
 
     fn handle_response(&mut self, response: &Value) {
         if self.apply_order(response) {
-            let kept = json!({ "generation": self.lifecycle.generation, "builds": self.lifecycle.wanted, "keep": self.lifecycle.keep });
+            let order = json!({ "generation": self.lifecycle.generation, "builds": self.lifecycle.wanted, "keep": self.lifecycle.keep });
             tracing::info!(event = "order", generation = self.lifecycle.generation, builds = ?self.lifecycle.wanted);
             let file = self.agent.state.join("order.json");
-            if let Err(err) = rockpick_control::atomic_file::replace(&file, kept.to_string().as_bytes()) {
+            if let Err(err) = rockpick_control::atomic_file::replace(&file, order.to_string().as_bytes()) {
                 tracing::error!(event = "order not saved", why = %err);
             }
         }
--- a/control/src/api.rs
+++ b/control/src/api.rs
@@ -107,10 +107,10 @@
     }
 }
 
-pub fn parse_phase(word: &str) -> Option<Phase> {
+pub fn parse_phase(name: &str) -> Option<Phase> {
     [Phase::OnTrial, Phase::GoingBack, Phase::Released, Phase::Withdrawn]
         .into_iter()
-        .find(|p| phase_name(*p) == word)
+        .find(|p| phase_name(*p) == name)
 }
 
 pub fn state_name(state: State) -> &'static str {
@@ -121,8 +121,8 @@
     }
 }
 
-pub fn parse_state(word: &str) -> Option<State> {
-    [State::Up, State::Draining, State::Gone].into_iter().find(|s| state_name(*s) == word)
+pub fn parse_state(name: &str) -> Option<State> {
+    [State::Up, State::Draining, State::Gone].into_iter().find(|s| state_name(*s) == name)
 }
 
 pub fn verdict_name(verdict: Verdict) -> &'static str {
@@ -134,10 +134,10 @@
     }
 }
 
-fn parse_verdict(word: &str) -> Option<Verdict> {
+fn parse_verdict(name: &str) -> Option<Verdict> {
     [Verdict::NoVote, Verdict::On, Verdict::Hold, Verdict::Back]
         .into_iter()
-        .find(|v| verdict_name(*v) == word)
+        .find(|v| verdict_name(*v) == name)
 }
 
 fn ms(span: Ns) -> f64 {
@@ -182,12 +182,13 @@
         let vote_tokens = (f64::MAX, now);
         let mut api = Api { started: now, last_tally: now, stage_sent: now, vote_tokens, ..Api::default() };
         let Some(text) = snapshot else { return Ok(api) };
-        let kept: Snapshot = serde_json::from_slice(text).map_err(|err| format!("the snapshot: {err}"))?;
-        if let Some(FieldError { field, why }) = kept.settings.validate().first() {
+        let snapshot: Snapshot =
+            serde_json::from_slice(text).map_err(|err| format!("the snapshot: {err}"))?;
+        if let Some(FieldError { field, why }) = snapshot.settings.validate().first() {
             return Err(format!("the snapshot: {field}: {why}"));
         }
-        let mut release = Release::new(&kept.settings);
-        let newest = match &kept.newest {
+        let mut release = Release::new(&snapshot.settings);
+        let newest = match &snapshot.newest {
             None => None,
             Some(k) => {
                 let phase = parse_phase(&k.phase).ok_or("the snapshot: newest.phase: not known")?;
@@ -205,9 +206,9 @@
                 Some((k.build, k.stage, phase, (k.age_ms * MS as f64) as Ns, (k.ran_ms * MS as f64) as Ns))
             }
         };
-        release.restore(now, kept.earlier, newest);
-        api.generation = kept.generation;
-        (api.settings, api.version, api.release) = (Some(kept.settings), kept.version, Some(release));
+        release.restore(now, snapshot.earlier, newest);
+        api.generation = snapshot.generation;
+        (api.settings, api.version, api.release) = (Some(snapshot.settings), snapshot.version, Some(release));
         Ok(api)
     }
 
@@ -223,8 +224,8 @@
             ran_ms: ms(t.run_time),
         });
         let (version, earlier, generation) = (self.version, release.earlier, self.generation);
-        let kept = Snapshot { version, settings, earlier, newest, generation };
-        serde_json::to_vec_pretty(&kept).ok()
+        let snapshot = Snapshot { version, settings, earlier, newest, generation };
+        serde_json::to_vec_pretty(&snapshot).ok()
     }
 
     fn settled(&self, now: Ns) -> bool {
@@ -323,9 +324,9 @@
     fn put_settings(&mut self, body: &[u8]) -> Response {
         let settings = match Settings::parse(body) {
             Ok(settings) => settings,
-            Err(wrong) => {
-                tracing::info!(event = "settings refused", field = wrong[0].field, why = wrong[0].why);
-                return Response::Json(422, json!({ "errors": wrong }));
+            Err(errors) => {
+                tracing::info!(event = "settings refused", field = errors[0].field, why = errors[0].why);
+                return Response::Json(422, json!({ "errors": errors }));
             }
         };
         match &mut self.release {
@@ -392,8 +393,8 @@
             return error(403, "front", "not among the fronts");
         }
         let rate = settings.rollout.votes_a_second;
-        let saved = (now - self.vote_tokens.1) as f64 / SEC as f64 * rate;
-        self.vote_tokens = ((self.vote_tokens.0 + saved).min(2.0 * rate), now);
+        let refill = (now - self.vote_tokens.1) as f64 / SEC as f64 * rate;
+        self.vote_tokens = ((self.vote_tokens.0 + refill).min(2.0 * rate), now);
         if self.vote_tokens.0 < 1.0 {
             self.votes[2] += 1;
             return error(429, "votes", "too many a second");
@@ -431,8 +432,10 @@
         for (i, row) in rows.iter().enumerate() {
             let at = |j: usize| row.get(j).and_then(Value::as_u64).filter(|n| *n < 1 << 32);
             match (at(0), at(1), at(2), at(3)) {
-                (Some(b), Some(m), Some(picks), Some(bad)) if (m as usize) < methods && bad <= picks => {
-                    read.push(((b as u32, m as usize), picks, bad));
+                (Some(b), Some(m), Some(picks), Some(failed))
+                    if (m as usize) < methods && failed <= picks =>
+                {
+                    read.push(((b as u32, m as usize), picks, failed));
                 }
                 _ => return error(400, &format!("rows[{i}]"), "build, method, picks and not ok are wanted"),
             }
@@ -451,16 +454,16 @@
             };
             tenants.push((name, [asked, served, refused]));
         }
-        for (at, picks, bad) in read {
+        for (at, picks, failed) in read {
             if self.counts.len() < MAX_COUNT_ROWS || self.counts.contains_key(&at) {
                 let count = self.counts.entry(at).or_default();
-                *count = [count[0] + picks, count[1] + bad];
+                *count = [count[0] + picks, count[1] + failed];
             }
         }
         for (name, row) in tenants {
             if self.tenants.len() < MAX_TENANTS || self.tenants.contains_key(name) {
-                let sums = self.tenants.entry(name.to_string()).or_default();
-                (0..3).for_each(|i| sums[i] += row[i]);
+                let totals = self.tenants.entry(name.to_string()).or_default();
+                (0..3).for_each(|i| totals[i] += row[i]);
             }
         }
         Response::Json(200, json!({}))
@@ -505,12 +508,12 @@
                 if known != Some((run, state)) {
                     tracing::info!(event = "machine", machine = name, state = state_name(state));
                 }
-                let word = match order {
+                let name = match order {
                     Order::Serve => "serve",
                     Order::Drain => "drain",
                     Order::Stop => "stop",
                 };
-                Response::Json(200, json!({ "order": word }))
+                Response::Json(200, json!({ "order": name }))
             }
         }
     }
@@ -534,8 +537,8 @@
             let Some(build) = as_build(&b["build"]) else {
                 return error(400, &format!("builds[{i}].build"), "a number below 65536 is wanted");
             };
-            let word = |name: &str, most: usize| b[name].as_str().unwrap_or("").chars().take(most).collect();
-            parsed.push((build, word("state", 16), word("why", 200)));
+            let text = |name: &str, max: usize| b[name].as_str().unwrap_or("").chars().take(max).collect();
+            parsed.push((build, text("state", 16), text("why", 200)));
         }
         for (b, (build, _, why)) in builds.iter().zip(&parsed) {
             let build = *build;
@@ -549,10 +552,10 @@
                 }
             }
             if b["addr"].is_string() {
-                let mut beat = b.clone();
-                beat["place"] = place.into();
-                beat["leaving"] = false.into();
-                match self.heartbeat(now, b["name"].as_str().unwrap_or(""), &beat) {
+                let mut heartbeat = b.clone();
+                heartbeat["place"] = place.into();
+                heartbeat["leaving"] = false.into();
+                match self.heartbeat(now, b["name"].as_str().unwrap_or(""), &heartbeat) {
                     Response::Json(200, response) => {
                         orders.insert(build.to_string(), response["order"].clone());
                     }
@@ -660,22 +663,22 @@
         }
         let Some(settings) = &self.settings else { return Vec::new() };
         let r = &settings.rollout;
-        let every = r.told_every_ms as Ns * MS;
-        let tell_stage = std::mem::take(&mut self.stage_changed) || now - self.stage_sent >= every;
-        if tell_stage {
+        let stage_interval = r.told_every_ms as Ns * MS;
+        let send_stage = std::mem::take(&mut self.stage_changed) || now - self.stage_sent >= stage_interval;
+        if send_stage {
             self.stage_sent = now;
         }
         let mut tally = None;
-        let mut sums = None;
+        let mut totals = None;
         if r.tally_every_ms > 0 && now - self.last_tally >= r.tally_every_ms as Ns * MS {
             let span = ms(now - self.last_tally);
             self.last_tally = now;
             let rows: Vec<Value> =
                 self.tenants.iter().map(|(name, [a, s, r])| json!([name, a, s, r])).collect();
-            sums = (!rows.is_empty())
+            totals = (!rows.is_empty())
                 .then(|| json!({ "tenants": { "span_ms": span, "rows": rows } }).to_string());
             self.tenants.clear();
-            let row = |((b, m), [picks, bad]): (&(u32, usize), &[u64; 2])| json!([b, m, picks, bad]);
+            let row = |((b, m), [picks, failed]): (&(u32, usize), &[u64; 2])| json!([b, m, picks, failed]);
             let rows: Vec<Value> = self.counts.iter().map(row).collect();
             tally = (!rows.is_empty()).then(|| json!({ "tally": rows }).to_string());
             self.counts.clear();
@@ -688,7 +691,7 @@
         let mut changes: BTreeMap<u64, String> = BTreeMap::new();
         for (conn, w) in &mut watchers {
             // The stage is sent before the roster: a front takes a listed build of unknown stage to be in its first.
-            if tell_stage || !w.stage_known {
+            if send_stage || !w.stage_known {
                 let line = stage.get_or_insert_with(|| json!({ "stage": self.stage_json(now) }).to_string());
                 lines.push((*conn, line.clone()));
                 w.stage_known = true;
@@ -717,7 +720,7 @@
             if settled {
                 w.serial = Some(self.roster.serial);
             }
-            lines.extend(tally.iter().chain(&sums).map(|t| (*conn, t.clone())));
+            lines.extend(tally.iter().chain(&totals).map(|t| (*conn, t.clone())));
         }
         self.watchers = watchers;
         lines
@@ -744,7 +747,7 @@
     }
 
     #[test]
-    fn a_refused_setting_changes_nothing_and_names_its_field() {
+    fn refused_settings_change_nothing_and_the_error_names_the_field() {
         let mut api = with_settings();
         let mut settings = serde_json::to_value(Settings::example(2, 4)).unwrap();
         settings["guard"]["cold_from"] = json!(7);
@@ -790,26 +793,26 @@
     }
 
     #[test]
-    fn after_a_restart_the_stage_is_told_at_once_and_the_roster_held_until_machines_have_beaten() {
+    fn after_a_restart_the_stage_is_sent_at_once_and_the_roster_only_after_the_settle_time() {
         let mut api = with_settings();
         assert_eq!(call(&mut api, 0, "POST", "/builds", json!({"build":2})).0, 201);
-        let kept = api.snapshot(SEC).unwrap();
-        let mut api = Api::restore(10 * SEC, Some(&kept)).unwrap();
+        let snapshot = api.snapshot(SEC).unwrap();
+        let mut api = Api::restore(10 * SEC, Some(&snapshot)).unwrap();
         assert_eq!(call(&mut api, 10 * SEC, "GET", "/watch?front=f0&notes=127.0.0.1:9", json!(null)).0, 0);
         let kinds = |lines: Vec<(u64, String)>| -> Vec<String> {
             lines.iter().map(|(_, l)| l[2..].split('"').next().unwrap().to_string()).collect()
         };
         assert_eq!(kinds(api.tick(10 * SEC)), ["stage", "settings_version", "fronts"]);
-        let beat = json!({"addr":"127.0.0.1:1","place":"p0","build":1,"run":5,"age_ms":60000.0});
-        assert_eq!(call(&mut api, 11 * SEC, "POST", "/machines/m", beat).1["order"], "serve");
+        let heartbeat = json!({"addr":"127.0.0.1:1","place":"p0","build":1,"run":5,"age_ms":60000.0});
+        assert_eq!(call(&mut api, 11 * SEC, "POST", "/machines/m", heartbeat).1["order"], "serve");
         assert_eq!(kinds(api.tick(11 * SEC)), Vec::<String>::new());
         assert_eq!(kinds(api.tick(12 * SEC)), ["stage", "roster"]);
-        assert!(Api::restore(0, Some(&kept[..kept.len() / 2])).is_err());
+        assert!(Api::restore(0, Some(&snapshot[..snapshot.len() / 2])).is_err());
     }
 
     /// Compatibility rule: unknown fields of later versions are ignored in calls and snapshots, rejected in settings.
     #[test]
-    fn what_a_later_version_says_is_passed_over_but_for_settings() {
+    fn unknown_fields_are_ignored_in_calls_and_snapshots_and_refused_in_settings() {
         let mut api = with_settings();
         call(&mut api, 0, "POST", "/builds", json!({"build":2,"later":1}));
         let vote = json!({"front":"f0","build":2,"stage":0,"verdict":"on","later":1});
@@ -818,17 +821,21 @@
         settings["guard"]["later"] = json!(1);
         let (status, response) = call(&mut api, 0, "PUT", "/settings", settings);
         assert_eq!((status, response["errors"][0]["field"].as_str()), (422, Some("guard.later")));
-        let mut kept: Value = serde_json::from_slice(&api.snapshot(0).unwrap()).unwrap();
-        kept["later"] = json!(1);
-        assert_eq!(Api::restore(0, Some(kept.to_string().as_bytes())).unwrap().version, 1);
+        let mut snapshot: Value = serde_json::from_slice(&api.snapshot(0).unwrap()).unwrap();
+        snapshot["later"] = json!(1);
+        assert_eq!(Api::restore(0, Some(snapshot.to_string().as_bytes())).unwrap().version, 1);
         // Finding 42: numbers of the snapshot that are out of range are rejected.
-        for (field, bad) in [("build", json!(70_000)), ("stage", json!(99)), ("age_ms", json!(-1e300))] {
-            let mut kept = kept.clone();
-            kept["newest"][field] = bad;
-            assert!(Api::restore(0, Some(kept.to_string().as_bytes())).is_err_and(|why| why.contains(field)));
-        }
-        kept["charter"]["later"] = json!(1);
-        assert!(Api::restore(0, Some(kept.to_string().as_bytes())).is_err_and(|why| why.contains("later")));
+        for (field, invalid) in [("build", json!(70_000)), ("stage", json!(99)), ("age_ms", json!(-1e300))] {
+            let mut snapshot = snapshot.clone();
+            snapshot["newest"][field] = invalid;
+            assert!(
+                Api::restore(0, Some(snapshot.to_string().as_bytes())).is_err_and(|why| why.contains(field))
+            );
+        }
+        snapshot["charter"]["later"] = json!(1);
+        assert!(
+            Api::restore(0, Some(snapshot.to_string().as_bytes())).is_err_and(|why| why.contains("later"))
+        );
     }
 
     /// Finding 23: the valid part of a rejected report had already marked a place as unfit.
@@ -843,7 +850,7 @@
 
     /// Finding 22: names of fronts stayed after the settings had dropped them.
     #[test]
-    fn names_of_fronts_that_settings_no_longer_hold_are_forgotten() {
+    fn names_of_fronts_that_the_settings_no_longer_contain_are_removed() {
         let mut api = with_settings();
         for i in 0..100 {
             let mut settings = Settings::example(2, 4);
--- a/control/src/release.rs
+++ b/control/src/release.rs
@@ -202,9 +202,9 @@
             let fits = |v: &&Vote| v.verdict == verdict && stage.is_none_or(|s| s == v.stage);
             t.votes.values().filter(fits).count() as u32
         };
-        let backs = count(t, Verdict::Back, None);
+        let back_votes = count(t, Verdict::Back, None);
         match t.phase {
-            Phase::OnTrial | Phase::Released if backs >= r.back_votes.max(1) => {
+            Phase::OnTrial | Phase::Released if back_votes >= r.back_votes.max(1) => {
                 let fronts: Vec<&str> = t
                     .votes
                     .iter()
@@ -230,9 +230,12 @@
                         (t.run_time >= r.step_ms as Ns * MS, "its time is over".to_string())
                     }
                     control => {
-                        let ons = count(t, Verdict::On, Some(t.stage));
+                        let on_votes = count(t, Verdict::On, Some(t.stage));
                         let needed = if control == Control::FirstVoice { 1 } else { r.on_votes.max(1) };
-                        (t.run_time >= r.dwell_ms as Ns * MS && ons >= needed, format!("on votes: {ons}"))
+                        (
+                            t.run_time >= r.dwell_ms as Ns * MS && on_votes >= needed,
+                            format!("on votes: {on_votes}"),
+                        )
                     }
                 };
                 if !ready || !t.clock_started {
@@ -282,10 +285,10 @@
         };
         let kept: Running = wanted.iter().copied().filter(may_run).collect();
         // Places whose replacement is postponed keep what they run.
-        let stay: Vec<(usize, u32)> = (wanted.iter().filter(|w| !kept.contains(w)))
+        let unchanged: Vec<(usize, u32)> = (wanted.iter().filter(|w| !kept.contains(w)))
             .flat_map(|(p, _)| running.iter().filter(move |(q, _)| p == q).copied())
             .collect();
-        kept.into_iter().chain(stay).collect()
+        kept.into_iter().chain(unchanged).collect()
     }
 
     /// The machines that should run, given those that do; running machines that are not in the result are drained.
@@ -367,16 +370,16 @@
         settings
     }
 
-    fn reconcile(release: &Release, settings: &Settings, running: &mut Running) {
+    fn run_wanted(release: &Release, settings: &Settings, running: &mut Running) {
         *running = release.wanted(settings, running);
         *running = release.wanted(settings, running);
     }
 
     #[test]
-    fn by_count_moves_on_with_enough_votes_after_the_dwell_and_no_sooner() {
+    fn by_count_advances_with_enough_votes_after_the_dwell_and_not_before() {
         let settings = settings(ControlKind::ByCount, true);
         let (mut release, mut running) = (Release::new(&settings), Running::new());
-        reconcile(&release, &settings, &mut running);
+        run_wanted(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
         assert_eq!(release.wanted(&settings, &running).iter().filter(|(_, b)| *b == 2).count(), 1);
         assert_eq!(release.wanted(&settings, &running).len(), 11, "machines of the earlier build stay");
@@ -385,7 +388,7 @@
             release.vote(SEC, Control::ByCount, f, 2, 0, Verdict::On).unwrap();
         }
         assert_eq!(release.tick(2 * SEC, &settings, &running), None, "its machine does not run yet");
-        reconcile(&release, &settings, &mut running);
+        run_wanted(&release, &settings, &mut running);
         assert_eq!(release.tick(2 * SEC, &settings, &running), None, "the clock starts here");
         assert_eq!(release.tick(2 * SEC + 999 * MS, &settings, &running), None);
         assert_eq!(release.tick(3 * SEC, &settings, &running).unwrap().stage, 1);
@@ -394,7 +397,7 @@
             Err(VoteRejection::Stage)
         );
         for at in [13, 14, 24, 25] {
-            reconcile(&release, &settings, &mut running);
+            run_wanted(&release, &settings, &mut running);
             for f in ["f0", "f1", "f2"] {
                 let stage = release.newest.as_ref().unwrap().stage;
                 release.vote(at * SEC, Control::ByCount, f, 2, stage, Verdict::On).unwrap();
@@ -402,19 +405,19 @@
             release.tick(at * SEC, &settings, &running);
         }
         assert_eq!(release.newest.as_ref().unwrap().phase, Phase::Released);
-        reconcile(&release, &settings, &mut running);
+        run_wanted(&release, &settings, &mut running);
         assert!(running.iter().all(|(_, b)| *b == 2));
     }
 
     #[test]
-    fn votes_lapse_and_only_enough_standing_ones_send_back_also_after_the_release() {
+    fn votes_expire_and_enough_current_ones_roll_back_also_after_the_release() {
         let settings = settings(ControlKind::ByCount, true);
         let mut release = Release::new(&settings);
         release.restore(0, 1, Some((2, 2, Phase::Released, SEC, 0)));
         let mut running: Running = (0..10).map(|p| (p, 2)).collect();
         release.vote(0, Control::ByCount, "f0", 2, 0, Verdict::Back).unwrap();
         release.vote(5 * SEC, Control::ByCount, "f1", 2, 0, Verdict::Back).unwrap();
-        assert_eq!(release.tick(5 * SEC, &settings, &running), None, "f0's vote has lapsed");
+        assert_eq!(release.tick(5 * SEC, &settings, &running), None, "f0's vote has expired");
         release.vote(6 * SEC, Control::ByCount, "f0", 2, 0, Verdict::Back).unwrap();
         assert_eq!(release.tick(6 * SEC, &settings, &running).unwrap().phase, Phase::GoingBack);
         assert_eq!(release.announcement(&settings).3, 0.0);
@@ -430,43 +433,43 @@
     }
 
     #[test]
-    fn automatic_control_moves_by_time_and_stands_still_on_hold() {
+    fn automatic_control_advances_by_time_and_pauses_on_hold() {
         let settings = settings(ControlKind::Automatic, false);
         let (mut release, mut running) = (Release::new(&settings), Running::new());
-        reconcile(&release, &settings, &mut running);
+        run_wanted(&release, &settings, &mut running);
         release.offer(0, 2).unwrap();
-        reconcile(&release, &settings, &mut running);
+        run_wanted(&release, &settings, &mut running);
         assert_eq!(running.len(), 10, "in place: the earlier build leaves when its successor runs");
         release.tick(0, &settings, &running);
         assert_eq!(release.vote(0, Control::Automatic, "f0", 2, 0, Verdict::On), Err(VoteRejection::Verdict));
         release.tick(2 * SEC, &settings, &running);
         release.vote(2 * SEC, Control::Automatic, "f0", 2, 0, Verdict::Hold).unwrap();
         assert_eq!(release.tick(5 * SEC, &settings, &running), None, "on hold");
-        assert_eq!(release.tick(8 * SEC, &settings, &running).unwrap().stage, 1, "the hold has lapsed");
+        assert_eq!(release.tick(8 * SEC, &settings, &running).unwrap().stage, 1, "the hold has expired");
     }
 
     #[test]
-    fn in_place_only_so_many_are_cold_or_starting_at_once_and_unfit_places_count_for_nothing() {
+    fn in_place_cold_and_starting_machines_are_limited_and_unfit_places_are_skipped() {
         let mut settings = settings(ControlKind::ByCount, false);
         (settings.rollout.stages, settings.rollout.serving_share) = (vec![0.5, 0.8, 1.0], 0.75);
         let mut release = Release::new(&settings);
         let mut running: Running = (0..10).map(|p| (p, 1)).collect();
         release.offer(0, 2).unwrap();
-        let coming = |r: &Release, running: &Running| {
+        let new_machines = |r: &Release, running: &Running| {
             let wanted = r.wanted(&settings, running);
             assert!((0..10).all(|p| wanted.iter().any(|(q, _)| *q == p)), "every place keeps serving");
             wanted.into_iter().filter(|w| w.1 == 2 && !running.contains(w)).collect::<Vec<_>>()
         };
-        let first = coming(&release, &running);
+        let first = new_machines(&release, &running);
         assert_eq!(first.len(), 2, "a quarter of ten places");
         running.extend(&first);
         release.cold.extend(&first);
-        assert_eq!(coming(&release, &running), []);
+        assert_eq!(new_machines(&release, &running), []);
         release.cold.clear();
-        assert_eq!(coming(&release, &running).len(), 2);
+        assert_eq!(new_machines(&release, &running).len(), 2);
         // Places whose agents fail are skipped, and a stage of which fewer than half run does not advance.
         release.unfit = (0..5).collect();
-        assert!(coming(&release, &running).iter().all(|(p, _)| *p >= 5));
+        assert!(new_machines(&release, &running).iter().all(|(p, _)| *p >= 5));
         for at in [1, 20, 21] {
             for f in ["f0", "f1", "f2"] {
                 release.vote(at * SEC, Control::ByCount, f, 2, 0, Verdict::On).unwrap();
@@ -476,7 +479,7 @@
     }
 
     #[test]
-    fn a_newer_offer_takes_off_one_on_trial_and_an_older_one_is_refused() {
+    fn a_newer_offer_withdraws_the_build_on_trial_and_an_older_one_is_refused() {
         let settings = settings(ControlKind::FirstVoice, true);
         let mut release = Release::new(&settings);
         release.offer(0, 2).unwrap();
@@ -489,7 +492,7 @@
     /// Rule 5 depends on this: fronts are told the cap of the current stage, and 0 during a rollback. A front's second
     /// vote replaces its first, also after a restart of the front.
     #[test]
-    fn each_stage_tells_its_own_cap_and_a_front_has_one_vote() {
+    fn each_stage_announces_its_own_cap_and_a_front_has_one_vote() {
         let settings = Settings::example(4, 4);
         let mut release = Release::new(&settings);
         assert_eq!(release.announcement(&settings).3, 1.0);
--- a/control/src/repo_files.rs
+++ b/control/src/repo_files.rs
@@ -78,7 +78,7 @@
     use super::*;
 
     #[test]
-    fn ranges_are_read_as_the_standard_has_them() {
+    fn ranges_are_parsed_as_in_rfc_9110() {
         for (text, wanted) in [
             ("bytes=0-9", Some((0, 9))),
             ("bytes=5-", Some((5, 99))),
@@ -96,7 +96,7 @@
     }
 
     #[test]
-    fn no_path_leads_out() {
+    fn no_path_leads_out_of_the_repository() {
         let dir = std::env::temp_dir();
         for path in [
             "/repo/metadata/../x",
--- a/control/src/roster.rs
+++ b/control/src/roster.rs
@@ -183,32 +183,32 @@
 
     const SEC: Ns = 1_000 * MS;
 
-    fn beat<'a>(name: &'a str, place: &'a str, open_rpcs: u32) -> Heartbeat<'a> {
+    fn report<'a>(name: &'a str, place: &'a str, open_rpcs: u32) -> Heartbeat<'a> {
         Heartbeat { name, addr: "127.0.0.1:1", place, build: 1, run: 7, age: 0, leaving: false, open_rpcs }
     }
 
     #[test]
-    fn a_drained_machine_stops_after_the_grace_when_it_holds_nothing() {
+    fn a_drained_machine_stops_after_the_grace_when_it_has_no_open_rpcs() {
         let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        assert_eq!(roster.heartbeat(0, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert_eq!(roster.heartbeat(0, &settings, &wanted, report("a", "p0", 0)), Ok(Order::Serve));
         assert_eq!(roster.sweep(SEC / 2, &Running::new()), [("a".to_string(), State::Draining)]);
         let none = Running::new();
-        assert_eq!(roster.heartbeat(SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Drain));
-        assert_eq!(roster.heartbeat(3 * SEC, &settings, &none, beat("a", "p0", 1)), Ok(Order::Drain));
-        assert_eq!(roster.heartbeat(4 * SEC, &settings, &none, beat("a", "p0", 0)), Ok(Order::Stop));
-        assert!(roster.heartbeat(4 * SEC, &settings, &wanted, beat("b", "p9", 0)).is_err());
+        assert_eq!(roster.heartbeat(SEC, &settings, &none, report("a", "p0", 0)), Ok(Order::Drain));
+        assert_eq!(roster.heartbeat(3 * SEC, &settings, &none, report("a", "p0", 1)), Ok(Order::Drain));
+        assert_eq!(roster.heartbeat(4 * SEC, &settings, &none, report("a", "p0", 0)), Ok(Order::Stop));
+        assert!(roster.heartbeat(4 * SEC, &settings, &wanted, report("b", "p9", 0)).is_err());
     }
 
     /// Finding 25: a heartbeat of the former process arrived after the new process had registered and took its place.
     #[test]
-    fn a_late_beat_of_a_former_process_does_not_put_the_new_one_out() {
+    fn a_late_heartbeat_of_a_former_process_does_not_replace_the_new_one() {
         let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        let former = Heartbeat { run: 6, age: 9 * SEC, addr: "127.0.0.1:6", ..beat("a", "p0", 0) };
-        let late = Heartbeat { age: 10 * SEC, ..beat("a", "p0", 0) };
+        let former = Heartbeat { run: 6, age: 9 * SEC, addr: "127.0.0.1:6", ..report("a", "p0", 0) };
+        let late = Heartbeat { age: 10 * SEC, ..report("a", "p0", 0) };
         roster.heartbeat(10 * SEC, &settings, &wanted, former).unwrap();
-        assert_eq!(roster.heartbeat(11 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
+        assert_eq!(roster.heartbeat(11 * SEC, &settings, &wanted, report("a", "p0", 0)), Ok(Order::Serve));
         assert!(roster.heartbeat(11 * SEC, &settings, &wanted, Heartbeat { run: 6, ..late }).is_err());
         assert_eq!((roster.machines["a"].run, roster.machines["a"].started), (7, 11 * SEC));
         roster.mark_gone("a", 7);
@@ -217,23 +217,23 @@
                 12 * SEC,
                 &settings,
                 &wanted,
-                Heartbeat { run: 5, age: 60 * SEC, ..beat("a", "p0", 0) }
+                Heartbeat { run: 5, age: 60 * SEC, ..report("a", "p0", 0) }
             )
             .is_ok());
     }
 
     #[test]
-    fn silence_is_gone_but_not_when_the_controller_itself_stood_still() {
+    fn silent_machines_are_gone_unless_the_controller_itself_stalled() {
         let settings = Settings::example(1, 2);
         let (mut roster, wanted) = (Roster::default(), Running::from([(0, 1)]));
-        roster.heartbeat(0, &settings, &wanted, beat("a", "p0", 0)).unwrap();
+        roster.heartbeat(0, &settings, &wanted, report("a", "p0", 0)).unwrap();
         roster.sweep(0, &wanted);
         assert_eq!(roster.sweep(60 * SEC, &wanted), [], "the controller stalled for a minute");
         for tenth in 1..40 {
             roster.sweep(60 * SEC + tenth * SEC / 10, &wanted);
         }
         assert_eq!(roster.machines["a"].state, State::Gone);
-        assert_eq!(roster.heartbeat(65 * SEC, &settings, &wanted, beat("a", "p0", 0)), Ok(Order::Serve));
-        assert_eq!(roster.machines["a"].started, 0, "the same run keeps its start");
+        assert_eq!(roster.heartbeat(65 * SEC, &settings, &wanted, report("a", "p0", 0)), Ok(Order::Serve));
+        assert_eq!(roster.machines["a"].started, 0, "a known run keeps its start time");
     }
 }
--- a/trust/src/repo.rs
+++ b/trust/src/repo.rs
@@ -67,9 +67,9 @@
 /// Generates new keys for a role in addition to those it has; returns the new ones.
 fn make_keys(dir: &Path, role: &str, count: usize) -> Result<Vec<SigningKey>, String> {
     fs::DirBuilder::new().recursive(true).mode(0o700).create(dir).map_err(with_path(dir))?;
-    let mut made = Vec::new();
+    let mut new_keys = Vec::new();
     let mut nth = 1;
-    while made.len() < count {
+    while new_keys.len() < count {
         let file = dir.join(format!("{role}-{nth}.key"));
         nth += 1;
         if file.exists() {
@@ -82,9 +82,9 @@
         out.write_all(hex::encode(seed).as_bytes())
             .and_then(|()| out.sync_all())
             .map_err(with_path(&file))?;
-        made.push(SigningKey::from_bytes(&seed));
+        new_keys.push(SigningKey::from_bytes(&seed));
     }
-    Ok(made)
+    Ok(new_keys)
 }
 
 fn public_key(key: &SigningKey) -> Key {
@@ -251,7 +251,7 @@
             return Err(format!("{}: empty, or over 1 GiB", artefact.display()));
         }
         let plain = fs::read(artefact).map_err(with_path(artefact))?;
-        let kept = match pack {
+        let stored = match pack {
             true => zstd::encode_all(plain.as_slice(), 3).map_err(with_path(artefact))?,
             false => plain.clone(),
         };
@@ -267,11 +267,12 @@
         let signers = self.signing_keys(keydir, "targets")?;
         self.signing_keys(keydir, "snapshot")?;
         self.signing_keys(keydir, "timestamp")?;
-        let hash = sha256(&kept);
+        let hash = sha256(&stored);
         let at = self.dir.join("targets").join(format!("{hash}.{name}"));
-        atomic_file::replace(&at, &kept).map_err(with_path(&at))?;
+        atomic_file::replace(&at, &stored).map_err(with_path(&at))?;
         let hashes = BTreeMap::from([("sha256".to_string(), hash)]);
-        let file = FileInfo { version: None, length: Some(kept.len() as u64), hashes, custom: Some(custom) };
+        let file =
+            FileInfo { version: None, length: Some(stored.len() as u64), hashes, custom: Some(custom) };
         targets.targets.insert(name.clone(), file);
         (targets.version, targets.expires) = (newest + 1, self.expires("targets"));
         self.write(&format!("{}.targets.json", targets.version), &sign(&targets, &signers)?)?;
@@ -319,21 +320,21 @@
         let mut signers = self.signing_keys(keydir, "root")?;
         let role_info =
             old.roles.get(role).ok_or(format!("{role}: root, targets, snapshot or timestamp"))?.clone();
-        let made = make_keys(keydir, role, role_info.threshold)?;
+        let new_keys = make_keys(keydir, role, role_info.threshold)?;
         let mut root = Root { version: old.version + 1, expires: self.expires("root"), ..old };
         root.keys.retain(|id, _| {
             !role_info.keyids.contains(id)
                 || root.roles.iter().any(|(r, k)| r != role && k.keyids.contains(id))
         });
         let mut keyids = Vec::new();
-        for key in &made {
+        for key in &new_keys {
             let id = public_key(key).id().map_err(to_text)?;
             root.keys.insert(id.clone(), public_key(key));
             keyids.push(id);
         }
         root.roles.insert(role.into(), Role { keyids, threshold: role_info.threshold });
         if role == "root" {
-            signers.extend(made);
+            signers.extend(new_keys);
         }
         self.write(&format!("{}.root.json", root.version), &sign(&root, &signers)?)?;
         // The role's metadata is signed again with the new keys.
