--- a/agent/src/lifecycle.rs
+++ b/agent/src/lifecycle.rs
@@ -23,7 +23,7 @@
 const MAX_RETRY_DELAY: Ns = 30 * SEC;
 /// Consecutive failures after which the place is reported as unfit for the build; retries go on.
 pub const UNFIT_FAILURES: u32 = 3;
-/// A build that has run this long starts again at no failures.
+/// When a build has run this long, its earlier failures no longer count.
 const STABLE_TIME: Ns = 60 * SEC;
 /// Most artefacts kept that are not wanted now, besides the one for a rollback.
 const MAX_IDLE_ARTEFACTS: usize = 2;
--- a/agent/src/runtime.rs
+++ b/agent/src/runtime.rs
@@ -76,6 +76,7 @@
     last_answer: Option<Ns>,
 }
 
+/// Token of the timer that wakes the loop for its first tick.
 const START_TIMER: u64 = 1;
 
 /// An order's generation, the builds wanted, and those to keep.
--- a/control/src/api.rs
+++ b/control/src/api.rs
@@ -10,7 +10,7 @@
 
 const MS: Ns = 1_000_000;
 const SEC: Ns = 1_000 * MS;
-/// Most tenants whose counts are summed at a time; for those beyond it fronts go on splitting rates by earlier sums.
+/// Most tenants whose counts are summed at a time; the rates of those beyond are still split by earlier sums.
 const MAX_TENANTS: usize = 10_000;
 /// Most rows in a report of counts: all methods of a few builds.
 pub const MAX_COUNT_ROWS: usize = 512;
@@ -177,7 +177,7 @@
     /// Restores the state from a snapshot, if there is one.
     ///
     /// # Errors
-    /// The snapshot is invalid; the message says why.
+    /// The snapshot is invalid; the message says why. Its file is left as it was.
     pub fn restore(now: Ns, snapshot: Option<&[u8]>) -> Result<Api, String> {
         let vote_tokens = (f64::MAX, now);
         let mut api = Api { started: now, last_tally: now, stage_sent: now, vote_tokens, ..Api::default() };
--- a/control/src/atomic_file.rs
+++ b/control/src/atomic_file.rs
@@ -93,16 +93,16 @@
 ) {
     let mut retry = None;
     loop {
-        let mut now = lock(state);
-        while now.next.is_none() && !now.closing && retry.is_none() {
-            now = wakeup.wait(now).unwrap_or_else(PoisonError::into_inner);
+        let mut locked = lock(state);
+        while locked.next.is_none() && !locked.closing && retry.is_none() {
+            locked = wakeup.wait(locked).unwrap_or_else(PoisonError::into_inner);
         }
-        if now.next.is_none() && !now.closing {
-            now = wakeup.wait_timeout(now, RETRY_DELAY).unwrap_or_else(PoisonError::into_inner).0;
+        if locked.next.is_none() && !locked.closing {
+            locked = wakeup.wait_timeout(locked, RETRY_DELAY).unwrap_or_else(PoisonError::into_inner).0;
         }
-        let closing = now.closing;
-        let Some((number, what)) = now.next.take().or(retry.take()) else { return };
-        drop(now);
+        let closing = locked.closing;
+        let Some((number, what)) = locked.next.take().or(retry.take()) else { return };
+        drop(locked);
         let end = serialize(&what)
             .and_then(|text| replace(file, &add_checksum(text)))
             .map_err(|err| err.to_string());
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -82,7 +82,7 @@
     pub control: ControlKind,
     /// Whether machines of the earlier build keep running until the release.
     pub parallel: bool,
-    /// Share of the places that run the build on trial, by stage, not falling.
+    /// Share of the places that run the build on trial, by stage; it must not decrease.
     pub stages: Vec<f64>,
     pub caps: Vec<f64>,
     pub free: f64,
