--- a/cli/tests/hardening.rs
+++ b/cli/tests/hardening.rs
@@ -2,8 +2,8 @@
 mod peers;
 
 use peers::*;
-use rockpick_control::keep::open;
-use rockpick_control::Charter;
+use rockpick_control::atomic_file::strip_checksum;
+use rockpick_control::Settings;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -11,8 +11,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-fn charter() -> Charter {
-    let mut charter = Charter::example(1, 4);
+fn charter() -> Settings {
+    let mut charter = Settings::example(1, 4);
     charter.rollout.told_every_ms = 100;
     charter.rollout.tally_every_ms = 0;
     charter
@@ -155,7 +155,8 @@
     let one = front(controller.at, &["--state", &state]);
     listed(&one, 1);
     let snapshot = || -> Value {
-        std::fs::read(&file).map_or(Value::Null, |t| serde_json::from_slice(&open(t).unwrap()).unwrap())
+        std::fs::read(&file)
+            .map_or(Value::Null, |t| serde_json::from_slice(&strip_checksum(t).unwrap()).unwrap())
     };
     until("the snapshot is written", || snapshot()["members"][0]["name"] == "m");
     drop(one);
@@ -402,7 +403,8 @@
     until("the snapshot is written", || file.exists());
     signal(&one, Signal::TERM);
     wait_for_success(&mut one);
-    let mut snapshot: Value = serde_json::from_slice(&open(std::fs::read(&file).unwrap()).unwrap()).unwrap();
+    let mut snapshot: Value =
+        serde_json::from_slice(&strip_checksum(std::fs::read(&file).unwrap()).unwrap()).unwrap();
     snapshot["later"] = json!(1);
     std::fs::write(&file, snapshot.to_string()).unwrap();
     drop(front(unused_address(), &["--state", &state]));
@@ -423,7 +425,7 @@
 #[test]
 fn a_machine_is_new_after_a_kill_and_drained_at_a_sigterm() {
     let controller = start(&["controller"]);
-    assert_eq!(put(controller.at, &Charter::example(1, 1)).status, 200);
+    assert_eq!(put(controller.at, &Settings::example(1, 1)).status, 200);
     let at = controller.at.to_string();
     let machine = || start(&["machine", "--controller", &at, "--name", "m", "--place", "p0", "--build", "1"]);
     let listed = || get(controller.at, "/roster")["roster"]["members"][0].clone();
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -8,8 +8,8 @@
     Front, Member, Ns, Outcome as End, Phase, Reply as Word, RolloutStatus, RosterUpdate, State, Verdict,
 };
 use rockpick_control::release::{Release, Running};
-use rockpick_control::roster::{Beat, Order, Roster};
-use rockpick_control::Charter;
+use rockpick_control::roster::{Heartbeat, Order, Roster};
+use rockpick_control::Settings;
 use rockpick_front::fresh;
 use rockpick_ldap::message::{Attribute, Entry as Record};
 use rockpick_ldap::News;
@@ -153,7 +153,7 @@
 /// What is played.
 #[derive(Clone)]
 pub struct Day {
-    pub charter: Charter,
+    pub charter: Settings,
     pub load: Load,
     /// Mean work of an RPC, ms.
     pub work_ms: f64,
@@ -201,7 +201,7 @@
 
 /// A fleet and its day.
 pub struct World {
-    pub charter: Charter,
+    pub charter: Settings,
     pub crowd: Crowd,
     now: Ns,
     heap: BinaryHeap<Reverse<Entry>>,
@@ -328,7 +328,7 @@
             watch,
             limits,
         } = day;
-        if let Some(wrong) = charter.check().first() {
+        if let Some(wrong) = charter.validate().first() {
             return Err(format!("{}: {}", wrong.field, wrong.why));
         }
         let fronts = charter.fronts.len();
@@ -388,7 +388,7 @@
         world.pass();
         for front in 0..fronts as u32 {
             world.seats[front as usize].zone =
-                world.charter.zone(&world.charter.fronts[front as usize].zone) as usize;
+                world.charter.zone_index(&world.charter.fronts[front as usize].zone) as usize;
             world.start(front);
         }
         world.tell_stage();
@@ -655,7 +655,7 @@
     fn start(&mut self, front: u32) {
         let name = self.charter.fronts[front as usize].name.clone();
         let seed = self.chance.random();
-        let Some(post) = self.charter.post(&name, seed) else { return };
+        let Some(post) = self.charter.front_config(&name, seed) else { return };
         let now = self.now;
         let seat = &mut self.seats[front as usize];
         let (standing, roster, zone) = (seat.standing, std::mem::take(&mut seat.roster), seat.zone);
@@ -1018,7 +1018,7 @@
 
     fn boot(&mut self, place: usize, build: u32) {
         self.booting.remove(&(place, build));
-        let zone = self.charter.zone(&self.charter.places[place].zone);
+        let zone = self.charter.zone_index(&self.charter.places[place].zone);
         let index = *self.named.entry((place, build)).or_insert_with(|| {
             let name = format!("{}..{build}", self.charter.places[place].name);
             let tag = rockpick_id_table::tag(&name);
@@ -1091,14 +1091,14 @@
     // ---- controller
 
     fn standing(&self) -> RolloutStatus {
-        let (build, stage, phase, cap, since) = self.release.standing(&self.charter);
+        let (build, stage, phase, cap, since) = self.release.announcement(&self.charter);
         RolloutStatus { build, stage, phase, cap, since }
     }
 
     /// The roster's lines, whole or those that changed after a serial.
     fn lines(&self, since: Option<u64>) -> Vec<Member> {
         let fits = |m: &rockpick_control::roster::Machine| match since {
-            Some(serial) => m.changed > serial,
+            Some(serial) => m.changed_serial > serial,
             None => m.state != State::Gone,
         };
         let line = |m: &rockpick_control::roster::Machine| {
@@ -1139,7 +1139,7 @@
         let (name, place) = (m.name.clone(), self.charter.places[m.place].name.clone());
         let all = Running::from([(m.place, m.build)]);
         let want = if self.want.is_empty() { &all } else { &self.want };
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             name: &name,
             addr: "",
             place: &place,
@@ -1147,11 +1147,11 @@
             run: u64::from(m.run),
             age: self.now - shop.born,
             leaving: m.leaving,
-            held: (shop.busy + shop.waiting()) as u32,
+            open_rpcs: (shop.busy + shop.waiting()) as u32,
         };
-        if self.roster.beat(self.now, &self.charter, want, beat) == Ok(Order::Stop) {
+        if self.roster.heartbeat(self.now, &self.charter, want, heartbeat) == Ok(Order::Stop) {
             let run = u64::from(m.run);
-            self.roster.leave(&name, run);
+            self.roster.mark_gone(&name, run);
             self.kill_machine(machine);
         }
     }
@@ -1165,7 +1165,7 @@
         self.want = self.release.wanted(&self.charter, &running);
         self.roster.sweep(now, &self.want);
         let running = self.roster.running();
-        self.release.cold = self.roster.cold(now, self.charter.guard.cold_time_ms as Ns * MS);
+        self.release.cold = self.roster.cold_machines(now, self.charter.guard.cold_time_ms as Ns * MS);
         let moved = self.release.tick(now, &self.charter, &running).is_some();
         let present = self.roster.present();
         let missing: Vec<(usize, u32)> = self.want.iter().filter(|w| !present.contains(w)).copied().collect();
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -4,11 +4,11 @@
 use crate::wire::{back_lines, read_note, wait_lines, What, Wire, LAPSE, LOG_LINES, MODULE, PEERS, TICK};
 use crate::{fresh, Opening};
 use rockpick::{Front, Member, Ns, Outcome, Reply, RolloutStatus, RosterUpdate, State};
-use rockpick_control::charter::{plain, Repeats, Wrong, MOST_WEIGHT, MOST_ZONES};
-use rockpick_control::desk::{phase_of, phase_word, state_of, MOST_ROWS};
-use rockpick_control::keep::Writer;
-use rockpick_control::release::MOST_BUILD;
-use rockpick_control::Charter;
+use rockpick_control::api::{parse_phase, parse_state, phase_name, MAX_COUNT_ROWS};
+use rockpick_control::atomic_file::BackgroundWriter;
+use rockpick_control::release::MAX_BUILD;
+use rockpick_control::settings::{is_valid_name, FieldError, RepeatKind, MAX_WEIGHT, MAX_ZONES};
+use rockpick_control::Settings;
 use rockpick_net::http::Request;
 use rockpick_net::{take_line, Bound, End, Event, Id, Net, Often, MS, SEC};
 use rockpick_peers::{Company, Peers, Seal};
@@ -47,7 +47,7 @@
     /// The stage as last told, whole, and when it is to be told to the module once more.
     stage: Option<Value>,
     again: Option<Ns>,
-    writer: Option<Writer<Saved>>,
+    writer: Option<BackgroundWriter<Saved>>,
     dirty: bool,
     counted: Ns,
     ticked: Ns,
@@ -87,7 +87,7 @@
     let at = bound.at;
     let (notes, notes_at) = net.datagrams(SocketAddr::new(at.ip(), 0)).map_err(say)?;
     let no_settings = kept.is_none();
-    let charter = kept.as_ref().map_or_else(|| Charter::example(1, 1), |k| k.settings.clone());
+    let charter = kept.as_ref().map_or_else(|| Settings::example(1, 1), |k| k.settings.clone());
     // Without settings it is not known how many there are.
     let told = kept.as_ref().map_or(0, |k| k.settings.fronts.len() as u32);
     let peers = match &opening.peers {
@@ -104,8 +104,9 @@
         heard: 0,
         stage: None,
         again: None,
-        writer: file
-            .map(|file| Writer::new(file, |saved| serde_json::to_vec(saved).map_err(std::io::Error::other))),
+        writer: file.map(|file| {
+            BackgroundWriter::new(file, |saved| serde_json::to_vec(saved).map_err(std::io::Error::other))
+        }),
         dirty: false,
         counted: 0,
         ticked: 0,
@@ -361,7 +362,7 @@
         if self.wire.door.open_rpcs() >= MOST_OPEN {
             return self.not_taken(conn, 503, "too many RPCs are open");
         }
-        let Some(method) = self.wire.charter.method(name) else {
+        let Some(method) = self.wire.charter.method_index(name) else {
             return self.not_taken(conn, 404, "no such method");
         };
         let row = &self.wire.charter.methods[method];
@@ -374,7 +375,8 @@
         if !fresh::in_time(left, self.wire.charter.guard.answer_margin_ms as Ns * MS) {
             return self.not_taken(conn, 503, "too little time is left to answer");
         }
-        if row.repeat == Repeats::Tokened && request.lines.get("idempotency-key").is_none_or(str::is_empty) {
+        if row.repeat == RepeatKind::Tokened && request.lines.get("idempotency-key").is_none_or(str::is_empty)
+        {
             return self.not_taken(conn, 400, "Idempotency-Key: wanted for this method");
         }
         let key = request.lines.get("rockpick-key").map(key_of);
@@ -526,7 +528,7 @@
                     row.get(i).and_then(Value::as_u64).map_or(0, |n| n.min(u32::MAX.into()) as u32)
                 };
                 let (build, method, picks, bad) = (at(0), at(1) as usize, at(2), at(3).min(at(2)));
-                if build <= MOST_BUILD && method < self.wire.charter.methods.len() {
+                if build <= MAX_BUILD && method < self.wire.charter.methods.len() {
                     self.each(|front, wire| front.platform_counted(wire, build, method, picks, bad));
                 }
             }
@@ -558,9 +560,9 @@
         let now = self.wire.net.now();
         let number = |name: &str| stage.get(name).and_then(Value::as_f64);
         Some(RolloutStatus {
-            build: number("build").filter(|b| (0.0..=MOST_BUILD.into()).contains(b))? as u32,
+            build: number("build").filter(|b| (0.0..=MAX_BUILD.into()).contains(b))? as u32,
             stage: number("stage")? as u32,
-            phase: phase_of(stage.get("phase")?.as_str()?)?,
+            phase: parse_phase(stage.get("phase")?.as_str()?)?,
             cap: number("cap")?.clamp(0.0, 1.0),
             since: now - (number("age_ms")?.clamp(0.0, MOST_AGE) * MS as f64) as Ns,
         })
@@ -583,7 +585,7 @@
                 before.is_none_or(|b| (b.build, b.stage, b.phase) != (news.build, news.stage, news.phase));
             if moved {
                 let (build, stage) = (news.build, news.stage);
-                tracing::info!(event = "told", build, stage, phase = phase_word(news.phase), cap = news.cap);
+                tracing::info!(event = "told", build, stage, phase = phase_name(news.phase), cap = news.cap);
                 self.dirty = true;
             }
             let (may, again) = fresh::standing(news, self.born, now, window);
@@ -683,13 +685,13 @@
             if self.lives.len() >= MOST_LIVES {
                 return;
             }
-            match Charter::read(settings.to_string().as_bytes()) {
+            match Settings::parse(settings.to_string().as_bytes()) {
                 Ok(charter) => {
                     self.begin(charter, version);
                     self.dirty = true;
                 }
                 Err(wrong) => {
-                    if let Some(Wrong { field, why }) = wrong.first() {
+                    if let Some(FieldError { field, why }) = wrong.first() {
                         tracing::warn!(event = "settings refused", field, why, version);
                     }
                 }
@@ -698,9 +700,9 @@
         self.newer = false;
     }
 
-    fn begin(&mut self, charter: Charter, version: u64) {
+    fn begin(&mut self, charter: Settings, version: u64) {
         let opening = &self.wire.opening;
-        let Some(post) = charter.post(&opening.name, opening.seed ^ (self.wire.life + 1)) else {
+        let Some(post) = charter.front_config(&opening.name, opening.seed ^ (self.wire.life + 1)) else {
             if !std::mem::replace(&mut self.no_settings, true) || self.version != version {
                 tracing::warn!(
                     event = "not among the fronts",
@@ -815,7 +817,7 @@
         if due && !(self.wire.counts.is_empty() && sums.is_empty()) {
             self.counted = now;
             let row = |((b, m), [picks, bad]): (&(u32, usize), &[u32; 2])| json!([b, m, picks, bad]);
-            let rows: Vec<Value> = self.wire.counts.iter().take(MOST_ROWS).map(row).collect();
+            let rows: Vec<Value> = self.wire.counts.iter().take(MAX_COUNT_ROWS).map(row).collect();
             self.wire.counts.clear();
             let body = json!({ "front": self.wire.opening.name, "rows": rows, "tenants": sums }).to_string();
             self.wire.ask(What::Else, "POST", "/counts", &body, Some(SEC));
@@ -825,7 +827,7 @@
         self.lives.retain(|(life, _)| *life == newest || !wire.idle(*life));
         if let (true, Some(writer)) = (self.dirty, &self.writer) {
             if let Some(saved) = self.snapshot() {
-                writer.keep(saved);
+                writer.submit(saved);
                 self.dirty = false;
             }
         }
@@ -850,7 +852,7 @@
         let t = &self.wire.tolls;
         let now = self.wire.net.now();
         let stage = self.wire.standing.map(|s| {
-            json!({ "build": s.build, "stage": s.stage, "phase": phase_word(s.phase), "cap": s.cap,
+            json!({ "build": s.build, "stage": s.stage, "phase": phase_name(s.phase), "cap": s.cap,
                 "age_ms": (now - s.since) / MS })
         });
         let (clients, calls) = self.wire.net.open();
@@ -894,14 +896,14 @@
         None => Ok(0.0),
         Some(value) => value.as_f64().filter(|x| (0.0..=most).contains(x)).ok_or(field),
     };
-    let weight = number("weight", MOST_WEIGHT)?;
+    let weight = number("weight", MAX_WEIGHT)?;
     Ok(Said {
-        name: word("name").ok().filter(|name| plain(name)).ok_or("name")?,
+        name: word("name").ok().filter(|name| is_valid_name(name)).ok_or("name")?,
         addr: line.get("addr").and_then(Value::as_str).and_then(|a| a.parse().ok()),
-        state: state_of(word("state")?).ok_or("state")?,
-        zone: number("zone", MOST_ZONES as f64 - 1.0)? as u32,
+        state: parse_state(word("state")?).ok_or("state")?,
+        zone: number("zone", MAX_ZONES as f64 - 1.0)? as u32,
         cell: number("cell", f64::from(u32::MAX))? as u32,
-        build: number("build", f64::from(MOST_BUILD))? as u32,
+        build: number("build", f64::from(MAX_BUILD))? as u32,
         weight: if weight > 0.0 { weight } else { 1.0 },
         run: line.get("run").and_then(Value::as_u64).unwrap_or(0),
         age: (number("age_ms", MOST_AGE)? * MS as f64) as Ns,
--- a/front/src/saved.rs
+++ b/front/src/saved.rs
@@ -1,6 +1,6 @@
 //! The snapshot from which a front comes up at once, controller present or not.
-use rockpick_control::keep;
-use rockpick_control::Charter;
+use rockpick_control::atomic_file;
+use rockpick_control::Settings;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::path::Path;
@@ -9,7 +9,7 @@
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Saved {
     pub settings_version: u64,
-    pub settings: Charter,
+    pub settings: Settings,
     /// The stage as last told, `age_ms` as of saving.
     pub stage: Option<Value>,
     /// The roster's lines, `age_ms` as of saving.
@@ -29,7 +29,7 @@
 /// Names the file and what this version can't take in it.
 pub fn load(file: &Path) -> Result<Option<Saved>, String> {
     let at = |why: String| format!("{}: {why}", file.display());
-    let text = match keep::load_sealed(file) {
+    let text = match atomic_file::load_checked(file) {
         Ok(Some(text)) => text,
         Ok(None) => return Ok(None),
         Err(err) => {
@@ -40,7 +40,7 @@
         }
     };
     let saved: Saved = serde_json::from_slice(&text).map_err(|err| at(err.to_string()))?;
-    match saved.settings.check().first() {
+    match saved.settings.validate().first() {
         Some(wrong) => Err(at(format!("{}: {}", wrong.field, wrong.why))),
         None => Ok(Some(saved)),
     }
