--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -1,19 +1,20 @@
-//! Who is alive among the fronts: probes by shuffled round robin, indirect probes, suspicion with timely refutation,
-//! news piggybacked (after SWIM: Das, Gupta, Motivala 2002), with a count of one's own health that slows one's own
-//! suspicions, and suspicions that grow shorter as others confirm them (after Lifeguard: Dadgar and others 2018).
+//! Group membership of the fronts after SWIM (Das, Gupta, Motivala 2002): probes in shuffled round-robin order, indirect
+//! probes, suspicion with refutation, and updates piggybacked on messages. Two extensions come from Lifeguard (Dadgar and
+//! others 2018): a health penalty that slows a member's own suspicions, and suspicion timeouts that shrink with each
+//! confirmation by another member.
 //!
-//! No I/O and no clock: [`Members::event`] takes what happened with the time of this process's own clock, and acts
-//! through [`Act`]. Nobody's word is needed for the five rules: that a front has gone may make another more careful,
-//! never less (see [`Members::at_least`]).
-mod members;
+//! No I/O and no clock: [`Membership::handle`] takes events with the time of this process's own clock and acts through
+//! [`Actions`]. The five rules do not depend on what a peer reports: a report that a front has gone can make others more
+//! careful, never less (see [`Membership::minimum_count`]).
+mod message;
+mod protocol;
 mod record;
-mod words;
 
-pub use members::{Act, Change, Event, Members, Pace, Place};
-pub use record::{Record, Status, MOST_NAME, MOST_TURN};
-pub use words::{Letter, News, Word, MOST_LETTER, MOST_NEWS};
+pub use message::{Body, Message, Update, MAX_MESSAGE_LEN, MAX_UPDATES};
+pub use protocol::{Actions, Change, Config, Event, Membership, Timing};
+pub use record::{Record, Status, MAX_INCARNATION, MAX_NAME_LEN};
 
-/// A point in time or a span, in whole nanoseconds, of this process's own monotonic clock.
+/// A point in time or a duration in nanoseconds, by this process's own monotonic clock.
 pub type Ns = i64;
 pub const MS: Ns = 1_000_000;
 pub const SEC: Ns = 1_000 * MS;
--- a/membership/tests/figures.rs
+++ b/membership/tests/measurements.rs
@@ -1,9 +1,9 @@
-//! What membership costs and how fast it is, at several sizes, in virtual time: printed, not judged. By hand:
-//! `cargo test --release -p rockpick-membership --test figures -- --ignored --nocapture`.
+//! Measures cost and speed of the membership protocol at several group sizes in virtual time; prints the results and asserts
+//! nothing. Run with `cargo test --release -p rockpick-membership --test measurements -- --ignored --nocapture`.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick_membership::*;
-use rockpick_storm::plan::Act as Deed;
+use rockpick_storm::plan::Act as PlannedFault;
 use rockpick_storm::virt::{Out, Part, World};
 use rockpick_storm::{Fault, Plan, Return, Way};
 use std::net::SocketAddr;
@@ -12,70 +12,83 @@
     SocketAddr::from(([127, 0, 0, 1], 10_000 + who as u16))
 }
 
-struct Seat {
-    members: Members,
-    told: Vec<(Ns, Change)>,
+struct TestMember {
+    membership: Membership,
+    changes: Vec<(Ns, Change)>,
 }
 
-struct Acts<'a>(&'a mut Out, &'a mut Vec<(Ns, Change)>, Ns);
+struct TestActions<'a>(&'a mut Out, &'a mut Vec<(Ns, Change)>, Ns);
 
-impl Act for Acts<'_> {
+impl Actions for TestActions<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.0.letters.push((usize::from(to.port()) - 10_000, bytes.to_vec()));
     }
     fn wake_at(&mut self, at: Ns) {
         self.0.wakes.push(at);
     }
-    fn tell(&mut self, change: Change) {
-        if !matches!(change, Change::There(_)) {
+    fn notify(&mut self, change: Change) {
+        if !matches!(change, Change::Present(_)) {
             self.1.push((self.2, change));
         }
     }
 }
 
-impl Part for Seat {
+impl Part for TestMember {
     fn begin(&mut self, now: Ns, out: &mut Out) {
-        self.members.event(now, Event::Begin, &mut Acts(out, &mut self.told, now));
+        self.membership.handle(now, Event::Start, &mut TestActions(out, &mut self.changes, now));
     }
     fn letter(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Out) {
-        self.members.event(now, Event::Letter { from: at(from), bytes }, &mut Acts(out, &mut self.told, now));
+        self.membership.handle(
+            now,
+            Event::Datagram { from: at(from), bytes },
+            &mut TestActions(out, &mut self.changes, now),
+        );
     }
     fn woke(&mut self, now: Ns, out: &mut Out) {
-        self.members.event(now, Event::Woke, &mut Acts(out, &mut self.told, now));
+        self.membership.handle(now, Event::Timer, &mut TestActions(out, &mut self.changes, now));
     }
     fn leave(&mut self, _: Ns, _: &mut Out) {}
 }
 
-fn row(parts: usize, lost: f64, seconds: Ns) {
-    // All know each other at the beginning; one dies a third through.
+fn measure(parts: usize, lost: f64, seconds: Ns) {
+    // All members know each other at the start; one is killed after a third of the time.
     let dies = seconds / 3 * SEC;
-    let kill =
-        Deed { from: dies, until: seconds * SEC, fault: Fault::Kill { who: parts - 1, back: Return::Never } };
+    let kill = PlannedFault {
+        from: dies,
+        until: seconds * SEC,
+        fault: Fault::Kill { who: parts - 1, back: Return::Never },
+    };
     let plan = Plan { seed: 7, parts, length: seconds * SEC, acts: vec![kill] };
     let base = Way { delay: MS, jitter: MS, lost, ..Way::default() };
-    let mut world: World<Seat> = World::new(plan, base);
-    let all: Vec<News> = (0..parts)
-        .map(|i| News {
-            record: Record { name: format!("f{i}"), at: at(i), life: 1, turn: 0, status: Status::Alive },
-            by: 0,
+    let mut world: World<TestMember> = World::new(plan, base);
+    let all: Vec<Update> = (0..parts)
+        .map(|i| Update {
+            record: Record {
+                name: format!("f{i}"),
+                address: at(i),
+                instance: 1,
+                incarnation: 0,
+                status: Status::Alive,
+            },
+            reporter: 0,
         })
         .collect();
     let make = |who: usize, _, _: Return| {
-        let mut chance = StdRng::seed_from_u64(who as u64);
-        let place = Place {
+        let mut rng = StdRng::seed_from_u64(who as u64);
+        let config = Config {
             name: format!("f{who}"),
-            at: at(who),
-            life: 1,
-            seed: chance.random(),
+            address: at(who),
+            instance: 1,
+            seed: rng.random(),
             join: vec![],
-            told: parts as u32,
+            expected_fronts: parts as u32,
         };
-        let mut seat = Seat {
-            members: Members::new(place, Pace { exchange: 3_600 * SEC, ..Pace::default() }),
-            told: vec![],
+        let mut member = TestMember {
+            membership: Membership::new(config, Timing { sync_interval: 3_600 * SEC, ..Timing::default() }),
+            changes: vec![],
         };
-        seat.members.know(&all);
-        seat
+        member.membership.preload(&all);
+        member
     };
     let began = std::time::Instant::now();
     let mut sent = (0u64, 0u64);
@@ -95,18 +108,19 @@
     let (name, last) = (format!("f{}", parts - 1), parts - 1);
     let span = (dies / SEC - 10) as f64 * parts as f64;
     let mut found: Vec<f64> = Vec::new();
-    let (mut false_ones, mut gone) = (0, 0);
+    let (mut false_suspicions, mut gone) = (0, 0);
     for who in 0..last {
-        let told = &world.part(who).unwrap().told;
-        let when = told.iter().find(|(at, c)| *at > dies && matches!(c, Change::Gone(r) if r.name == name));
+        let changes = &world.part(who).unwrap().changes;
+        let when =
+            changes.iter().find(|(at, c)| *at > dies && matches!(c, Change::Gone(r) if r.name == name));
         found.extend(when.map(|(at, _)| (*at - dies) as f64 / SEC as f64));
         let others = |c: &Change, gone: bool| match c {
             Change::Suspected(r) => !gone && r.name != name,
             Change::Gone(r) => gone && r.name != name,
             _ => false,
         };
-        false_ones += told.iter().filter(|(_, c)| others(c, false)).count();
-        gone += told.iter().filter(|(_, c)| others(c, true)).count();
+        false_suspicions += changes.iter().filter(|(_, c)| others(c, false)).count();
+        gone += changes.iter().filter(|(_, c)| others(c, true)).count();
     }
     found.sort_by(f64::total_cmp);
     let share =
@@ -120,7 +134,7 @@
         share(0.5),
         share(0.99),
         found.len(),
-        false_ones as f64 / parts as f64 / hours,
+        false_suspicions as f64 / parts as f64 / hours,
         gone as f64 / parts as f64 / hours,
         began.elapsed().as_secs_f64()
     );
@@ -128,15 +142,15 @@
 
 #[test]
 #[ignore = "a measurement of minutes"]
-fn figures() {
-    println!("| members | loss | letters a second | bytes a second | found p50 s | p99 s | found by | suspicions heard an hour | gone wrongly an hour | real s |");
-    let most: usize = std::env::var("MOST").map_or(1_000, |n| n.parse().expect("a number"));
-    let least: usize = std::env::var("LEAST").map_or(0, |n| n.parse().expect("a number"));
+fn measurements() {
+    println!("| members | loss | messages a second | bytes a second | found p50 s | p99 s | found by | suspicions heard an hour | gone wrongly an hour | real s |");
+    let max_parts: usize = std::env::var("MOST").map_or(1_000, |n| n.parse().expect("a number"));
+    let min_parts: usize = std::env::var("LEAST").map_or(0, |n| n.parse().expect("a number"));
     let losses: &[f64] = if std::env::var("LOSSLESS").is_ok() { &[0.0] } else { &[0.0, 0.1, 0.3] };
-    for parts in [10, 100, 300, 1_000, 5_000].into_iter().filter(|n| (least..=most).contains(n)) {
+    for parts in [10, 100, 300, 1_000, 5_000].into_iter().filter(|n| (min_parts..=max_parts).contains(n)) {
         let seconds = if parts <= 300 { 600 } else { 180 };
         for lost in losses {
-            row(parts, *lost, seconds);
+            measure(parts, *lost, seconds);
         }
     }
 }
--- a/peers/src/kept.rs
+++ b/peers/src/kept.rs
@@ -1,8 +1,8 @@
 //! What must outlive all fronts at once: rows of builds and bindings, appended to a file by a thread of its own. A front
 //! that comes up takes them as rows like any other's: its file makes no table whole, and a file that is old, torn or
 //! damaged costs the rows that it lacks, nothing else.
-use rockpick_replication::{Dot, Key, Row};
 use rockpick_files as files;
+use rockpick_replication::{Dot, Key, Row};
 use std::io;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -8,9 +8,9 @@
 use kept::Keeper;
 use rand::Rng;
 use rockpick::{Front, Standing};
-use rockpick_replication::{self as copies, Build, Copies, Fact, Key, Near, Phase, Row, Table};
-use rockpick_membership::{Act, Change, Event, Members, Ns, Pace, Place, Record, Status, MS, SEC};
+use rockpick_membership::{self as membership, Change, Membership, Ns, Record, Status, MS, SEC};
 use rockpick_net::{Id, Net, Often};
+use rockpick_replication::{self as copies, Build, Copies, Fact, Key, Near, Phase, Row, Table};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -116,7 +116,7 @@
 const ROWS_SHOWN: usize = 1_000;
 
 pub struct Peers {
-    members: Members,
+    membership: Membership,
     copies: Copies,
     /// Addresses by number, of those that are there.
     near: BTreeMap<u64, SocketAddr>,
@@ -155,22 +155,22 @@
         let named = |err: std::io::Error| format!("--peers-listen {}: {err}", circle.listen);
         let (sock, listen) = net.datagrams(circle.listen).map_err(named)?;
         let mut chance = rand::rng();
-        let place = Place {
+        let config = membership::Config {
             name: name.to_string(),
-            at: circle.at.unwrap_or(listen),
-            life: chance.random(),
+            address: circle.at.unwrap_or(listen),
+            instance: chance.random(),
             seed: chance.random(),
             join: circle.join.clone(),
-            told,
+            expected_fronts: told,
         };
-        let pace = Pace {
-            period: circle.period,
-            ack: circle.period / 2,
-            exchange: 30 * circle.period,
-            ..Pace::default()
+        let timing = membership::Timing {
+            probe_period: circle.period,
+            ack_timeout: circle.period / 2,
+            sync_interval: 30 * circle.period,
+            ..membership::Timing::default()
         };
         let mut peers = Peers {
-            copies: Copies::new(place.life, chance.random(), told),
+            copies: Copies::new(config.instance, chance.random(), told),
             near: BTreeMap::new(),
             zone: BTreeSet::new(),
             learnt: Vec::new(),
@@ -180,7 +180,7 @@
             keeper: None,
             fresh: BTreeSet::new(),
             differs: 0,
-            members: Members::new(place, pace),
+            membership: Membership::new(config, timing),
             seal: Seal::new(&circle.key)?,
             sock,
             tag,
@@ -198,7 +198,7 @@
             peers.keeper = Some(keeper);
         }
         peers.copy(net, copies::Event::Begin);
-        peers.event(net, Event::Begin);
+        peers.event(net, membership::Event::Start);
         tracing::info!(event = "peers up", at = %listen, join = circle.join.len());
         Ok(peers)
     }
@@ -212,11 +212,11 @@
         self.copies.told(1);
     }
 
-    fn event(&mut self, net: &mut Net, event: Event) {
+    fn event(&mut self, net: &mut Net, event: membership::Event) {
         let now = net.now();
         let mut told = Vec::new();
         let (seal, sock, tag, sent) = (&self.seal, self.sock, self.tag, &mut self.sent);
-        self.members.event(
+        self.membership.handle(
             now,
             event,
             &mut Hands { net, seal, sock, tag, sent, near: &self.near, told: &mut told },
@@ -227,8 +227,8 @@
         for change in told {
             self.note(now, change);
         }
-        let there = self.members.others().filter(|r| r.there());
-        self.near = there.map(|r| (id(&r.name), r.at)).collect();
+        let there = self.membership.others().filter(|r| r.is_present());
+        self.near = there.map(|r| (id(&r.name), r.address)).collect();
         self.tell_near(net);
     }
 
@@ -297,7 +297,7 @@
     fn note(&mut self, now: Ns, change: Change) {
         let (what, record) = words(&change);
         if let Some(left_out) = self.often.may(now) {
-            tracing::info!(event = "peer", what, name = record.name, at = %record.at, turn = record.turn, left_out);
+            tracing::info!(event = "peer", what, name = record.name, at = %record.address, turn = record.incarnation, left_out);
         }
         if self.changes.len() >= MOST_CHANGES {
             self.changes.remove(0);
@@ -342,7 +342,7 @@
     }
 }
 
-impl Act for Hands<'_, Change> {
+impl membership::Actions for Hands<'_, Change> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
         self.post(to, OF_MEMBERS, bytes);
     }
@@ -351,7 +351,7 @@
         self.net.wake_at(at, self.tag);
     }
 
-    fn tell(&mut self, change: Change) {
+    fn notify(&mut self, change: Change) {
         self.told.push(change);
     }
 }
@@ -361,7 +361,9 @@
         self.heard.0 += 1;
         self.heard.1 += bytes.len() as u64;
         match self.seal.open(bytes) {
-            Ok([OF_MEMBERS, letter @ ..]) => self.event(net, Event::Letter { from, bytes: letter }),
+            Ok([OF_MEMBERS, letter @ ..]) => {
+                self.event(net, membership::Event::Datagram { from, bytes: letter })
+            }
             Ok([OF_COPIES, letter @ ..]) => {
                 // Only of one that is a member at this address.
                 let sender = self.near.iter().find(|(_, at)| **at == from).map(|(id, _)| *id);
@@ -380,20 +382,20 @@
     }
 
     fn woke(&mut self, net: &mut Net) {
-        self.event(net, Event::Woke);
+        self.event(net, membership::Event::Timer);
         self.copy(net, copies::Event::Woke);
         self.keep();
     }
 
     fn told(&mut self, net: &mut Net, fronts: u32, near: BTreeSet<String>) {
-        self.members.told(fronts);
+        self.membership.set_expected_fronts(fronts);
         self.copies.told(fronts);
         self.zone = near.iter().map(|name| id(name)).collect();
         self.tell_near(net);
     }
 
     fn leave(&mut self, net: &mut Net) {
-        self.event(net, Event::Leave);
+        self.event(net, membership::Event::Leave);
         self.keep();
     }
 
@@ -462,12 +464,12 @@
     }
 
     fn counts(&self) -> Value {
-        json!({ "there": self.members.there(), "copies": self.copies_held(), "strange": self.strange })
+        json!({ "there": self.membership.present_count(), "copies": self.copies_held(), "strange": self.strange })
     }
 
     fn show(&self, now: Ns) -> Value {
         let row = |r: &Record| {
-            json!({ "name": r.name, "at": r.at.to_string(), "life": format!("{:016x}", r.life), "turn": r.turn,
+            json!({ "name": r.name, "at": r.address.to_string(), "life": format!("{:016x}", r.instance), "turn": r.incarnation,
                 "status": status(r.status) })
         };
         let changes: Vec<Value> = self
@@ -475,13 +477,13 @@
             .iter()
             .map(|(at, change)| {
                 let (what, r) = words(change);
-                json!({ "ago_ms": (now - at) / MS, "what": what, "name": r.name, "turn": r.turn })
+                json!({ "ago_ms": (now - at) / MS, "what": what, "name": r.name, "turn": r.incarnation })
             })
             .collect();
-        json!({ "listen": self.listen.to_string(), "self": row(&self.members.own()),
-            "members": self.members.others().map(row).collect::<Vec<_>>(),
-            "there": self.members.there(), "counted": self.members.at_least(), "troubles": self.members.troubles(),
-            "refuted": self.members.refuted, "odd": self.members.odd, "strange": self.strange,
+        json!({ "listen": self.listen.to_string(), "self": row(&self.membership.own_record()),
+            "members": self.membership.others().map(row).collect::<Vec<_>>(),
+            "there": self.membership.present_count(), "counted": self.membership.minimum_count(), "troubles": self.membership.health_penalty(),
+            "refuted": self.membership.refutations, "odd": self.membership.invalid_messages, "strange": self.strange,
             "heard": { "datagrams": self.heard.0, "bytes": self.heard.1 },
             "copies": self.copies_held(),
             "sent": { "datagrams": self.sent.0, "bytes": self.sent.1 }, "changes": changes })
@@ -499,7 +501,7 @@
 
 fn words(change: &Change) -> (&'static str, &Record) {
     match change {
-        Change::There(r) => ("there", r),
+        Change::Present(r) => ("there", r),
         Change::Suspected(r) => ("suspected", r),
         Change::Gone(r) => ("gone", r),
         Change::Left(r) => ("left", r),
