--- a/raft/src/lib.rs
+++ b/raft/src/lib.rs
@@ -1,43 +1,44 @@
-//! What all must agree on: one log, held by a few keepers, after Ongaro's thesis on Raft (2014): terms, pre-vote,
-//! check-quorum, one change of keepers at a time, snapshots in chunks, calls taken once by session and serial.
+//! A replicated log after Ongaro's thesis on Raft (2014): terms, pre-vote, check-quorum, single-server membership changes,
+//! snapshots in chunks, and calls that are applied once, identified by session and serial.
 //!
-//! No I/O and no clock: [`Ledger::event`] takes what happened with the time of this process's own clock, and acts through
-//! [`Act`]. What calls mean is not known here: [`Act::apply`] knows.
+//! No I/O and no clock: [`Node::handle`] takes events with the time of this process's own clock and acts through [`Actions`].
+//! The content of calls is opaque here; only [`Actions::apply`] interprets it.
 //!
-//! No disk is taken at its word. A keeper that comes up may have lost what it acknowledged: a tail, a vote, all of it, or its
-//! folder is last hour's. So it neither votes nor counts before so many of the others have told what they hold and what it
-//! acknowledged to them that every majority it was ever part of has one among them; see [`Ledger`].
-mod ledger;
+//! The disk is not trusted. A node that starts may have lost what it acknowledged (a tail of the log, a vote, everything), or
+//! its state may be an old copy. It therefore neither votes nor counts towards a majority until so many of the other voters have
+//! reported what they hold, and what it acknowledged to them, that every majority it was ever part of includes one of them; see
+//! [`Node`].
 mod log;
-mod words;
+mod message;
+mod node;
 
-pub use ledger::{Act, Event, Ledger, Pace, Role, View};
-pub use log::{Folder, Keep, Snapshot};
-pub use words::{Entry, Letter, Mark, What, Word, MOST_BATCH, MOST_BODY, MOST_LETTER};
+pub use log::{PersistentState, Snapshot, Write};
+pub use message::{Command, Entry, Message, Payload, Position, MAX_BATCH_LEN, MAX_BODY_LEN, MAX_MESSAGE_LEN};
+pub use node::{Actions, Event, Node, Role, Status, Timing};
 
-/// A point in time or a span, in whole nanoseconds, of this process's own monotonic clock.
+/// A point in time or a duration in nanoseconds, by this process's own monotonic clock.
 pub type Ns = i64;
 pub const MS: Ns = 1_000_000;
 pub const SEC: Ns = 1_000 * MS;
 
-/// Most keepers of a log: each commit waits for a majority.
-pub const MOST_KEEPERS: usize = 7;
+/// Most voters of a log, as each commit waits for a majority.
+pub const MAX_VOTERS: usize = 7;
 
-/// Why a call was not taken, and what to do.
+/// Why a call was rejected, and what the caller should do.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
-    #[error("another keeper leads ({0:?}): call that one with the same serial; none: ask again after an election's time")]
-    Elsewhere(Option<u32>),
-    #[error("too many calls wait for their majority: ask again later with the same serial")]
+pub enum CallError {
+    #[error("not the leader; the leader is {0:?}: retry there with the same serial, or if unknown after an election timeout")]
+    NotLeader(Option<u32>),
+    #[error("too many uncommitted calls: retry later with the same serial")]
     Busy,
-    #[error("the lead was lost before the majority had it, it may still be taken: call again with the same session and serial")]
-    Unknown,
-    #[error("no such session, or it was forgotten for newer ones: open another, and look at what the last call did first")]
+    #[error("leadership was lost before the call was committed, and it may still be applied: retry with the same session and serial")]
+    LeadershipLost,
+    #[error("no such session, or it was dropped for newer ones: check the effect of the last call, then open a new session")]
     NoSession,
-    #[error("a later call of this session was taken: the answer is not kept any more")]
-    Old,
-    #[error("{0} bytes, at most {MOST_BODY} are taken: make the call smaller")]
-    Long(usize),
-    #[error("one keeper comes or goes at a time, after the last change is agreed, and 1 to {MOST_KEEPERS} stay: ask again later, or for less")]
-    Change,
+    #[error("a later call of this session was applied, and the response is no longer kept")]
+    StaleSerial,
+    #[error("{0} bytes, at most {MAX_BODY_LEN} are accepted: send a smaller call")]
+    TooLong(usize),
+    #[error("voters change one at a time, after the previous change is committed, and 1 to {MAX_VOTERS} must remain: retry later")]
+    VoterChange,
 }
--- a/raft/src/log.rs
+++ b/raft/src/log.rs
@@ -1,47 +1,47 @@
-//! The log as one keeper holds it in memory, and what of it is to be kept on disk.
-use crate::words::{Entry, Mark, What, MOST_BATCH};
+//! The log as one node holds it in memory, and the part of it that must be written to disk.
+use crate::message::{Command, Entry, Position, MAX_BATCH_LEN};
 use std::collections::VecDeque;
 
-/// All that was agreed up to a mark.
+/// The state up to a log position.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    pub at: Mark,
-    pub keepers: Vec<u32>,
-    /// Sessions and the state of what calls mean, as one text.
+    pub at: Position,
+    pub voters: Vec<u32>,
+    /// Sessions and the state machine's state, encoded together.
     pub bytes: Vec<u8>,
 }
 
-/// What a keeper finds on its disk as it comes up.
+/// What a node finds on its disk when it starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Folder {
+pub struct PersistentState {
     pub term: u64,
     pub vote: Option<u32>,
     pub snapshot: Snapshot,
-    /// Those behind the snapshot, without a gap.
+    /// Entries after the snapshot, without a gap.
     pub entries: Vec<Entry>,
 }
 
-/// What is to be on disk as one, before its number is said to be kept.
+/// Changes to be written to disk atomically, before their number is reported as persisted.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Keep {
+pub struct Write {
     pub term: u64,
     pub vote: Option<u32>,
-    /// Takes the place of all up to its mark; entries behind that mark stay.
+    /// Replaces everything up to its position; later entries stay.
     pub snapshot: Option<Snapshot>,
-    /// Entries from this index on go, and these come.
+    /// Entries from this index on are replaced by `entries`.
     pub from: u64,
     pub entries: Vec<Entry>,
 }
 
-impl Folder {
-    pub fn take(&mut self, keep: Keep) {
-        (self.term, self.vote) = (keep.term, keep.vote);
-        // Entries first: a snapshot of the same event may take some of them in.
-        if keep.from > 0 {
-            self.entries.truncate(keep.from.saturating_sub(self.snapshot.at.index + 1) as usize);
-            self.entries.extend(keep.entries);
+impl PersistentState {
+    pub fn apply(&mut self, write: Write) {
+        (self.term, self.vote) = (write.term, write.vote);
+        // Entries first, as a snapshot of the same event may include some of them.
+        if write.from > 0 {
+            self.entries.truncate(write.from.saturating_sub(self.snapshot.at.index + 1) as usize);
+            self.entries.extend(write.entries);
         }
-        if let Some(snapshot) = keep.snapshot {
+        if let Some(snapshot) = write.snapshot {
             let gone = snapshot.at.index.saturating_sub(self.snapshot.at.index) as usize;
             self.entries.drain(..gone.min(self.entries.len()));
             self.snapshot = snapshot;
@@ -52,33 +52,33 @@
 pub struct Log {
     pub snapshot: Snapshot,
     entries: VecDeque<Entry>,
-    /// Entries that say who keeps the log, and their indices: asked for at each event, and few.
-    circles: Vec<(u64, Vec<u32>)>,
+    /// Entries that change the voters, with their indices: few, and needed at each event.
+    configurations: Vec<(u64, Vec<u32>)>,
     pub bytes: usize,
 }
 
 impl Log {
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Log {
-        let mut log = Log { snapshot, entries: VecDeque::new(), circles: Vec::new(), bytes: 0 };
+        let mut log = Log { snapshot, entries: VecDeque::new(), configurations: Vec::new(), bytes: 0 };
         entries.into_iter().for_each(|entry| log.push(entry));
         log
     }
 
-    pub fn last(&self) -> Mark {
+    pub fn last(&self) -> Position {
         let index = self.snapshot.at.index + self.entries.len() as u64;
-        self.entries.back().map_or(self.snapshot.at, |entry| Mark { term: entry.term, index })
+        self.entries.back().map_or(self.snapshot.at, |entry| Position { term: entry.term, index })
     }
 
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// None: before the snapshot's mark, or beyond the end.
-    pub fn mark(&self, index: u64) -> Option<Mark> {
+    /// Returns `None` before the snapshot's position and beyond the end.
+    pub fn position(&self, index: u64) -> Option<Position> {
         if index == self.snapshot.at.index {
             return Some(self.snapshot.at);
         }
-        self.get(index).map(|entry| Mark { term: entry.term, index })
+        self.get(index).map(|entry| Position { term: entry.term, index })
     }
 
     pub fn get(&self, index: u64) -> Option<&Entry> {
@@ -87,62 +87,62 @@
     }
 
     pub fn push(&mut self, entry: Entry) {
-        self.bytes += entry.room();
-        if let What::Keepers(keepers) = &entry.what {
-            self.circles.push((self.last().index + 1, keepers.clone()));
+        self.bytes += entry.max_encoded_len();
+        if let Command::Voters(voters) = &entry.command {
+            self.configurations.push((self.last().index + 1, voters.clone()));
         }
         self.entries.push_back(entry);
     }
 
-    /// Entries from an index on, as many as a letter bears; one at the least.
+    /// Entries starting at an index, as many as fit into a message, but at least one.
     pub fn batch(&self, from: u64) -> Vec<Entry> {
-        let mut room = MOST_BATCH;
+        let mut space = MAX_BATCH_LEN;
         let at = from.saturating_sub(self.snapshot.at.index + 1) as usize;
         let fits = |entry: &&Entry| {
-            let first = room == MOST_BATCH;
-            let fits = first || entry.room() <= room;
-            room = room.saturating_sub(entry.room());
+            let first = space == MAX_BATCH_LEN;
+            let fits = first || entry.max_encoded_len() <= space;
+            space = space.saturating_sub(entry.max_encoded_len());
             fits
         };
         self.entries.iter().skip(at).take_while(fits).cloned().collect()
     }
 
-    /// Entries from an index on go.
-    pub fn cut(&mut self, from: u64) {
-        let keep = from.saturating_sub(self.snapshot.at.index + 1) as usize;
-        self.circles.retain(|(index, _)| *index < from);
-        while self.entries.len() > keep {
+    /// Removes the entries starting at an index.
+    pub fn truncate(&mut self, from: u64) {
+        let kept_len = from.saturating_sub(self.snapshot.at.index + 1) as usize;
+        self.configurations.retain(|(index, _)| *index < from);
+        while self.entries.len() > kept_len {
             let gone = self.entries.pop_back();
-            self.bytes -= gone.map_or(0, |entry| entry.room());
+            self.bytes -= gone.map_or(0, |entry| entry.max_encoded_len());
         }
     }
 
-    /// A snapshot takes the place of all up to its mark; what stands behind stays where it goes on from there.
-    pub fn replace(&mut self, snapshot: Snapshot) {
-        if self.mark(snapshot.at.index) == Some(snapshot.at) {
+    /// Replaces everything up to the snapshot's position. Later entries stay if they continue from it.
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) {
+        if self.position(snapshot.at.index) == Some(snapshot.at) {
             while self.snapshot.at.index < snapshot.at.index {
                 let gone = self.entries.pop_front();
-                self.bytes -= gone.map_or(0, |entry| entry.room());
+                self.bytes -= gone.map_or(0, |entry| entry.max_encoded_len());
                 self.snapshot.at.index += 1;
             }
         } else {
             self.entries.clear();
-            self.circles.clear();
+            self.configurations.clear();
             self.bytes = 0;
         }
-        self.circles.retain(|(index, _)| *index > snapshot.at.index);
+        self.configurations.retain(|(index, _)| *index > snapshot.at.index);
         self.snapshot = snapshot;
     }
 
-    /// Who keeps the log: by the newest entry that says so, agreed or not; and its index.
-    pub fn keepers(&self) -> (&[u32], u64) {
-        let newest = self.circles.last().map(|(index, keepers)| (&keepers[..], *index));
-        newest.unwrap_or((&self.snapshot.keepers, self.snapshot.at.index))
+    /// The voters by the newest entry that sets them, committed or not, and the index of that entry.
+    pub fn voters(&self) -> (&[u32], u64) {
+        let newest = self.configurations.last().map(|(index, voters)| (&voters[..], *index));
+        newest.unwrap_or((&self.snapshot.voters, self.snapshot.at.index))
     }
 
-    /// Those as of an index.
-    pub fn keepers_at(&self, index: u64) -> Vec<u32> {
-        let said = self.circles.iter().rev().find(|(since, _)| *since <= index);
-        said.map_or_else(|| self.snapshot.keepers.clone(), |(_, keepers)| keepers.clone())
+    /// The voters as of an index.
+    pub fn voters_at(&self, index: u64) -> Vec<u32> {
+        let said = self.configurations.iter().rev().find(|(since, _)| *since <= index);
+        said.map_or_else(|| self.snapshot.voters.clone(), |(_, voters)| voters.clone())
     }
 }
