--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 use rockpick_control::{Charter, Controller};
 use rockpick_net::{http, Call, End, Event, Net, Ns, MS, SEC};
-use rockpick_peers::{Circle, Company, Peers};
+use rockpick_peers::{Config, PeerService, Peers};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -39,25 +39,25 @@
 fn companion(key: &std::path::Path, listen: SocketAddr, bindings: u64) -> Result<SocketAddr, Bad2> {
     let say = |err: std::io::Error| Bad2(err.to_string());
     let mut net = Net::new(1).map_err(say)?;
-    let circle = Circle {
+    let circle = Config {
         join: Vec::new(),
         listen,
-        at: None,
+        advertised: None,
         key: std::fs::read(key).map_err(say)?,
-        period: SEC / 10,
-        file: None,
+        probe_period: SEC / 10,
+        row_log: None,
     };
-    let mut peers = Peers::begin(&mut net, "companion", 1, &circle, 1).map_err(Bad2)?;
-    peers.fill(bindings, 1);
-    let listen = peers.show(0)["listen"].as_str().and_then(|at| at.parse().ok());
+    let mut peers = Peers::start(&mut net, "companion", 1, &circle, 1).map_err(Bad2)?;
+    peers.preload_bindings(bindings, 1);
+    let listen = peers.status(0)["listen"].as_str().and_then(|at| at.parse().ok());
     std::thread::spawn(move || {
         pin(None, MACHINES + 2);
         let mut events = Vec::new();
         while net.turn(&mut events, SEC).is_ok() {
             for event in events.drain(..) {
                 match event {
-                    Event::Datagram { from, bytes } => peers.datagram(&mut net, from, &bytes),
-                    Event::Woke { .. } => peers.woke(&mut net),
+                    Event::Datagram { from, bytes } => peers.handle_datagram(&mut net, from, &bytes),
+                    Event::Woke { .. } => peers.handle_timer(&mut net),
                     _ => {}
                 }
             }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -88,13 +88,19 @@
 }
 
 impl CircleArgs {
-    fn circle(self) -> Result<Option<rockpick_peers::Circle>, Bad2> {
+    fn circle(self) -> Result<Option<rockpick_peers::Config>, Bad2> {
         let Some(listen) = self.peers_listen else { return Ok(None) };
         let file = self.peers_key.ok_or(Bad2("--peers-key: peers need the group's key".into()))?;
         let key = std::fs::read(&file).map_err(|err| Bad2(format!("{}: {err}", file.display())))?;
-        let period = i64::try_from(self.peers_period_ms.min(1 << 32)).unwrap_or(0) * MS;
-        let circle =
-            rockpick_peers::Circle { join: self.peers, listen, at: self.peers_at, key, period, file: None };
+        let probe_period = i64::try_from(self.peers_period_ms.min(1 << 32)).unwrap_or(0) * MS;
+        let circle = rockpick_peers::Config {
+            join: self.peers,
+            listen,
+            advertised: self.peers_at,
+            key,
+            probe_period,
+            row_log: None,
+        };
         circle.check().map_err(Bad2)?;
         Ok(Some(circle))
     }
@@ -524,7 +530,7 @@
             let mut circle = circle.circle()?;
             if let (Some(circle), Some(dir)) = (&mut circle, &state) {
                 std::fs::create_dir_all(dir).map_err(|err| Bad2(format!("{}: {err}", dir.display())))?;
-                circle.file = Some(dir.join(format!("{name}.peers.rows")));
+                circle.row_log = Some(dir.join(format!("{name}.peers.rows")));
             }
             let opening = rockpick_front::Opening {
                 name,
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -11,7 +11,7 @@
 use rockpick_control::Charter;
 use rockpick_net::http::Request;
 use rockpick_net::{take_line, Bound, End, Event, Id, Net, Often, MS, SEC};
-use rockpick_peers::{Company, Peers, Seal};
+use rockpick_peers::{Authenticator, PeerService, Peers};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -91,7 +91,7 @@
     // Without settings it is not known how many there are.
     let told = kept.as_ref().map_or(0, |k| k.settings.fronts.len() as u32);
     let peers = match &opening.peers {
-        Some(circle) => Some(Peers::begin(&mut net, &opening.name, told, circle, PEERS)?),
+        Some(circle) => Some(Peers::start(&mut net, &opening.name, told, circle, PEERS)?),
         None => None,
     };
     let wire = Wire::new(opening, charter, net, notes, at, notes_at);
@@ -199,10 +199,10 @@
     fn share(&mut self) {
         let Some(peers) = &mut self.peers else { return self.wire.bound.clear() };
         for (key, build) in self.wire.bound.drain(..) {
-            peers.bind(key, build);
+            peers.record_binding(key, build);
         }
-        let Some(news) = peers.news() else { return };
-        self.each(|front, _| news.tell(front));
+        let Some(news) = peers.take_updates() else { return };
+        self.each(|front, _| news.apply_to(front));
         // Its own watch may be silent, or the desk cut off: more careful at once.
         if let Some(s) = news.withdrawn {
             tracing::info!(event = "withdrawn, by another front", build = s.build);
@@ -251,13 +251,13 @@
             Event::Woke { tag: TICK } => self.tick(),
             Event::Woke { tag: PEERS } => {
                 if let Some(peers) = &mut self.peers {
-                    peers.woke(&mut self.wire.net);
+                    peers.handle_timer(&mut self.wire.net);
                 }
             }
             Event::Woke { .. } => {}
-            Event::Datagram { from, bytes } if Seal::ours(&bytes) => {
+            Event::Datagram { from, bytes } if Authenticator::is_peer_datagram(&bytes) => {
                 if let Some(peers) = &mut self.peers {
-                    peers.datagram(&mut self.wire.net, from, &bytes);
+                    peers.handle_datagram(&mut self.wire.net, from, &bytes);
                 }
             }
             Event::Datagram { from, bytes } => {
@@ -301,7 +301,7 @@
         let (status, value) = match (request.method.as_str(), path.as_str()) {
             ("GET" | "HEAD", "/status") => (200, self.status()),
             ("GET" | "HEAD", "/peers") => match &self.peers {
-                Some(peers) => (200, peers.show(self.wire.net.now())),
+                Some(peers) => (200, peers.status(self.wire.net.now())),
                 None => (404, json!({ "error": NO_COMPANY })),
             },
             ("GET" | "HEAD", "/peers/rows") => {
@@ -573,7 +573,7 @@
         let mut held = None;
         if let Some(news) = news {
             let news = match &mut self.peers {
-                Some(peers) => peers.stands(news),
+                Some(peers) => peers.merge_standing(news),
                 None => news,
             };
             let before = self.wire.standing.replace(news);
@@ -721,7 +721,7 @@
         if let Some(peers) = &mut self.peers {
             let zone = charter.fronts.iter().find(|f| f.name == self.wire.opening.name).map(|f| &f.zone);
             let near = charter.fronts.iter().filter(|f| Some(&f.zone) == zone).map(|f| f.name.clone());
-            peers.told(&mut self.wire.net, charter.fronts.len() as u32, near.collect());
+            peers.set_fronts(&mut self.wire.net, charter.fronts.len() as u32, near.collect());
         }
         self.wire.charter = charter;
         (self.version, self.no_settings) = (version, false);
@@ -731,7 +731,7 @@
         self.born = self.wire.net.now();
         let mut front = Front::start(post, &mut self.wire);
         if let Some(peers) = &mut self.peers {
-            peers.tell_all(&mut front);
+            peers.replay_to(&mut front);
         }
         self.lives.push_back((self.wire.life, front));
         tracing::info!(event = "settings", version, life = self.wire.life);
--- a/front/src/lib.rs
+++ b/front/src/lib.rs
@@ -25,5 +25,5 @@
     /// Where other fronts are told to send notes, if not to the socket's own address.
     pub notes_at: Option<SocketAddr>,
     /// The other fronts that it keeps company with; none: it knows of nobody.
-    pub peers: Option<rockpick_peers::Circle>,
+    pub peers: Option<rockpick_peers::Config>,
 }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -7,7 +7,7 @@
 use crate::Startup;
 use rockpick::{Front, Ns, Outcome, Reply, Roll};
 use rockpick_net::{Bound, Event, Id, Net, MS, SEC};
-use rockpick_peers::{Company, Peers};
+use rockpick_peers::{PeerService, Peers};
 use rockpick_pg as pg;
 use rockpick_platform::{roster, statement};
 use std::net::SocketAddr;
@@ -99,12 +99,12 @@
         let peers = match effects.startup.circle.clone() {
             Some(circle) => {
                 let (name, told) = (effects.startup.name.clone(), effects.startup.post.fronts);
-                Some(Peers::begin(&mut effects.net, &name, told, &circle, PEERS)?)
+                Some(Peers::start(&mut effects.net, &name, told, &circle, PEERS)?)
             }
             None => None,
         };
         if let Some(peers) = &peers {
-            peers.tell_all(&mut front);
+            peers.replay_to(&mut front);
         }
         let next_tick = effects.net.now() + TICK_EVERY;
         let mut node = Node {
@@ -181,9 +181,9 @@
     /// What this front's RPCs have bound goes to the others, and what they know comes here.
     fn share(&mut self) {
         let Some(peers) = &mut self.peers else { return };
-        self.effects.bound.drain(..).for_each(|(key, build)| peers.bind(key, build));
-        let Some(news) = peers.news() else { return };
-        news.tell(&mut self.front);
+        self.effects.bound.drain(..).for_each(|(key, build)| peers.record_binding(key, build));
+        let Some(news) = peers.take_updates() else { return };
+        news.apply_to(&mut self.front);
         // Its own desk may be silent, or cut off: more careful at once.
         if let Some(s) = news.withdrawn {
             tracing::info!(event = "withdrawn, by another front", build = s.build);
@@ -223,7 +223,7 @@
             Tell::Members(roll, members) => front.members(effects, roll, &members),
             Tell::Told(reply, news) => {
                 let news = match &mut self.peers {
-                    Some(peers) => news.map(|s| peers.stands(s)),
+                    Some(peers) => news.map(|s| peers.merge_standing(s)),
                     None => news,
                 };
                 if let Some(s) = news {
@@ -277,12 +277,12 @@
             Event::Woke { tag: DUE } => self.dues(),
             Event::Woke { tag: PEERS } => {
                 if let Some(peers) = &mut self.peers {
-                    peers.woke(&mut self.effects.net);
+                    peers.handle_timer(&mut self.effects.net);
                 }
             }
             Event::Datagram { from, bytes } => {
                 if let Some(peers) = &mut self.peers {
-                    peers.datagram(&mut self.effects.net, from, &bytes);
+                    peers.handle_datagram(&mut self.effects.net, from, &bytes);
                 }
             }
             Event::Woke { tag: TICK } => self.tick(),
--- a/node/src/startup.rs
+++ b/node/src/startup.rs
@@ -32,7 +32,7 @@
     /// Machines close a connection that was idle for this.
     pub idle: Ns,
     /// The company that it keeps; a platform that forbids it, or tells nothing of it, gets none.
-    pub circle: Option<rockpick_peers::Circle>,
+    pub circle: Option<rockpick_peers::Config>,
 }
 
 impl Startup {
--- a/peers/src/seal.rs
+++ b/peers/src/auth.rs
@@ -10,31 +10,31 @@
 const TAG: usize = 16;
 pub const HEAD: usize = MARK.len() + 1 + TAG;
 /// Shortest key: as many bits as the tag.
-pub const LEAST_KEY: usize = 16;
+pub const MIN_KEY_LEN: usize = 16;
 const MOST_KEY: usize = 4_096;
 
 #[derive(Clone)]
-pub struct Seal(Hmac<Sha256>);
+pub struct Authenticator(Hmac<Sha256>);
 
 /// Why a datagram is passed over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Odd {
-    Short,
-    Version(u8),
-    Seal,
+pub enum RejectReason {
+    TooShort,
+    UnknownVersion(u8),
+    BadTag,
 }
 
-impl Seal {
+impl Authenticator {
     /// # Errors
     /// A key that is too short or too long.
-    pub fn new(key: &[u8]) -> Result<Seal, String> {
-        if !(LEAST_KEY..=MOST_KEY).contains(&key.len()) {
+    pub fn new(key: &[u8]) -> Result<Authenticator, String> {
+        if !(MIN_KEY_LEN..=MOST_KEY).contains(&key.len()) {
             return Err(format!(
-                "a key of {LEAST_KEY} to {MOST_KEY} bytes is wanted, this has {}",
+                "a key of {MIN_KEY_LEN} to {MOST_KEY} bytes is wanted, this has {}",
                 key.len()
             ));
         }
-        Hmac::new_from_slice(key).map(Seal).map_err(|err| err.to_string())
+        Hmac::new_from_slice(key).map(Authenticator).map_err(|err| err.to_string())
     }
 
     fn tag(&self, body: &[u8]) -> [u8; TAG] {
@@ -45,30 +45,30 @@
         std::array::from_fn(|i| whole[i])
     }
 
-    pub fn close(&self, body: &[u8]) -> Vec<u8> {
+    pub fn seal(&self, body: &[u8]) -> Vec<u8> {
         [&MARK[..], &[VERSION], &self.tag(body), body].concat()
     }
 
     /// Is this a datagram of this kind, whoever sent it?
-    pub fn ours(bytes: &[u8]) -> bool {
+    pub fn is_peer_datagram(bytes: &[u8]) -> bool {
         bytes.starts_with(MARK)
     }
 
     /// # Errors
     /// What is wrong with it.
-    pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], Odd> {
-        if bytes.len() < HEAD || !Seal::ours(bytes) {
-            return Err(Odd::Short);
+    pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], RejectReason> {
+        if bytes.len() < HEAD || !Authenticator::is_peer_datagram(bytes) {
+            return Err(RejectReason::TooShort);
         }
         let version = bytes[MARK.len()];
         if version != VERSION {
-            return Err(Odd::Version(version));
+            return Err(RejectReason::UnknownVersion(version));
         }
         let (tag, body) = bytes[MARK.len() + 1..].split_at(TAG);
         let mut mac = self.0.clone();
         mac.update(&[VERSION]);
         mac.update(body);
-        mac.verify_truncated_left(tag).map(|()| body).map_err(|_| Odd::Seal)
+        mac.verify_truncated_left(tag).map(|()| body).map_err(|_| RejectReason::BadTag)
     }
 }
 
@@ -78,8 +78,8 @@
 
     #[test]
     fn each_bit_and_each_byte_of_a_datagram_is_under_the_seal() {
-        let seal = Seal::new(b"a key of the group").unwrap();
-        let good = seal.close(b"a letter");
+        let seal = Authenticator::new(b"a key of the group").unwrap();
+        let good = seal.seal(b"a letter");
         assert_eq!(seal.open(&good), Ok(&b"a letter"[..]));
         for bit in 0..good.len() * 8 {
             let mut bad = good.clone();
@@ -89,10 +89,13 @@
         for cut in 0..good.len() {
             assert!(seal.open(&good[..cut]).is_err(), "cut at {cut}");
         }
-        assert_eq!(Seal::new(b"another key, long enough").unwrap().open(&good), Err(Odd::Seal));
+        assert_eq!(
+            Authenticator::new(b"another key, long enough").unwrap().open(&good),
+            Err(RejectReason::BadTag)
+        );
         let mut later = good.clone();
         later[4] = 2;
-        assert_eq!(seal.open(&later), Err(Odd::Version(2)));
-        assert!(Seal::new(b"short").is_err());
+        assert_eq!(seal.open(&later), Err(RejectReason::UnknownVersion(2)));
+        assert!(Authenticator::new(b"short").is_err());
     }
 }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -1,16 +1,16 @@
 //! Carries what the state machines of fronts that know each other say, over `net`; it decides nothing. A host has one
 //! [`Peers`] in its loop and hands on what [`Company`] asks for. Off unless asked for: a front without it is as it was.
-mod kept;
-mod seal;
+mod auth;
+mod row_log;
 
-pub use seal::{Odd, Seal, LEAST_KEY};
+pub use auth::{Authenticator, RejectReason, MIN_KEY_LEN};
 
-use kept::Keeper;
 use rand::Rng;
 use rockpick::{Front, Standing};
 use rockpick_membership::{self as membership, Change, Membership, Ns, Record, Status, MS, SEC};
 use rockpick_net::{Id, Net, Often};
 use rockpick_replication::{self as replication, Build, Key, Notice, Peer, Phase, Replica, Row, Table};
+use row_log::RowLog;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -26,27 +26,27 @@
 
 /// What a front is told of its peers at start.
 #[derive(Clone)]
-pub struct Circle {
+pub struct Config {
     /// Addresses to begin with, also such as are not there yet.
     pub join: Vec<SocketAddr>,
     pub listen: SocketAddr,
     /// Where the others reach it, if not at the socket's own address (a relay, address translation).
-    pub at: Option<SocketAddr>,
+    pub advertised: Option<SocketAddr>,
     pub key: Vec<u8>,
-    pub period: Ns,
+    pub probe_period: Ns,
     /// Where builds and bindings are kept, for when all fronts are restarted at once.
-    pub file: Option<PathBuf>,
+    pub row_log: Option<PathBuf>,
 }
 
-impl Circle {
+impl Config {
     /// # Errors
     /// What can't be taken, by its option.
     pub fn check(&self) -> Result<(), String> {
-        Seal::new(&self.key).map_err(|why| format!("--peers-key: {why}"))?;
-        if !(PERIODS.0..=PERIODS.1).contains(&self.period) {
+        Authenticator::new(&self.key).map_err(|why| format!("--peers-key: {why}"))?;
+        if !(PERIODS.0..=PERIODS.1).contains(&self.probe_period) {
             return Err("--peers-period: 20 ms to 60 s".into());
         }
-        let told = self.at.unwrap_or(self.listen);
+        let told = self.advertised.unwrap_or(self.listen);
         if told.ip().is_unspecified() {
             return Err("--peers-listen: the others must reach this address; name one, or --peers-at".into());
         }
@@ -67,31 +67,31 @@
 }
 
 /// What a loop that has peers hands on to them.
-pub trait Company {
-    fn datagram(&mut self, net: &mut Net, from: SocketAddr, bytes: &[u8]);
-    fn woke(&mut self, net: &mut Net);
+pub trait PeerService {
+    fn handle_datagram(&mut self, net: &mut Net, from: SocketAddr, bytes: &[u8]);
+    fn handle_timer(&mut self, net: &mut Net);
     /// The settings tell of so many fronts now, and that these are of this one's own zone: the first to be asked for chunks.
-    fn told(&mut self, net: &mut Net, fronts: u32, near: BTreeSet<String>);
+    fn set_fronts(&mut self, net: &mut Net, fronts: u32, near: BTreeSet<String>);
     /// Says that this process goes.
     fn leave(&mut self, net: &mut Net);
-    fn show(&self, now: Ns) -> Value;
+    fn status(&self, now: Ns) -> Value;
     /// The counts alone, for a line in the log.
     fn counts(&self) -> Value;
     /// This front has bound a key.
-    fn bind(&mut self, key: u64, build: u32);
+    fn record_binding(&mut self, key: u64, build: u32);
     /// The desk has told this front where the newest build stands; as the front is to take it. One that any front was told
     /// goes, or went, back stays that, whatever a stalled line or a desk of old says: builds' numbers only rise.
-    fn stands(&mut self, told: Standing) -> Standing;
+    fn merge_standing(&mut self, told: Standing) -> Standing;
     /// What has come from others since it was last asked, if anything has.
-    fn news(&mut self) -> Option<News>;
+    fn take_updates(&mut self) -> Option<PeerUpdates>;
     /// Tells a new life of the module all that is known.
-    fn tell_all(&self, front: &mut Front);
+    fn replay_to(&self, front: &mut Front);
     /// Rows of a table, some at a time: none where the table's name or the place to go on from makes no sense.
     fn rows(&self, table: &str, from: Option<&str>) -> Option<Value>;
 }
 
 /// What has come from other fronts.
-pub struct News {
+pub struct PeerUpdates {
     /// Keys, and which build has answered them.
     bound: Vec<(u64, u32)>,
     /// All that any front knew of keys is here now.
@@ -100,8 +100,8 @@
     pub withdrawn: Option<Standing>,
 }
 
-impl News {
-    pub fn tell(&self, front: &mut Front) {
+impl PeerUpdates {
+    pub fn apply_to(&self, front: &mut Front) {
         self.bound.iter().for_each(|(key, build)| front.bound_elsewhere(*key, *build));
         front.keys_known(self.keys_known);
     }
@@ -129,11 +129,11 @@
     /// Where the newest build stands, as the module was last told; and whether it was told that all keys are known.
     standing: Option<Standing>,
     keys_known: bool,
-    keeper: Option<Keeper>,
+    keeper: Option<RowLog>,
     /// Keys whose rows are to be kept.
     fresh: BTreeSet<Key>,
     differs: u64,
-    seal: Seal,
+    seal: Authenticator,
     sock: Id,
     tag: u64,
     listen: SocketAddr,
@@ -150,23 +150,23 @@
     ///
     /// # Errors
     /// An address that can't be had, a key that is none.
-    pub fn begin(net: &mut Net, name: &str, told: u32, circle: &Circle, tag: u64) -> Result<Peers, String> {
+    pub fn start(net: &mut Net, name: &str, told: u32, circle: &Config, tag: u64) -> Result<Peers, String> {
         circle.check()?;
         let named = |err: std::io::Error| format!("--peers-listen {}: {err}", circle.listen);
         let (sock, listen) = net.datagrams(circle.listen).map_err(named)?;
         let mut chance = rand::rng();
         let config = membership::Config {
             name: name.to_string(),
-            address: circle.at.unwrap_or(listen),
+            address: circle.advertised.unwrap_or(listen),
             instance: chance.random(),
             seed: chance.random(),
             join: circle.join.clone(),
             expected_fronts: told,
         };
         let timing = membership::Timing {
-            probe_period: circle.period,
-            ack_timeout: circle.period / 2,
-            sync_interval: 30 * circle.period,
+            probe_period: circle.probe_period,
+            ack_timeout: circle.probe_period / 2,
+            sync_interval: 30 * circle.probe_period,
             ..membership::Timing::default()
         };
         let mut peers = Peers {
@@ -181,7 +181,7 @@
             fresh: BTreeSet::new(),
             differs: 0,
             membership: Membership::new(config, timing),
-            seal: Seal::new(&circle.key)?,
+            seal: Authenticator::new(&circle.key)?,
             sock,
             tag,
             listen,
@@ -191,8 +191,8 @@
             sent: (0, 0),
             strange: 0,
         };
-        if let Some(file) = &circle.file {
-            let (rows, keeper) = Keeper::begin(file.clone());
+        if let Some(file) = &circle.row_log {
+            let (rows, keeper) = RowLog::start(file.clone());
             tracing::info!(event = "copies read", rows = rows.len());
             rows.into_iter().for_each(|(key, row, dot)| peers.replica.restore(key, row, dot));
             peers.keeper = Some(keeper);
@@ -205,7 +205,7 @@
 
     /// Holds so many keys as answered by a build, for measurements.
     #[doc(hidden)]
-    pub fn fill(&mut self, keys: u64, build: u32) {
+    pub fn preload_bindings(&mut self, keys: u64, build: u32) {
         for key in 0..keys {
             self.replica.update(Key::Bound(key), Row::Bound([build, 0]));
         }
@@ -309,7 +309,7 @@
 /// The hands of both machines; `told` is what each tells.
 struct Hands<'a, T> {
     net: &'a mut Net,
-    seal: &'a Seal,
+    seal: &'a Authenticator,
     sock: Id,
     tag: u64,
     sent: &'a mut (u64, u64),
@@ -319,7 +319,7 @@
 
 impl<T> Hands<'_, T> {
     fn post(&mut self, to: SocketAddr, kind: u8, bytes: &[u8]) {
-        let sealed = self.seal.close(&[&[kind], bytes].concat());
+        let sealed = self.seal.seal(&[&[kind], bytes].concat());
         self.sent.0 += 1;
         self.sent.1 += sealed.len() as u64;
         self.net.send_datagram(self.sock, to, &sealed);
@@ -356,8 +356,8 @@
     }
 }
 
-impl Company for Peers {
-    fn datagram(&mut self, net: &mut Net, from: SocketAddr, bytes: &[u8]) {
+impl PeerService for Peers {
+    fn handle_datagram(&mut self, net: &mut Net, from: SocketAddr, bytes: &[u8]) {
         self.heard.0 += 1;
         self.heard.1 += bytes.len() as u64;
         match self.seal.open(bytes) {
@@ -381,13 +381,13 @@
         }
     }
 
-    fn woke(&mut self, net: &mut Net) {
+    fn handle_timer(&mut self, net: &mut Net) {
         self.event(net, membership::Event::Timer);
         self.copy(net, replication::Event::Timer);
         self.keep();
     }
 
-    fn told(&mut self, net: &mut Net, fronts: u32, near: BTreeSet<String>) {
+    fn set_fronts(&mut self, net: &mut Net, fronts: u32, near: BTreeSet<String>) {
         self.membership.set_expected_fronts(fronts);
         self.replica.set_expected_fronts(fronts);
         self.zone = near.iter().map(|name| id(name)).collect();
@@ -399,13 +399,13 @@
         self.keep();
     }
 
-    fn bind(&mut self, key: u64, build: u32) {
+    fn record_binding(&mut self, key: u64, build: u32) {
         if self.replica.update(Key::Bound(key), Row::Bound([build, 0])) {
             self.note_down(Key::Bound(key));
         }
     }
 
-    fn stands(&mut self, mut told: Standing) -> Standing {
+    fn merge_standing(&mut self, mut told: Standing) -> Standing {
         // The desk numbers what it says by no term yet: within a build stages only rise, and a release comes after.
         let row = Build {
             withdrawn: !stays(told.phase),
@@ -424,20 +424,20 @@
         told
     }
 
-    fn news(&mut self) -> Option<News> {
+    fn take_updates(&mut self) -> Option<PeerUpdates> {
         let bound = std::mem::take(&mut self.learnt);
         let keys_known = self.replica.is_complete(Table::Bindings);
         let known = std::mem::replace(&mut self.keys_known, keys_known);
         let gone = std::mem::take(&mut self.withdrawn);
         let withdrawn = self.standing.filter(|s| stays(s.phase) && gone.contains(&s.build));
-        (!bound.is_empty() || keys_known != known || withdrawn.is_some()).then_some(News {
+        (!bound.is_empty() || keys_known != known || withdrawn.is_some()).then_some(PeerUpdates {
             bound,
             keys_known,
             withdrawn,
         })
     }
 
-    fn tell_all(&self, front: &mut Front) {
+    fn replay_to(&self, front: &mut Front) {
         for (key, row) in self.replica.store().table(Table::Bindings) {
             if let (Key::Bound(key), Row::Bound(builds)) = (key, row) {
                 builds.iter().filter(|b| **b > 0).for_each(|build| front.bound_elsewhere(*key, *build));
@@ -467,10 +467,10 @@
         json!({ "there": self.membership.present_count(), "copies": self.copies_held(), "strange": self.strange })
     }
 
-    fn show(&self, now: Ns) -> Value {
+    fn status(&self, now: Ns) -> Value {
         let row = |r: &Record| {
             json!({ "name": r.name, "at": r.address.to_string(), "life": format!("{:016x}", r.instance), "turn": r.incarnation,
-                "status": status(r.status) })
+                "status": status_name(r.status) })
         };
         let changes: Vec<Value> = self
             .changes
@@ -490,7 +490,7 @@
     }
 }
 
-fn status(status: Status) -> &'static str {
+fn status_name(status: Status) -> &'static str {
     match status {
         Status::Alive => "alive",
         Status::Suspect => "suspect",
--- a/peers/src/kept.rs
+++ b/peers/src/row_log.rs
@@ -19,7 +19,7 @@
 const MOST_ROWS: usize = 4_096;
 const MOST_BATCH: usize = 1 << 20;
 
-pub struct Keeper {
+pub struct RowLog {
     to: Option<SyncSender<Rows>>,
     broken: Arc<AtomicBool>,
     /// Rows that are on disk, as far as the disk says.
@@ -57,9 +57,9 @@
     rows.chunks(MOST_ROWS).flat_map(batch).collect()
 }
 
-impl Keeper {
+impl RowLog {
     /// What the file holds, and one that goes on with it. A disk that refuses keeps nobody from coming up.
-    pub fn begin(path: PathBuf) -> (Rows, Keeper) {
+    pub fn start(path: PathBuf) -> (Rows, RowLog) {
         let bytes = files::load(&path).unwrap_or_else(|err| {
             tracing::error!(event = "copies not read", file = %path.display(), why = %err);
             None
@@ -95,7 +95,7 @@
                 count.fetch_add(rows.len() as u64, Ordering::Relaxed);
             }
         });
-        (rows, Keeper { to: Some(to), broken, kept })
+        (rows, RowLog { to: Some(to), broken, kept })
     }
 
     pub fn keep(&mut self, rows: Rows) {
@@ -145,7 +145,7 @@
     fn a_file_grows_is_read_again_and_written_anew() {
         let path = std::env::temp_dir().join(format!("rockpick-kept-{}", std::process::id()));
         for round in 0..3 {
-            let (some, mut keeper) = Keeper::begin(path.clone());
+            let (some, mut keeper) = RowLog::start(path.clone());
             assert_eq!(some.len(), 20 * round);
             keeper.keep(rows(20 * round as u64));
             let began = std::time::Instant::now();
