--- a/peers/src/auth.rs
+++ b/peers/src/auth.rs
@@ -1,22 +1,22 @@
-//! A datagram's seal: four letters and a version, a tag by the group's key, then the letter. A stranger without the key
-//! can send what it likes: it is counted and passed over. What was recorded and is sent again has a good seal; turns
-//! and serials make it old news.
+//! Authentication of datagrams: a magic number and a version, an HMAC tag under the group's key, then the payload. Datagrams
+//! from senders without the key are counted and ignored. A replayed datagram has a valid tag, but its incarnations and serials
+//! mark its content as outdated.
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 
-pub const MARK: &[u8; 4] = b"RPpr";
-/// The only version so far; another is passed over, and named in the log.
+pub const MAGIC: &[u8; 4] = b"RPpr";
+/// The only version so far. Others are ignored and logged.
 pub const VERSION: u8 = 1;
-const TAG: usize = 16;
-pub const HEAD: usize = MARK.len() + 1 + TAG;
+const TAG_LEN: usize = 16;
+pub const HEADER_LEN: usize = MAGIC.len() + 1 + TAG_LEN;
 /// Shortest key: as many bits as the tag.
 pub const MIN_KEY_LEN: usize = 16;
-const MOST_KEY: usize = 4_096;
+const MAX_KEY_LEN: usize = 4_096;
 
 #[derive(Clone)]
 pub struct Authenticator(Hmac<Sha256>);
 
-/// Why a datagram is passed over.
+/// Why a datagram is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     TooShort,
@@ -26,18 +26,15 @@
 
 impl Authenticator {
     /// # Errors
-    /// A key that is too short or too long.
+    /// The key is too short or too long.
     pub fn new(key: &[u8]) -> Result<Authenticator, String> {
-        if !(MIN_KEY_LEN..=MOST_KEY).contains(&key.len()) {
-            return Err(format!(
-                "a key of {MIN_KEY_LEN} to {MOST_KEY} bytes is wanted, this has {}",
-                key.len()
-            ));
+        if !(MIN_KEY_LEN..=MAX_KEY_LEN).contains(&key.len()) {
+            return Err(format!("the key must have {MIN_KEY_LEN} to {MAX_KEY_LEN} bytes, not {}", key.len()));
         }
         Hmac::new_from_slice(key).map(Authenticator).map_err(|err| err.to_string())
     }
 
-    fn tag(&self, body: &[u8]) -> [u8; TAG] {
+    fn tag(&self, body: &[u8]) -> [u8; TAG_LEN] {
         let mut mac = self.0.clone();
         mac.update(&[VERSION]);
         mac.update(body);
@@ -46,25 +43,25 @@
     }
 
     pub fn seal(&self, body: &[u8]) -> Vec<u8> {
-        [&MARK[..], &[VERSION], &self.tag(body), body].concat()
+        [&MAGIC[..], &[VERSION], &self.tag(body), body].concat()
     }
 
-    /// Is this a datagram of this kind, whoever sent it?
+    /// Whether this is a datagram of this protocol, from any sender.
     pub fn is_peer_datagram(bytes: &[u8]) -> bool {
-        bytes.starts_with(MARK)
+        bytes.starts_with(MAGIC)
     }
 
     /// # Errors
-    /// What is wrong with it.
-    pub fn open<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], RejectReason> {
-        if bytes.len() < HEAD || !Authenticator::is_peer_datagram(bytes) {
+    /// Why the datagram is rejected.
+    pub fn verify<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], RejectReason> {
+        if bytes.len() < HEADER_LEN || !Authenticator::is_peer_datagram(bytes) {
             return Err(RejectReason::TooShort);
         }
-        let version = bytes[MARK.len()];
+        let version = bytes[MAGIC.len()];
         if version != VERSION {
             return Err(RejectReason::UnknownVersion(version));
         }
-        let (tag, body) = bytes[MARK.len() + 1..].split_at(TAG);
+        let (tag, body) = bytes[MAGIC.len() + 1..].split_at(TAG_LEN);
         let mut mac = self.0.clone();
         mac.update(&[VERSION]);
         mac.update(body);
@@ -77,25 +74,25 @@
     use super::*;
 
     #[test]
-    fn each_bit_and_each_byte_of_a_datagram_is_under_the_seal() {
-        let seal = Authenticator::new(b"a key of the group").unwrap();
-        let good = seal.seal(b"a letter");
-        assert_eq!(seal.open(&good), Ok(&b"a letter"[..]));
+    fn every_bit_of_a_datagram_is_authenticated() {
+        let auth = Authenticator::new(b"a key of the group").unwrap();
+        let good = auth.seal(b"a message");
+        assert_eq!(auth.verify(&good), Ok(&b"a message"[..]));
         for bit in 0..good.len() * 8 {
             let mut bad = good.clone();
             bad[bit / 8] ^= 1 << (bit % 8);
-            assert!(seal.open(&bad).is_err(), "bit {bit}");
+            assert!(auth.verify(&bad).is_err(), "bit {bit}");
         }
         for cut in 0..good.len() {
-            assert!(seal.open(&good[..cut]).is_err(), "cut at {cut}");
+            assert!(auth.verify(&good[..cut]).is_err(), "cut at {cut}");
         }
         assert_eq!(
-            Authenticator::new(b"another key, long enough").unwrap().open(&good),
+            Authenticator::new(b"another key, long enough").unwrap().verify(&good),
             Err(RejectReason::BadTag)
         );
         let mut later = good.clone();
         later[4] = 2;
-        assert_eq!(seal.open(&later), Err(RejectReason::UnknownVersion(2)));
+        assert_eq!(auth.verify(&later), Err(RejectReason::UnknownVersion(2)));
         assert!(Authenticator::new(b"short").is_err());
     }
 }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -1,5 +1,5 @@
-//! Carries what the state machines of fronts that know each other say, over `net`; it decides nothing. A host has one
-//! [`Peers`] in its loop and hands on what [`Company`] asks for. Off unless asked for: a front without it is as it was.
+//! Connects the state machines for membership and replication to the network; it makes no decisions itself. A host runs one
+//! [`Peers`] in its event loop through [`PeerService`]. Optional: without it, a front behaves as if it had no peers.
 mod auth;
 mod row_log;
 
@@ -17,86 +17,87 @@
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
 
-/// Changes kept for whoever asks how it came to this.
-const MOST_CHANGES: usize = 200;
-/// Lines of one kind in the log, a second.
-const LOG_LINES: u32 = 10;
-/// Fastest and slowest period that is taken.
-const PERIODS: (Ns, Ns) = (20 * MS, 60 * SEC);
+/// Most membership changes kept for display.
+const MAX_CHANGES: usize = 200;
+/// Log lines of one kind per second.
+const LOG_LINES_PER_SECOND: u32 = 10;
+/// Shortest and longest probe period that is accepted.
+const PROBE_PERIODS: (Ns, Ns) = (20 * MS, 60 * SEC);
 
-/// What a front is told of its peers at start.
+/// A front's configuration for its peers.
 #[derive(Clone)]
 pub struct Config {
-    /// Addresses to begin with, also such as are not there yet.
+    /// Seed addresses; these need not be reachable yet.
     pub join: Vec<SocketAddr>,
     pub listen: SocketAddr,
-    /// Where the others reach it, if not at the socket's own address (a relay, address translation).
+    /// The address that peers use, if it differs from the socket's (a relay, address translation).
     pub advertised: Option<SocketAddr>,
     pub key: Vec<u8>,
     pub probe_period: Ns,
-    /// Where builds and bindings are kept, for when all fronts are restarted at once.
+    /// The file for builds and bindings, in case all fronts restart at once.
     pub row_log: Option<PathBuf>,
 }
 
 impl Config {
     /// # Errors
-    /// What can't be taken, by its option.
+    /// The option with an invalid value.
     pub fn check(&self) -> Result<(), String> {
         Authenticator::new(&self.key).map_err(|why| format!("--peers-key: {why}"))?;
-        if !(PERIODS.0..=PERIODS.1).contains(&self.probe_period) {
-            return Err("--peers-period: 20 ms to 60 s".into());
+        if !(PROBE_PERIODS.0..=PROBE_PERIODS.1).contains(&self.probe_period) {
+            return Err("--peers-period-ms: must be between 20 and 60000".into());
         }
-        let told = self.advertised.unwrap_or(self.listen);
-        if told.ip().is_unspecified() {
-            return Err("--peers-listen: the others must reach this address; name one, or --peers-at".into());
+        let advertised = self.advertised.unwrap_or(self.listen);
+        if advertised.ip().is_unspecified() {
+            return Err("--peers-listen: peers cannot reach an unspecified address; give a specific one, or --peers-at".into());
         }
         Ok(())
     }
 }
 
-/// What a letter is of; other kinds are of later versions, and passed over.
-const OF_MEMBERS: u8 = 0;
-const OF_COPIES: u8 = 1;
+/// Kind of a message; other kinds belong to later versions and are ignored.
+const KIND_MEMBERSHIP: u8 = 0;
+const KIND_REPLICATION: u8 = 1;
 
-/// A member's number for copies: of its name, so that a return is the same peer.
-fn id(name: &str) -> u64 {
+/// A member's id for replication, derived from its name so that it stays the same after a restart.
+fn peer_id(name: &str) -> u64 {
     use std::hash::Hasher;
     let mut hash = replication::tables::Fnv::default();
     hash.write(name.as_bytes());
     hash.finish() | 1
 }
 
-/// What a loop that has peers hands on to them.
+/// Interface of a host's event loop to its peers.
 pub trait PeerService {
     fn handle_datagram(&mut self, net: &mut Net, from: SocketAddr, bytes: &[u8]);
     fn handle_timer(&mut self, net: &mut Net);
-    /// The settings tell of so many fronts now, and that these are of this one's own zone: the first to be asked for chunks.
-    fn set_fronts(&mut self, net: &mut Net, fronts: u32, near: BTreeSet<String>);
-    /// Says that this process goes.
+    /// Sets the number of fronts in the settings and those in this front's own zone, which are asked for chunks first.
+    fn set_fronts(&mut self, net: &mut Net, fronts: u32, same_zone: BTreeSet<String>);
+    /// Announces that this process leaves.
     fn leave(&mut self, net: &mut Net);
     fn status(&self, now: Ns) -> Value;
-    /// The counts alone, for a line in the log.
+    /// The counters alone, for the log.
     fn counts(&self) -> Value;
-    /// This front has bound a key.
+    /// Records a key that this front has bound.
     fn record_binding(&mut self, key: u64, build: u32);
-    /// The desk has told this front where the newest build stands; as the front is to take it. One that any front was told
-    /// goes, or went, back stays that, whatever a stalled line or a desk of old says: builds' numbers only rise.
-    fn merge_standing(&mut self, told: Standing) -> Standing;
-    /// What has come from others since it was last asked, if anything has.
+    /// Merges the controller's statement on the newest build with what peers know, and returns the result for this front. Once
+    /// any front has heard that a build is sent back, it stays so, whatever a delayed message or an outdated controller says, as build
+    /// numbers only increase.
+    fn merge_standing(&mut self, standing: Standing) -> Standing;
+    /// Returns what peers have reported since the last call, if anything.
     fn take_updates(&mut self) -> Option<PeerUpdates>;
-    /// Tells a new life of the module all that is known.
+    /// Passes everything known to a new instance of the module.
     fn replay_to(&self, front: &mut Front);
-    /// Rows of a table, some at a time: none where the table's name or the place to go on from makes no sense.
+    /// Returns a page of a table's rows, or `None` if the table's name or the start position is invalid.
     fn rows(&self, table: &str, from: Option<&str>) -> Option<Value>;
 }
 
-/// What has come from other fronts.
+/// What peers have reported.
 pub struct PeerUpdates {
-    /// Keys, and which build has answered them.
+    /// Keys, and the builds that have answered them.
     bound: Vec<(u64, u32)>,
-    /// All that any front knew of keys is here now.
+    /// Whether all keys that any front knew are known here.
     keys_known: bool,
-    /// This front's newest build goes back: to be told to the module once more.
+    /// Set if this front's newest build is sent back, to be passed to the module again.
     pub withdrawn: Option<Standing>,
 }
 
@@ -107,103 +108,103 @@
     }
 }
 
-/// Does a build of this phase get picks?
-fn stays(phase: rockpick::Phase) -> bool {
+/// Whether a build in this phase receives picks.
+fn receives_picks(phase: rockpick::Phase) -> bool {
     matches!(phase, rockpick::Phase::OnTrial | rockpick::Phase::Released)
 }
 
-/// Rows of one answer about a table.
-const ROWS_SHOWN: usize = 1_000;
+/// Most rows in one reply about a table.
+const MAX_ROWS_PER_REPLY: usize = 1_000;
 
 pub struct Peers {
     membership: Membership,
     replica: Replica,
-    /// Addresses by number, of those that are there.
-    near: BTreeMap<u64, SocketAddr>,
-    /// Numbers of those that are in this front's own zone.
-    zone: BTreeSet<u64>,
-    /// Keys that others have bound, not yet handed on.
-    learnt: Vec<(u64, u32)>,
-    /// Builds that others know to be withdrawn, not yet handed on.
+    /// Addresses of the present members, by id.
+    addresses: BTreeMap<u64, SocketAddr>,
+    /// Ids of the members in this front's own zone.
+    same_zone: BTreeSet<u64>,
+    /// Keys bound by other fronts that have not been passed on yet.
+    bound: Vec<(u64, u32)>,
+    /// Builds withdrawn by other fronts that have not been passed on yet.
     withdrawn: Vec<u32>,
-    /// Where the newest build stands, as the module was last told; and whether it was told that all keys are known.
+    /// The newest build's state as last passed to the module, and whether the module knows that all keys are known.
     standing: Option<Standing>,
     keys_known: bool,
-    keeper: Option<RowLog>,
-    /// Keys whose rows are to be kept.
-    fresh: BTreeSet<Key>,
-    differs: u64,
-    seal: Authenticator,
+    row_log: Option<RowLog>,
+    /// Keys whose rows are to be written to disk.
+    unsaved: BTreeSet<Key>,
+    conflicts: u64,
+    auth: Authenticator,
     sock: Id,
     tag: u64,
     listen: SocketAddr,
     changes: Vec<(Ns, Change)>,
-    often: Often,
-    /// Datagrams in and out, their bytes, and those passed over.
-    heard: (u64, u64),
+    log_limit: Often,
+    /// Datagrams received and sent with their bytes, and those rejected.
+    received: (u64, u64),
     sent: (u64, u64),
-    strange: u64,
+    rejected: u64,
 }
 
 impl Peers {
-    /// Begins; timers of the loop come up with `tag`.
+    /// Starts; timers of the event loop carry `tag`.
     ///
     /// # Errors
-    /// An address that can't be had, a key that is none.
-    pub fn start(net: &mut Net, name: &str, told: u32, circle: &Config, tag: u64) -> Result<Peers, String> {
-        circle.check()?;
-        let named = |err: std::io::Error| format!("--peers-listen {}: {err}", circle.listen);
-        let (sock, listen) = net.datagrams(circle.listen).map_err(named)?;
-        let mut chance = rand::rng();
-        let config = membership::Config {
+    /// The address cannot be bound, or the key is invalid.
+    pub fn start(net: &mut Net, name: &str, fronts: u32, config: &Config, tag: u64) -> Result<Peers, String> {
+        config.check()?;
+        let named = |err: std::io::Error| format!("--peers-listen {}: {err}", config.listen);
+        let (sock, listen) = net.datagrams(config.listen).map_err(named)?;
+        let mut rng = rand::rng();
+        let member = membership::Config {
             name: name.to_string(),
-            address: circle.advertised.unwrap_or(listen),
-            instance: chance.random(),
-            seed: chance.random(),
-            join: circle.join.clone(),
-            expected_fronts: told,
+            address: config.advertised.unwrap_or(listen),
+            instance: rng.random(),
+            seed: rng.random(),
+            join: config.join.clone(),
+            expected_fronts: fronts,
         };
         let timing = membership::Timing {
-            probe_period: circle.probe_period,
-            ack_timeout: circle.probe_period / 2,
-            sync_interval: 30 * circle.probe_period,
+            probe_period: config.probe_period,
+            ack_timeout: config.probe_period / 2,
+            sync_interval: 30 * config.probe_period,
             ..membership::Timing::default()
         };
         let mut peers = Peers {
-            replica: Replica::new(config.instance, chance.random(), told),
-            near: BTreeMap::new(),
-            zone: BTreeSet::new(),
-            learnt: Vec::new(),
+            replica: Replica::new(member.instance, rng.random(), fronts),
+            addresses: BTreeMap::new(),
+            same_zone: BTreeSet::new(),
+            bound: Vec::new(),
             withdrawn: Vec::new(),
             standing: None,
             keys_known: false,
-            keeper: None,
-            fresh: BTreeSet::new(),
-            differs: 0,
-            membership: Membership::new(config, timing),
-            seal: Authenticator::new(&circle.key)?,
+            row_log: None,
+            unsaved: BTreeSet::new(),
+            conflicts: 0,
+            membership: Membership::new(member, timing),
+            auth: Authenticator::new(&config.key)?,
             sock,
             tag,
             listen,
             changes: Vec::new(),
-            often: Often::new(LOG_LINES),
-            heard: (0, 0),
+            log_limit: Often::new(LOG_LINES_PER_SECOND),
+            received: (0, 0),
             sent: (0, 0),
-            strange: 0,
+            rejected: 0,
         };
-        if let Some(file) = &circle.row_log {
-            let (rows, keeper) = RowLog::start(file.clone());
-            tracing::info!(event = "copies read", rows = rows.len());
+        if let Some(file) = &config.row_log {
+            let (rows, row_log) = RowLog::start(file.clone());
+            tracing::info!(event = "row log loaded", rows = rows.len());
             rows.into_iter().for_each(|(key, row, dot)| peers.replica.restore(key, row, dot));
-            peers.keeper = Some(keeper);
+            peers.row_log = Some(row_log);
         }
-        peers.copy(net, replication::Event::Start);
-        peers.event(net, membership::Event::Start);
-        tracing::info!(event = "peers up", at = %listen, join = circle.join.len());
+        peers.handle_replication(net, replication::Event::Start);
+        peers.handle_membership(net, membership::Event::Start);
+        tracing::info!(event = "peers started", at = %listen, join = config.join.len());
         Ok(peers)
     }
 
-    /// Holds so many keys as answered by a build, for measurements.
+    /// Marks keys as answered by a build, for measurements.
     #[doc(hidden)]
     pub fn preload_bindings(&mut self, keys: u64, build: u32) {
         for key in 0..keys {
@@ -212,124 +213,124 @@
         self.replica.set_expected_fronts(1);
     }
 
-    fn event(&mut self, net: &mut Net, event: membership::Event) {
+    fn handle_membership(&mut self, net: &mut Net, event: membership::Event) {
         let now = net.now();
-        let mut told = Vec::new();
-        let (seal, sock, tag, sent) = (&self.seal, self.sock, self.tag, &mut self.sent);
+        let mut notices = Vec::new();
+        let (auth, sock, tag, sent) = (&self.auth, self.sock, self.tag, &mut self.sent);
         self.membership.handle(
             now,
             event,
-            &mut Hands { net, seal, sock, tag, sent, near: &self.near, told: &mut told },
+            &mut NetActions { net, auth, sock, tag, sent, addresses: &self.addresses, notices: &mut notices },
         );
-        if told.is_empty() {
+        if notices.is_empty() {
             return;
         }
-        for change in told {
-            self.note(now, change);
+        for change in notices {
+            self.record_change(now, change);
         }
-        let there = self.membership.others().filter(|r| r.is_present());
-        self.near = there.map(|r| (id(&r.name), r.address)).collect();
-        self.tell_near(net);
+        let present = self.membership.others().filter(|r| r.is_present());
+        self.addresses = present.map(|r| (peer_id(&r.name), r.address)).collect();
+        self.update_peers(net);
     }
 
-    fn tell_near(&mut self, net: &mut Net) {
-        let near = |id: &u64| Peer { id: *id, same_zone: self.zone.contains(id) };
-        let near: Vec<Peer> = self.near.keys().map(near).collect();
-        self.copy(net, replication::Event::Peers(&near));
+    fn update_peers(&mut self, net: &mut Net) {
+        let peer = |id: &u64| Peer { id: *id, same_zone: self.same_zone.contains(id) };
+        let peers: Vec<Peer> = self.addresses.keys().map(peer).collect();
+        self.handle_replication(net, replication::Event::Peers(&peers));
     }
 
-    fn copy(&mut self, net: &mut Net, event: replication::Event) {
+    fn handle_replication(&mut self, net: &mut Net, event: replication::Event) {
         let now = net.now();
-        let mut told = Vec::new();
-        let (seal, sock, tag, sent) = (&self.seal, self.sock, self.tag, &mut self.sent);
+        let mut notices = Vec::new();
+        let (auth, sock, tag, sent) = (&self.auth, self.sock, self.tag, &mut self.sent);
         self.replica.handle(
             now,
             event,
-            &mut Hands { net, seal, sock, tag, sent, near: &self.near, told: &mut told },
+            &mut NetActions { net, auth, sock, tag, sent, addresses: &self.addresses, notices: &mut notices },
         );
-        for notice in told {
+        for notice in notices {
             if let Notice::Updated(key, _) = notice {
-                self.note_down(key);
+                self.mark_unsaved(key);
             }
             match notice {
                 Notice::Updated(Key::Bound(key), Row::Bound(builds)) => {
-                    self.learnt.extend(builds.iter().filter(|b| **b > 0).map(|build| (key, *build)));
+                    self.bound.extend(builds.iter().filter(|b| **b > 0).map(|build| (key, *build)));
                 }
                 Notice::Updated(Key::Build(build), Row::Build(row)) if row.withdrawn => {
                     self.withdrawn.push(build);
                 }
                 Notice::Updated(..) => {}
-                Notice::Complete(table) => tracing::info!(event = "copies whole", table = ?table),
+                Notice::Complete(table) => tracing::info!(event = "table complete", table = ?table),
                 Notice::Conflict(key) => {
-                    self.differs += 1;
-                    if let Some(left_out) = self.often.may(now) {
-                        tracing::warn!(event = "copies differ", key = ?key, left_out);
+                    self.conflicts += 1;
+                    if let Some(left_out) = self.log_limit.may(now) {
+                        tracing::warn!(event = "replicas conflict", key = ?key, left_out);
                     }
                 }
             }
         }
     }
 
-    fn copies_held(&self) -> Value {
+    fn replica_status(&self) -> Value {
         json!({
                 "whole": replication::TABLES.iter().filter(|t| self.replica.is_complete(**t)).map(|t| format!("{t:?}")).collect::<Vec<_>>(),
                 "rows": replication::TABLES.iter().map(|t| (format!("{t:?}"), json!(self.replica.store().len(*t)))).collect::<serde_json::Map<_, _>>(),
                 "digests": replication::TABLES.iter().map(|t| (format!("{t:?}"), json!(format!("{:016x}", self.replica.store().table_digest(*t))))).collect::<serde_json::Map<_, _>>(),
-                "learnt": self.replica.counters.updated, "differs": self.differs, "gave": self.replica.counters.chunks_served,
-                "kept": self.keeper.as_ref().filter(|k| k.well()).map(|k| k.kept.load(Ordering::Relaxed)),
+                "learnt": self.replica.counters.updated, "differs": self.conflicts, "gave": self.replica.counters.chunks_served,
+                "kept": self.row_log.as_ref().filter(|k| k.is_healthy()).map(|k| k.rows_on_disk.load(Ordering::Relaxed)),
                 "busy": self.replica.counters.busy_replies, "refused": self.replica.counters.rejected })
     }
 
-    fn note_down(&mut self, key: Key) {
-        if self.keeper.is_some() && matches!(key.table(), Table::Builds | Table::Bindings) {
-            self.fresh.insert(key);
+    fn mark_unsaved(&mut self, key: Key) {
+        if self.row_log.is_some() && matches!(key.table(), Table::Builds | Table::Bindings) {
+            self.unsaved.insert(key);
         }
     }
 
-    /// What has changed goes to the disk's thread.
-    fn keep(&mut self) {
-        let Some(keeper) = self.keeper.as_mut().filter(|_| !self.fresh.is_empty()) else { return };
+    /// Passes changed rows to the disk's thread.
+    fn save_rows(&mut self) {
+        let Some(row_log) = self.row_log.as_mut().filter(|_| !self.unsaved.is_empty()) else { return };
         let store = self.replica.store();
         let row = |key: &Key| store.row(key).map(|(row, dot)| (*key, row, dot));
-        keeper.keep(std::mem::take(&mut self.fresh).iter().filter_map(row).collect());
+        row_log.append(std::mem::take(&mut self.unsaved).iter().filter_map(row).collect());
     }
 
-    fn note(&mut self, now: Ns, change: Change) {
-        let (what, record) = words(&change);
-        if let Some(left_out) = self.often.may(now) {
+    fn record_change(&mut self, now: Ns, change: Change) {
+        let (what, record) = change_name(&change);
+        if let Some(left_out) = self.log_limit.may(now) {
             tracing::info!(event = "peer", what, name = record.name, at = %record.address, turn = record.incarnation, left_out);
         }
-        if self.changes.len() >= MOST_CHANGES {
+        if self.changes.len() >= MAX_CHANGES {
             self.changes.remove(0);
         }
         self.changes.push((now, change));
     }
 }
 
-/// The hands of both machines; `told` is what each tells.
-struct Hands<'a, T> {
+/// Implements the actions of both state machines; `notices` collects what they report.
+struct NetActions<'a, T> {
     net: &'a mut Net,
-    seal: &'a Authenticator,
+    auth: &'a Authenticator,
     sock: Id,
     tag: u64,
     sent: &'a mut (u64, u64),
-    near: &'a BTreeMap<u64, SocketAddr>,
-    told: &'a mut Vec<T>,
+    addresses: &'a BTreeMap<u64, SocketAddr>,
+    notices: &'a mut Vec<T>,
 }
 
-impl<T> Hands<'_, T> {
-    fn post(&mut self, to: SocketAddr, kind: u8, bytes: &[u8]) {
-        let sealed = self.seal.seal(&[&[kind], bytes].concat());
+impl<T> NetActions<'_, T> {
+    fn send_datagram(&mut self, to: SocketAddr, kind: u8, bytes: &[u8]) {
+        let sealed = self.auth.seal(&[&[kind], bytes].concat());
         self.sent.0 += 1;
         self.sent.1 += sealed.len() as u64;
         self.net.send_datagram(self.sock, to, &sealed);
     }
 }
 
-impl replication::Actions for Hands<'_, Notice> {
+impl replication::Actions for NetActions<'_, Notice> {
     fn send(&mut self, to: u64, bytes: &[u8]) {
-        if let Some(at) = self.near.get(&to).copied() {
-            self.post(at, OF_COPIES, bytes);
+        if let Some(at) = self.addresses.get(&to).copied() {
+            self.send_datagram(at, KIND_REPLICATION, bytes);
         }
     }
 
@@ -338,13 +339,13 @@
     }
 
     fn notify(&mut self, notice: Notice) {
-        self.told.push(notice);
+        self.notices.push(notice);
     }
 }
 
-impl membership::Actions for Hands<'_, Change> {
+impl membership::Actions for NetActions<'_, Change> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        self.post(to, OF_MEMBERS, bytes);
+        self.send_datagram(to, KIND_MEMBERSHIP, bytes);
     }
 
     fn wake_at(&mut self, at: Ns) {
@@ -352,84 +353,84 @@
     }
 
     fn notify(&mut self, change: Change) {
-        self.told.push(change);
+        self.notices.push(change);
     }
 }
 
 impl PeerService for Peers {
     fn handle_datagram(&mut self, net: &mut Net, from: SocketAddr, bytes: &[u8]) {
-        self.heard.0 += 1;
-        self.heard.1 += bytes.len() as u64;
-        match self.seal.open(bytes) {
-            Ok([OF_MEMBERS, letter @ ..]) => {
-                self.event(net, membership::Event::Datagram { from, bytes: letter })
+        self.received.0 += 1;
+        self.received.1 += bytes.len() as u64;
+        match self.auth.verify(bytes) {
+            Ok([KIND_MEMBERSHIP, message @ ..]) => {
+                self.handle_membership(net, membership::Event::Datagram { from, bytes: message })
             }
-            Ok([OF_COPIES, letter @ ..]) => {
-                // Only of one that is a member at this address.
-                let sender = self.near.iter().find(|(_, at)| **at == from).map(|(id, _)| *id);
+            Ok([KIND_REPLICATION, message @ ..]) => {
+                // Only from the address of a present member.
+                let sender = self.addresses.iter().find(|(_, at)| **at == from).map(|(id, _)| *id);
                 if let Some(from) = sender {
-                    self.copy(net, replication::Event::Message { from, bytes: letter });
+                    self.handle_replication(net, replication::Event::Message { from, bytes: message });
                 }
             }
-            Ok(_) => self.strange += 1,
-            Err(odd) => {
-                self.strange += 1;
-                if let Some(left_out) = self.often.may(net.now()) {
-                    tracing::warn!(event = "strange datagram", from = %from, why = ?odd, left_out);
+            Ok(_) => self.rejected += 1,
+            Err(reason) => {
+                self.rejected += 1;
+                if let Some(left_out) = self.log_limit.may(net.now()) {
+                    tracing::warn!(event = "datagram rejected", from = %from, why = ?reason, left_out);
                 }
             }
         }
     }
 
     fn handle_timer(&mut self, net: &mut Net) {
-        self.event(net, membership::Event::Timer);
-        self.copy(net, replication::Event::Timer);
-        self.keep();
+        self.handle_membership(net, membership::Event::Timer);
+        self.handle_replication(net, replication::Event::Timer);
+        self.save_rows();
     }
 
-    fn set_fronts(&mut self, net: &mut Net, fronts: u32, near: BTreeSet<String>) {
+    fn set_fronts(&mut self, net: &mut Net, fronts: u32, same_zone: BTreeSet<String>) {
         self.membership.set_expected_fronts(fronts);
         self.replica.set_expected_fronts(fronts);
-        self.zone = near.iter().map(|name| id(name)).collect();
-        self.tell_near(net);
+        self.same_zone = same_zone.iter().map(|name| peer_id(name)).collect();
+        self.update_peers(net);
     }
 
     fn leave(&mut self, net: &mut Net) {
-        self.event(net, membership::Event::Leave);
-        self.keep();
+        self.handle_membership(net, membership::Event::Leave);
+        self.save_rows();
     }
 
     fn record_binding(&mut self, key: u64, build: u32) {
         if self.replica.update(Key::Bound(key), Row::Bound([build, 0])) {
-            self.note_down(Key::Bound(key));
+            self.mark_unsaved(Key::Bound(key));
         }
     }
 
-    fn merge_standing(&mut self, mut told: Standing) -> Standing {
-        // The desk numbers what it says by no term yet: within a build stages only rise, and a release comes after.
+    fn merge_standing(&mut self, mut standing: Standing) -> Standing {
+        // The controller's statements carry no term yet: within a build stages only increase, and a release comes last.
         let row = Build {
-            withdrawn: !stays(told.phase),
+            withdrawn: !receives_picks(standing.phase),
             term: 0,
             serial: 0,
-            phase: if told.phase == rockpick::Phase::Released { Phase::Released } else { Phase::OnTrial },
-            stage: told.stage,
+            phase: if standing.phase == rockpick::Phase::Released { Phase::Released } else { Phase::OnTrial },
+            stage: standing.stage,
         };
-        if self.replica.update(Key::Build(told.build), Row::Build(row)) {
-            self.note_down(Key::Build(told.build));
+        if self.replica.update(Key::Build(standing.build), Row::Build(row)) {
+            self.mark_unsaved(Key::Build(standing.build));
         }
-        if stays(told.phase) && self.replica.is_withdrawn(told.build) {
-            (told.phase, told.cap) = (rockpick::Phase::GoingBack, 0.0);
+        if receives_picks(standing.phase) && self.replica.is_withdrawn(standing.build) {
+            (standing.phase, standing.cap) = (rockpick::Phase::GoingBack, 0.0);
         }
-        self.standing = Some(told);
-        told
+        self.standing = Some(standing);
+        standing
     }
 
     fn take_updates(&mut self) -> Option<PeerUpdates> {
-        let bound = std::mem::take(&mut self.learnt);
+        let bound = std::mem::take(&mut self.bound);
         let keys_known = self.replica.is_complete(Table::Bindings);
         let known = std::mem::replace(&mut self.keys_known, keys_known);
         let gone = std::mem::take(&mut self.withdrawn);
-        let withdrawn = self.standing.filter(|s| stays(s.phase) && gone.contains(&s.build));
+        let withdrawn = self.standing.filter(|s| receives_picks(s.phase) && gone.contains(&s.build));
         (!bound.is_empty() || keys_known != known || withdrawn.is_some()).then_some(PeerUpdates {
             bound,
             keys_known,
@@ -457,14 +458,14 @@
             json!({ "key": format!("{key:?}"), "row": format!("{row:?}"), "life": format!("{:016x}", dot.origin),
                 "serial": dot.serial })
         };
-        let rows: Vec<Value> = rest.by_ref().take(ROWS_SHOWN).map(row).collect();
+        let rows: Vec<Value> = rest.by_ref().take(MAX_ROWS_PER_REPLY).map(row).collect();
         Some(
             json!({ "table": format!("{table:?}"), "rows": rows, "next": rest.next().map(|(key, ..)| key.to_hex()) }),
         )
     }
 
     fn counts(&self) -> Value {
-        json!({ "there": self.membership.present_count(), "copies": self.copies_held(), "strange": self.strange })
+        json!({ "there": self.membership.present_count(), "copies": self.replica_status(), "strange": self.rejected })
     }
 
     fn status(&self, now: Ns) -> Value {
@@ -476,16 +477,16 @@
             .changes
             .iter()
             .map(|(at, change)| {
-                let (what, r) = words(change);
+                let (what, r) = change_name(change);
                 json!({ "ago_ms": (now - at) / MS, "what": what, "name": r.name, "turn": r.incarnation })
             })
             .collect();
         json!({ "listen": self.listen.to_string(), "self": row(&self.membership.own_record()),
             "members": self.membership.others().map(row).collect::<Vec<_>>(),
             "there": self.membership.present_count(), "counted": self.membership.minimum_count(), "troubles": self.membership.health_penalty(),
-            "refuted": self.membership.refutations, "odd": self.membership.invalid_messages, "strange": self.strange,
-            "heard": { "datagrams": self.heard.0, "bytes": self.heard.1 },
-            "copies": self.copies_held(),
+            "refuted": self.membership.refutations, "odd": self.membership.invalid_messages, "strange": self.rejected,
+            "heard": { "datagrams": self.received.0, "bytes": self.received.1 },
+            "copies": self.replica_status(),
             "sent": { "datagrams": self.sent.0, "bytes": self.sent.1 }, "changes": changes })
     }
 }
@@ -499,7 +500,7 @@
     }
 }
 
-fn words(change: &Change) -> (&'static str, &Record) {
+fn change_name(change: &Change) -> (&'static str, &Record) {
     match change {
         Change::Present(r) => ("there", r),
         Change::Suspected(r) => ("suspected", r),
--- a/peers/src/row_log.rs
+++ b/peers/src/row_log.rs
@@ -1,6 +1,6 @@
-//! What must outlive all fronts at once: rows of builds and bindings, appended to a file by a thread of its own. A front
-//! that comes up takes them as rows like any other's: its file makes no table whole, and a file that is old, torn or
-//! damaged costs the rows that it lacks, nothing else.
+//! Keeps the rows of builds and bindings on disk, in case all fronts stop at once: a thread appends them to a file. A front
+//! that starts merges them like rows of a peer. The file completes no table, and one that is outdated, truncated or damaged only
+//! costs the rows that it lacks.
 use rockpick_files as files;
 use rockpick_replication::{Dot, Key, Row};
 use std::io;
@@ -11,39 +11,39 @@
 
 pub type Rows = Vec<(Key, Row, Dot)>;
 
-/// Batches that wait for the disk: at four a second, four minutes of a disk that hangs.
-const MOST_WAITING: usize = 1_024;
-/// A file is written anew at each start; past this it takes no more: some millions of rows.
-const MOST_BYTES: u64 = 256 << 20;
-/// Rows of a batch, and the bytes that a batch may claim when read.
-const MOST_ROWS: usize = 4_096;
-const MOST_BATCH: usize = 1 << 20;
+/// Most batches waiting for the disk: at four per second, four minutes of a disk that hangs.
+const MAX_PENDING_BATCHES: usize = 1_024;
+/// The file is rewritten at each start; beyond this size, some millions of rows, nothing more is appended.
+const MAX_FILE_LEN: u64 = 256 << 20;
+/// Most rows in a batch, and the longest batch that is read.
+const MAX_BATCH_ROWS: usize = 4_096;
+const MAX_BATCH_LEN: usize = 1 << 20;
 
 pub struct RowLog {
     to: Option<SyncSender<Rows>>,
     broken: Arc<AtomicBool>,
-    /// Rows that are on disk, as far as the disk says.
-    pub kept: Arc<AtomicU64>,
+    /// Rows on disk, according to the disk.
+    pub rows_on_disk: Arc<AtomicU64>,
 }
 
-fn batch(rows: &[(Key, Row, Dot)]) -> Vec<u8> {
+fn encode_batch(rows: &[(Key, Row, Dot)]) -> Vec<u8> {
     let body = postcard::to_stdvec(rows).unwrap_or_default();
-    let (long, sum) = (body.len() as u32, crc32c::crc32c(&body));
-    [&long.to_be_bytes()[..], &sum.to_be_bytes(), &body].concat()
+    let (len, sum) = (body.len() as u32, crc32c::crc32c(&body));
+    [&len.to_be_bytes()[..], &sum.to_be_bytes(), &body].concat()
 }
 
-/// Reads batches up to the end, or to one whose length can't be; a damaged one in the middle is passed over. Tells how many
-/// were, too.
-fn read(bytes: &[u8]) -> (Rows, u64) {
+/// Reads batches up to the end or to an impossible length, and skips damaged ones in between. Returns the rows and the number of
+/// damaged batches.
+fn decode_batches(bytes: &[u8]) -> (Rows, u64) {
     let (mut rows, mut damaged, mut rest) = (Rows::new(), 0, bytes);
     while let Some((head, after)) = rest.split_first_chunk::<8>() {
-        let long = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
+        let len = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
         let sum = u32::from_be_bytes([head[4], head[5], head[6], head[7]]);
-        if long > MOST_BATCH || long > after.len() {
+        if len > MAX_BATCH_LEN || len > after.len() {
             damaged += 1;
             break;
         }
-        let (body, next) = after.split_at(long);
+        let (body, next) = after.split_at(len);
         match postcard::from_bytes::<Rows>(body) {
             Ok(some) if crc32c::crc32c(body) == sum => rows.extend(some),
             _ => damaged += 1,
@@ -53,63 +53,67 @@
     (rows, damaged)
 }
 
-fn batches(rows: &[(Key, Row, Dot)]) -> Vec<u8> {
-    rows.chunks(MOST_ROWS).flat_map(batch).collect()
+fn encode_batches(rows: &[(Key, Row, Dot)]) -> Vec<u8> {
+    rows.chunks(MAX_BATCH_ROWS).flat_map(encode_batch).collect()
 }
 
 impl RowLog {
-    /// What the file holds, and one that goes on with it. A disk that refuses keeps nobody from coming up.
+    /// Loads the file's rows and starts the thread that appends to it. A failing disk does not prevent the start.
     pub fn start(path: PathBuf) -> (Rows, RowLog) {
         let bytes = files::load(&path).unwrap_or_else(|err| {
-            tracing::error!(event = "copies not read", file = %path.display(), why = %err);
+            tracing::error!(event = "row log not readable", file = %path.display(), why = %err);
             None
         });
-        let (rows, damaged) = read(&bytes.unwrap_or_default());
+        let (rows, damaged) = decode_batches(&bytes.unwrap_or_default());
         if damaged > 0 {
-            tracing::error!(event = "copies damaged on disk", file = %path.display(), batches = damaged, rows = rows.len());
+            tracing::error!(event = "row log damaged", file = %path.display(), batches = damaged, rows = rows.len());
         }
-        let (to, from) = sync_channel::<Rows>(MOST_WAITING);
-        let (broken, kept) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(rows.len() as u64)));
-        let (theirs, count, mine) = (broken.clone(), kept.clone(), rows.clone());
+        let (to, from) = sync_channel::<Rows>(MAX_PENDING_BATCHES);
+        let (broken, rows_on_disk) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(rows.len() as u64)));
+        let (thread_broken, thread_rows, loaded) = (broken.clone(), rows_on_disk.clone(), rows.clone());
         std::thread::spawn(move || {
             let fails = |why: io::Error| {
-                theirs.store(true, Ordering::Relaxed);
-                tracing::error!(event = "copies not kept", file = %path.display(), why = %why);
+                thread_broken.store(true, Ordering::Relaxed);
+                tracing::error!(event = "row log not written", file = %path.display(), why = %why);
             };
-            let mut bytes = batches(&mine);
-            drop(mine);
+            let mut bytes = encode_batches(&loaded);
+            drop(loaded);
             let (mut file, mut size) = match files::replace(&path, &bytes) {
                 Ok(file) => (file, bytes.len() as u64),
                 Err(why) => return fails(why),
             };
             for rows in from {
-                if size > MOST_BYTES {
-                    return fails(io::Error::new(io::ErrorKind::FileTooLarge, "full until the next start"));
+                if size > MAX_FILE_LEN {
+                    return fails(io::Error::new(
+                        io::ErrorKind::FileTooLarge,
+                        "size limit reached; nothing more is written until the next start",
+                    ));
                 }
-                // After a sync that failed nothing of the file is to be relied on: no more is said to be kept.
-                bytes = batches(&rows);
+                // After a failed sync nothing in the file can be relied on, so no more rows are reported as persisted.
+                bytes = encode_batches(&rows);
                 if let Err(why) = file.write_all(&bytes).and_then(|()| file.sync()) {
                     return fails(why);
                 }
                 size += bytes.len() as u64;
-                count.fetch_add(rows.len() as u64, Ordering::Relaxed);
+                thread_rows.fetch_add(rows.len() as u64, Ordering::Relaxed);
             }
         });
-        (rows, RowLog { to: Some(to), broken, kept })
+        (rows, RowLog { to: Some(to), broken, rows_on_disk })
     }
 
-    pub fn keep(&mut self, rows: Rows) {
+    pub fn append(&mut self, rows: Rows) {
         let Some(to) = &self.to else { return };
         if let Err(err) = to.try_send(rows) {
             self.broken.store(true, Ordering::Relaxed);
             self.to = None;
             if matches!(err, TrySendError::Full(_)) {
-                tracing::error!(event = "copies not kept", why = "the disk does not answer");
+                tracing::error!(event = "row log not written", why = "the disk does not respond");
             }
         }
     }
 
-    pub fn well(&self) -> bool {
+    pub fn is_healthy(&self) -> bool {
         !self.broken.load(Ordering::Relaxed)
     }
 }
@@ -123,34 +127,34 @@
         (from..from + 20).map(row).collect()
     }
 
-    /// A file cut at any byte, or with any byte changed, gives rows that were written, and no others.
+    /// A file truncated at any byte, or with any byte changed, must yield only rows that were written.
     #[test]
-    fn what_is_cut_or_changed_anywhere_costs_rows_and_brings_none() {
-        let whole = [batch(&rows(0)), batch(&rows(20)), batch(&rows(40))].concat();
+    fn a_truncated_or_changed_file_yields_only_rows_that_were_written() {
+        let whole = [encode_batch(&rows(0)), encode_batch(&rows(20)), encode_batch(&rows(40))].concat();
         let all: Rows = (0..3).flat_map(|i| rows(20 * i)).collect();
-        assert_eq!(read(&whole), (all.clone(), 0));
+        assert_eq!(decode_batches(&whole), (all.clone(), 0));
         for at in 0..whole.len() {
-            let (some, _) = read(&whole[..at]);
+            let (some, _) = decode_batches(&whole[..at]);
             assert!(some.len() % 20 == 0 && some[..] == all[..some.len()], "cut at {at}");
             for bit in [0x01, 0x80] {
                 let mut changed = whole.clone();
                 changed[at] ^= bit;
-                let (some, damaged) = read(&changed);
+                let (some, damaged) = decode_batches(&changed);
                 assert!(damaged > 0 && some.iter().all(|row| all.contains(row)), "byte {at}");
             }
         }
     }
 
     #[test]
-    fn a_file_grows_is_read_again_and_written_anew() {
-        let path = std::env::temp_dir().join(format!("rockpick-kept-{}", std::process::id()));
+    fn a_file_is_appended_to_loaded_and_rewritten() {
+        let path = std::env::temp_dir().join(format!("rockpick-row-log-{}", std::process::id()));
         for round in 0..3 {
-            let (some, mut keeper) = RowLog::start(path.clone());
+            let (some, mut row_log) = RowLog::start(path.clone());
             assert_eq!(some.len(), 20 * round);
-            keeper.keep(rows(20 * round as u64));
+            row_log.append(rows(20 * round as u64));
             let began = std::time::Instant::now();
-            while keeper.kept.load(Ordering::Relaxed) < 20 * (round as u64 + 1) {
-                assert!(keeper.well() && began.elapsed().as_secs() < 10);
+            while row_log.rows_on_disk.load(Ordering::Relaxed) < 20 * (round as u64 + 1) {
+                assert!(row_log.is_healthy() && began.elapsed().as_secs() < 10);
                 std::thread::sleep(std::time::Duration::from_millis(1));
             }
         }
