--- a/cli/tests/agent.rs
+++ b/cli/tests/agent.rs
@@ -138,16 +138,16 @@
     fs::write(&target, &bytes).unwrap();
     yard.agent("p0");
     yard.agent("p1");
-    until("build 1 serves", || ["p0", "p1"].iter().all(|p| yard.state(p, 1) == "serving"));
+    wait_until("build 1 serves", || ["p0", "p1"].iter().all(|p| yard.state(p, 1) == "serving"));
     assert_eq!(yard.post("/builds", "{\"build\":2}"), 201);
-    until("the first place is unfit", || {
+    wait_until("the first place is unfit", || {
         yard.state("p0", 2) == "failed" && yard.log("p0").contains("its hash")
     });
     // The other place takes its turn, and fails likewise; the stage does not move.
-    until("the second place tries", || yard.state("p1", 2) == "failed");
+    wait_until("the second place tries", || yard.state("p1", 2) == "failed");
     assert_eq!(yard.status()["stage"]["stage"], 0);
     assert_eq!(yard.post("/builds", "{\"build\":3}"), 201);
-    until("a build that nobody signed is refused", || {
+    wait_until("a build that nobody signed is refused", || {
         yard.log("p0").contains("build-3: not signed for")
             || yard.log("p1").contains("build-3: not signed for")
     });
@@ -160,7 +160,7 @@
 fn an_artefact_changed_on_disk_is_not_started_again() {
     let mut yard = Yard::begin(1, &[(1, "")]);
     yard.agent("p0");
-    until("build 1 serves", || yard.state("p0", 1) == "serving");
+    wait_until("build 1 serves", || yard.state("p0", 1) == "serving");
     let artefact = yard.path("agent-p0/artefacts/build-1");
     fs::set_permissions(&artefact, fs::Permissions::from_mode(0o700)).unwrap();
     let text = fs::read_to_string(&artefact).unwrap();
@@ -171,7 +171,7 @@
         rustix::process::Signal::KILL,
     )
     .unwrap();
-    until("it has been fetched anew and serves", || {
+    wait_until("it has been fetched anew and serves", || {
         yard.ran().len() == 2 && yard.state("p0", 1) == "serving"
     });
     assert_eq!(yard.ran(), ["p0..1", "p0..1"]);
@@ -184,9 +184,9 @@
     let mut yard = Yard::begin(2, &[(1, ""), (2, "sleep 8")]);
     yard.agent("p0");
     yard.agent("p1");
-    until("build 1 serves", || ["p0", "p1"].iter().all(|p| yard.state(p, 1) == "serving"));
+    wait_until("build 1 serves", || ["p0", "p1"].iter().all(|p| yard.state(p, 1) == "serving"));
     yard.post("/builds", "{\"build\":2}");
-    until("build 2 is starting", || yard.ran().iter().any(|r| r.ends_with("..2")));
+    wait_until("build 2 is starting", || yard.ran().iter().any(|r| r.ends_with("..2")));
     let away = if yard.ran().contains(&"p0..2".to_string()) { 0 } else { 1 };
     let place = ["p0", "p1"][away];
     yard.agents[away].kill().unwrap();
@@ -196,10 +196,10 @@
     let began = Instant::now();
     assert_eq!(yard.post("/builds/2/back", ""), 200);
     yard.agent(place);
-    until("its process has ended", || !Path::new(&format!("/proc/{pid}/stat")).exists());
-    until("nothing is left of it", || yard.state(place, 2) == "none");
+    wait_until("its process has ended", || !Path::new(&format!("/proc/{pid}/stat")).exists());
+    wait_until("nothing is left of it", || yard.state(place, 2) == "none");
     assert!(began.elapsed() < Duration::from_secs(30));
-    until("withdrawn", || yard.status()["stage"]["phase"] == "withdrawn");
+    wait_until("withdrawn", || yard.status()["stage"]["phase"] == "withdrawn");
     assert_eq!(yard.state(place, 1), "serving", "found again, and left alone");
     assert_eq!(yard.ran().iter().filter(|r| r.ends_with("..1")).count(), 2, "it was not started twice");
 }
@@ -210,18 +210,18 @@
     let metadata = yard.path("repo/metadata");
     let old = fs::read(metadata.join("timestamp.json")).unwrap();
     yard.agent("p0");
-    until("build 1 serves", || yard.state("p0", 1) == "serving");
+    wait_until("build 1 serves", || yard.state("p0", 1) == "serving");
     yard.add(2, "");
     let new = fs::read(metadata.join("timestamp.json")).unwrap();
     yard.post("/builds", "{\"build\":2}");
-    until("build 2 serves", || yard.state("p0", 2) == "serving");
+    wait_until("build 2 serves", || yard.state("p0", 2) == "serving");
     // The repository goes back to what it was before build 2; build 3 is offered.
     fs::write(metadata.join("timestamp.json"), &old).unwrap();
     yard.post("/builds", "{\"build\":3}");
-    until("the rollback is refused", || yard.log("p0").contains("rolled back"));
+    wait_until("the rollback is refused", || yard.log("p0").contains("rolled back"));
     fs::write(metadata.join("timestamp.json"), &new).unwrap();
     yard.add(3, "");
-    until("build 3 serves", || yard.state("p0", 3) == "serving");
+    wait_until("build 3 serves", || yard.state("p0", 3) == "serving");
     assert_eq!(yard.state("p0", 1), "serving");
     let ran = yard.ran();
     assert_eq!(ran.iter().filter(|r| r.ends_with("..1")).count(), 1, "{ran:?}");
@@ -231,13 +231,13 @@
 fn drains_run_in_order_and_a_restarted_controller_orders_nothing_it_does_not_know() {
     let mut yard = Yard::begin(1, &[(1, ""), (2, "")]);
     yard.agent("p0");
-    until("build 1 serves", || yard.state("p0", 1) == "serving");
+    wait_until("build 1 serves", || yard.state("p0", 1) == "serving");
     yard.post("/builds", "{\"build\":2}");
-    until("build 2 serves", || yard.state("p0", 2) == "serving");
+    wait_until("build 2 serves", || yard.state("p0", 2) == "serving");
     let generation = yard.status()["generation"].as_u64().unwrap();
     yard.controller = None;
     yard.control();
-    until("both are known again", || {
+    wait_until("both are known again", || {
         let up = yard.status()["machines"].as_array().unwrap().iter().filter(|m| m["state"] == "up").count();
         up == 2
     });
@@ -245,11 +245,11 @@
     assert_eq!(yard.ran().len(), 2, "nothing was ended or started anew");
     let began = Instant::now();
     assert_eq!(yard.post("/builds/2/back", ""), 200);
-    until("told as draining before it ends", || {
+    wait_until("told as draining before it ends", || {
         let status = yard.status();
         let m = status["machines"].as_array().unwrap().iter().find(|m| m["name"] == "p0..2").cloned();
         m.is_some_and(|m| m["state"] == "draining")
     });
-    until("ended", || yard.state("p0", 2) == "none");
+    wait_until("ended", || yard.state("p0", 2) == "none");
     assert!(began.elapsed() > Duration::from_millis(600), "not before the grace was over");
 }
--- a/cli/tests/answers.rs
+++ b/cli/tests/answers.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rockpick_pg as pg;
 use rustix::process::Signal;
@@ -128,9 +128,9 @@
     let machine = gated(step);
     let platform = Platform::begin();
     let told = configuration(&platform, &[("a", machine.at, 1, "active")]);
-    let (node, other) = (Node::begin(&told), Node::begin(&told));
-    followed(&platform);
-    let mut client = node.stranger();
+    let (node, other) = (Node::start(&told), Node::start(&told));
+    wait_until_polled(&platform);
+    let mut client = node.connect();
     let (before, after) = bytes_of(step);
     client.io.write_all(&before).unwrap();
     if step != Step::Connected && step != Step::HalfStartup {
@@ -140,7 +140,7 @@
         assert_eq!(client.rpc(&lookup(6, WAIT_MS)), Said::Value(VALUE.to_vec()));
     }
     if after.is_empty() {
-        until("the machine is at the step", || machine.reached.load(Ordering::SeqCst) > 0);
+        wait_until("the machine is at the step", || machine.reached.load(Ordering::SeqCst) > 0);
     }
     match cut {
         Cut::Stop => node.signal(Signal::TERM),
@@ -197,13 +197,13 @@
     let platform = Platform::begin();
     let mut told = configuration(&platform, &[("a", machine.at, 1, "active")]);
     told["limits"]["sockets"] = 64.into();
-    let node = Node::begin(&told);
-    followed(&platform);
+    let node = Node::start(&told);
+    wait_until_polled(&platform);
     // The process is held up, so that all are there at once.
     node.signal(Signal::STOP);
     let mut crowd: Vec<Client> = (0..CROWD)
         .map(|id| {
-            let mut client = node.stranger();
+            let mut client = node.connect();
             let mut words = Vec::new();
             pg::put_startup(&mut words, "api", "ledger");
             pg::put_query(&mut words, &lookup(id + 1, WAIT_MS));
--- a/cli/tests/company.rs
+++ b/cli/tests/company.rs
@@ -57,7 +57,7 @@
     let fronts: Vec<Proc> =
         (0..3).map(|i| member(&format!("f{i}"), Some(relay.seats[i]), &relay.seats[..i], &key)).collect();
     fronts.iter().enumerate().for_each(|(i, front)| relay.real(i, listens(front)));
-    until("all know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
+    wait_until("all know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
     (relay, fronts, key)
 }
 
@@ -72,15 +72,15 @@
     let (relay, mut fronts, key) = three();
     let life = get(fronts[0].at, "/peers")["self"]["life"].clone();
     drop(fronts.remove(0));
-    until("it is gone", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "gone"));
+    wait_until("it is gone", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "gone"));
     // Gone or not, shares are counted over it still.
     assert_eq!(get(fronts[0].at, "/peers")["counted"], 3);
     let back = member("f0", Some(relay.seats[0]), &relay.seats[1..], &key);
     relay.real(0, listens(&back));
-    until("it is back", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "alive"));
+    wait_until("it is back", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "alive"));
     assert_ne!(get(back.at, "/peers")["self"]["life"], life);
     signal(&back, Signal::TERM);
-    until("it has left", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "left"));
+    wait_until("it has left", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "left"));
 }
 
 /// Sends and does not hear: the others help it, and nobody is taken out.
@@ -89,7 +89,7 @@
     let (relay, fronts, _key) = three();
     relay.set(0, 1, Way { cut: true, ..Way::default() });
     let lost = || relay.passed(0, 1).lost;
-    until("the cut is felt", || lost() > 20);
+    wait_until("the cut is felt", || lost() > 20);
     let went =
         |f: &Proc| get(f.at, "/peers")["changes"].as_array().unwrap().iter().any(|c| c["what"] == "gone");
     assert!(!fronts.iter().any(went));
@@ -99,9 +99,9 @@
 fn one_that_is_stopped_wakes_to_a_backlog_and_judges_nobody() {
     let (_relay, fronts, _key) = three();
     signal(&fronts[2], Signal::STOP);
-    until("it is gone", || fronts[..2].iter().all(|f| status(&get(f.at, "/peers"), "f2") == "gone"));
+    wait_until("it is gone", || fronts[..2].iter().all(|f| status(&get(f.at, "/peers"), "f2") == "gone"));
     signal(&fronts[2], Signal::CONT);
-    until("it is back", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
+    wait_until("it is back", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
     let changes = get(fronts[2].at, "/peers")["changes"].clone();
     assert!(changes.as_array().unwrap().iter().all(|c| c["what"] != "gone"), "{changes}");
 }
@@ -114,7 +114,7 @@
     for i in 0..200u8 {
         sock.send_to(&[b"RPpr\x01".as_slice(), &[i; 40]].concat(), listens(&fronts[0])).unwrap();
     }
-    until("they are counted", || get(fronts[0].at, "/peers")["strange"].as_u64().unwrap() > 150);
+    wait_until("they are counted", || get(fronts[0].at, "/peers")["strange"].as_u64().unwrap() > 150);
     assert_eq!(
         (get(fronts[0].at, "/peers")["there"].clone(), get(stranger.at, "/peers")["there"].clone()),
         (3.into(), 1.into())
@@ -159,8 +159,8 @@
     charter.rollout.tally_every_ms = 0;
     (charter.rollout.one_way, charter.rollout.free) = (true, 2.0);
     charter.rollout.window_ms = 500;
-    let teller = Teller::begin(charter);
-    let (old, new) = (Scripted::begin(Does::Answers), Scripted::begin(Does::Answers));
+    let teller = ScriptedController::start(charter);
+    let (old, new) = (ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("a", old.at, 1, "up"), ("b", new.at, 2, "up")]);
     teller.stage(2, 0, "on-trial", 1.0);
@@ -168,7 +168,7 @@
     let at = teller.at.to_string();
     let begin = |name: &str, join: &[SocketAddr]| {
         let front = member_of(&at, name, None, join, &key, &[]);
-        listed(&front, 2);
+        wait_for_machines(&front, 2);
         front
     };
     let built = |said: &str| said.split("Rockpick-Build: ").nth(1).and_then(|s| s.chars().next());
@@ -176,15 +176,15 @@
     let f0 = begin("f0", &[]);
     let f1 = begin("f1", &[listens(&f0)]);
     let whole = |f: &Proc| get(f.at, "/peers")["copies"]["whole"].as_array().is_some_and(|w| w.len() == 5);
-    until("both are whole", || whole(&f0) && whole(&f1));
+    wait_until("both are whole", || whole(&f0) && whole(&f1));
     // A key that the build on trial has answered at one front.
     let mut key = 0;
-    until("the trial answers a key", || {
+    wait_until("the trial answers a key", || {
         key += 1;
         built(&ask(&f0, key).1) == Some('2')
     });
     let rows = |f: &Proc| get(f.at, "/peers")["copies"]["rows"]["Bindings"].as_u64().unwrap();
-    until("the other knows it", || rows(&f1) == rows(&f0));
+    wait_until("the other knows it", || rows(&f1) == rows(&f0));
     // At the other front, and at the first one's next life, the trial is nearly shut: only bound keys go there.
     teller.stage(2, 0, "on-trial", 0.01);
     let goes = |front: &Proc| {
@@ -192,15 +192,15 @@
         assert!(status == 200 && built(&said) == Some('2') || status == 503, "{said}");
         status
     };
-    until("the bound key is answered by the trial", || goes(&f1) == 200);
+    wait_until("the bound key is answered by the trial", || goes(&f1) == 200);
     drop(f0);
     let f0 = begin("f0", &[listens(&f1)]);
     (0..30).for_each(|_| {
         goes(&f0);
         std::thread::sleep(std::time::Duration::from_millis(20));
     });
-    until("it knows all again", || whole(&f0));
-    until("the bound key is answered by the trial again", || goes(&f0) == 200);
+    wait_until("it knows all again", || whole(&f0));
+    wait_until("the bound key is answered by the trial again", || goes(&f0) == 200);
 }
 
 /// A front whose own desk is silent hears from another front that the build on trial goes back, and stays with that
@@ -213,8 +213,8 @@
         (charter.rollout.free, charter.rollout.window_ms) = (100.0, 500);
         charter
     };
-    let (old, new) = (Scripted::begin(Does::Answers), Scripted::begin(Does::Answers));
-    let tellers = [Teller::begin(charter()), Teller::begin(charter())];
+    let (old, new) = (ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds));
+    let tellers = [ScriptedController::start(charter()), ScriptedController::start(charter())];
     for teller in &tellers {
         teller.stage(1, 0, "released", 1.0);
         teller.roster("whole", &[("a", old.at, 1, "up"), ("b", new.at, 2, "up")]);
@@ -223,23 +223,23 @@
     let key = key("the key of these two fronts");
     let begin = |i: usize, join: &[SocketAddr]| {
         let front = member_of(&tellers[i].at.to_string(), &format!("f{i}"), None, join, &key, &[]);
-        listed(&front, 2);
+        wait_for_machines(&front, 2);
         front
     };
     let first = begin(0, &[]);
     let join = [listens(&first)];
     let fronts = [first, begin(1, &join)];
-    until("they know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 2));
+    wait_until("they know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 2));
     let built = |said: &str| said.split("Rockpick-Build: ").nth(1).and_then(|s| s.chars().next());
     let asked = |key: u32| built(&rpc(fronts[1].at, "lookup", &format!("Rockpick-Key: k{key}\r\n")).1);
     let mut at = 0;
-    until("the trial gets picks", || {
+    wait_until("the trial gets picks", || {
         at += 1;
         asked(at) == Some('2')
     });
     // The desk of the first alone says so.
     tellers[0].stage(2, 0, "going-back", 0.0);
-    until("the second knows", || get(fronts[1].at, "/status")["stage"]["phase"] == "going-back");
+    wait_until("the second knows", || get(fronts[1].at, "/status")["stage"]["phase"] == "going-back");
     tellers[1].stage(2, 0, "on-trial", 1.0);
     assert!((0..60).all(|i| asked(1_000 + i) != Some('2')));
     assert_eq!(get(fronts[1].at, "/status")["stage"]["phase"], "going-back");
@@ -250,7 +250,7 @@
     let rows = String::from_utf8_lossy(&state(&["state", "--front", &at]).stdout).to_string();
     assert!(rows.contains("Build(2)") && rows.contains("withdrawn: true"), "{rows}");
     let both = format!("{},{at}", fronts[0].at);
-    until("they hold the same", || state(&["differ", "--fronts", &both]).status.code() == Some(0));
+    wait_until("they hold the same", || state(&["differ", "--fronts", &both]).status.code() == Some(0));
     assert_eq!(state(&["state", "--front", &at, "--table", "nonsense"]).status.code(), Some(2));
 }
 
@@ -263,9 +263,9 @@
     let first = begin(0, &[], "--clock-ppm=10000");
     let join = [listens(&first)];
     let fronts = [first, begin(1, &join, "--clock-ppm=-10000"), begin(2, &join, "--clock-ppm=0")];
-    until("all know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
+    wait_until("all know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
     let heard = |f: &Proc| get(f.at, "/peers")["heard"]["datagrams"].as_u64().unwrap();
-    until("many periods have passed", || fronts.iter().all(|f| heard(f) > 100));
+    wait_until("many periods have passed", || fronts.iter().all(|f| heard(f) > 100));
     let went =
         |f: &Proc| get(f.at, "/peers")["changes"].as_array().unwrap().iter().any(|c| c["what"] == "gone");
     assert!(!fronts.iter().any(went));
@@ -282,7 +282,7 @@
         let shown = get(f.at, "/peers");
         shown["there"] == 3 && shown["members"].as_array().unwrap().iter().all(|m| m["status"] == "alive")
     };
-    until("all agree", || fronts.iter().all(agreed));
+    wait_until("all agree", || fronts.iter().all(agreed));
 }
 
 #[test]
@@ -291,12 +291,12 @@
     let first = member("f0", None, &[], &key);
     let join = [listens(&first)];
     let fronts = [first, member("f1", None, &join, &key), member("f2", None, &join, &key)];
-    until("all know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
+    wait_until("all know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
     let second = member("f1", None, &join, &key);
     let taken = |f: &Proc| {
         get(f.at, "/peers")["changes"].as_array().unwrap().iter().any(|c| c["what"] == "name taken")
     };
-    until("one of them falls silent", || taken(&fronts[1]) || taken(&second));
+    wait_until("one of them falls silent", || taken(&fronts[1]) || taken(&second));
     let keeps = if taken(&second) { &fronts[1] } else { &second };
     assert!(!taken(keeps));
     let life = get(keeps.at, "/peers")["self"]["life"].clone();
@@ -305,16 +305,16 @@
         let rows = shown["members"].as_array().unwrap();
         rows.iter().any(|m| m["name"] == "f1" && m["life"] == life && m["status"] == "alive")
     };
-    until("the others hold it", || [&fronts[0], &fronts[2]].into_iter().all(held));
+    wait_until("the others hold it", || [&fronts[0], &fronts[2]].into_iter().all(held));
 }
 
 /// Three fronts with a build on trial for keys of one way, behind a relay.
 struct Keyed {
     relay: Relay,
-    teller: Teller,
+    teller: ScriptedController,
     key: tempfile::NamedTempFile,
     fronts: Vec<Proc>,
-    _machines: [Scripted; 2],
+    _machines: [ScriptedMachine; 2],
 }
 
 impl Keyed {
@@ -322,8 +322,9 @@
         let mut charter = Charter::example(3, 4);
         (charter.rollout.told_every_ms, charter.rollout.tally_every_ms) = (100, 0);
         (charter.rollout.one_way, charter.rollout.free, charter.rollout.window_ms) = (true, 10_000.0, 500);
-        let machines = [Scripted::begin(Does::Answers), Scripted::begin(Does::Answers)];
-        let teller = Teller::begin(charter);
+        let machines =
+            [ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds)];
+        let teller = ScriptedController::start(charter);
         teller.stage(1, 0, "released", 1.0);
         teller.roster("whole", &[("a", machines[0].at, 1, "up"), ("b", machines[1].at, 2, "up")]);
         teller.stage(2, 0, "on-trial", 1.0);
@@ -333,7 +334,7 @@
             let front = keyed.front(i);
             keyed.fronts.push(front);
         });
-        until("all are whole", || keyed.fronts.iter().all(whole));
+        wait_until("all are whole", || keyed.fronts.iter().all(whole));
         keyed
     }
 
@@ -346,7 +347,7 @@
         let (desk, seat) = (self.teller.at.to_string(), Some(self.relay.seats[i]));
         let front = member_of(&desk, &format!("f{i}"), seat, &others, &self.key, more);
         self.relay.real(i, listens(&front));
-        listed(&front, 2);
+        wait_for_machines(&front, 2);
         front
     }
 
@@ -381,14 +382,14 @@
     let mut keyed = Keyed::begin();
     keyed.bind(0, 0, 400);
     let all = rows(&keyed.fronts[0]);
-    until("all hold them", || keyed.fronts.iter().all(|f| rows(f) == all));
+    wait_until("all hold them", || keyed.fronts.iter().all(|f| rows(f) == all));
     drop(keyed.fronts.remove(2));
     let way = Way { lost: 0.2, delay: 20_000_000, ..Way::default() };
     (0..2).for_each(|i| keyed.relay.set(i, 2, way));
     let back = keyed.front(2);
-    until("it has some", || rows(&back) > 0);
+    wait_until("it has some", || rows(&back) > 0);
     drop(keyed.fronts.remove(0));
-    until("it is whole", || whole(&back) && rows(&back) == all);
+    wait_until("it is whole", || whole(&back) && rows(&back) == all);
     assert_eq!(digest(&back), digest(&keyed.fronts[0]));
 }
 
@@ -406,7 +407,7 @@
     keyed.bind(1, 100_000, 50);
     let sides = [rows(&keyed.fronts[0]), rows(&keyed.fronts[1])];
     cut(false);
-    until("all hold all", || {
+    wait_until("all hold all", || {
         let first = digest(&keyed.fronts[0]);
         keyed.fronts.iter().all(|f| rows(f) == sides[0] + sides[1] && digest(f) == first)
     });
@@ -430,24 +431,24 @@
         (0..3).map(|i| keyed.front_with(i, &more(i))).collect()
     };
     keyed.fronts = begin(&keyed);
-    until("all are whole", || keyed.fronts.iter().all(whole));
+    wait_until("all are whole", || keyed.fronts.iter().all(whole));
     keyed.bind(0, 0, 100);
     let all = rows(&keyed.fronts[0]);
-    until("all hold them", || keyed.fronts.iter().all(|f| rows(f) == all));
+    wait_until("all hold them", || keyed.fronts.iter().all(|f| rows(f) == all));
     let kept = |f: &Proc| get(f.at, "/peers")["copies"]["kept"].as_u64().unwrap_or(0);
-    until("all have kept them", || keyed.fronts.iter().all(|f| kept(f) >= all));
+    wait_until("all have kept them", || keyed.fronts.iter().all(|f| kept(f) >= all));
     keyed.fronts.clear();
     keyed.fronts = begin(&keyed);
-    until("all hold them again", || keyed.fronts.iter().all(|f| whole(f) && rows(f) == all));
+    wait_until("all hold them again", || keyed.fronts.iter().all(|f| whole(f) && rows(f) == all));
 }
 
 /// The snapshot's disk hangs, played by a pipe that nobody reads where it is written: rows are kept beside it all the same.
 #[test]
 fn rows_are_kept_beside_a_snapshot_that_hangs() {
     let (dir, key) = (tempfile::tempdir().unwrap(), key("the key of this front alone"));
-    fifo(&dir.path().join("f0.new"));
+    create_fifo(&dir.path().join("f0.new"));
     let state = dir.path().display().to_string();
     let front = member_of("127.0.0.1:9", "f0", None, &[], &key, &["--state", &state]);
-    until("its rows are kept", || dir.path().join("f0.peers.rows").exists());
+    wait_until("its rows are kept", || dir.path().join("f0.peers.rows").exists());
     assert_eq!(get(front.at, "/peers")["copies"]["kept"], 0);
 }
--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -275,19 +275,19 @@
         io.write_all(head.as_bytes()).unwrap();
         let mut text = String::new();
         let _ = io.read_to_string(&mut text);
-        line_of(&text, "rockpick-answer")
+        header_value(&text, "rockpick-answer")
     };
     let first = front(controller.at, &["--state", &state]);
-    until("ann is known", || answer(first.at, "ann") == "ok");
+    wait_until("ann is known", || answer(first.at, "ann") == "ok");
     assert_eq!(answer(first.at, "*)(uid=*"), "pushed-back");
     let file = dir.path().join("f0.tenants.json");
-    until("the copy is kept", || file.exists());
-    until("the front's own snapshot", || dir.path().join("f0.json").exists());
+    wait_until("the copy is kept", || file.exists());
+    wait_until("the front's own snapshot", || dir.path().join("f0.json").exists());
     d.post("/fault", json!({ "reset": true }));
-    until("served without a directory", || answer(first.at, "ann") == "ok");
+    wait_until("served without a directory", || answer(first.at, "ann") == "ok");
     drop(first);
     let second = front(controller.at, &["--state", &state]);
-    until("known from the copy", || answer(second.at, "ann") == "ok");
+    wait_until("known from the copy", || answer(second.at, "ann") == "ok");
     assert_eq!(answer(second.at, "eve"), "pushed-back");
     let status: Value = serde_json::from_slice(&call(second.at, "GET", "/status", "").unwrap().body).unwrap();
     assert_eq!(
@@ -299,7 +299,7 @@
     drop(second);
     std::fs::write(&file, b"{ half").unwrap();
     let third = front(controller.at, &["--state", &state]);
-    until("up without tenants", || answer(third.at, "ann") == "pushed-back");
+    wait_until("up without tenants", || answer(third.at, "ann") == "pushed-back");
     d.post("/fault", json!({}));
-    until("known again", || answer(third.at, "ann") == "ok");
+    wait_until("known again", || answer(third.at, "ann") == "ok");
 }
--- a/cli/tests/front.rs
+++ b/cli/tests/front.rs
@@ -18,21 +18,25 @@
 
 #[test]
 fn an_rpc_is_passed_on_whole_and_its_answer_says_who_gave_it() {
-    let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Answers));
+    let (teller, machine) =
+        (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Responds));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(teller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let (status, said) =
         rpc(front.at, "save", "Idempotency-Key: k1\r\nX-Own: kept\r\nConnection: x-gone\r\nX-Gone: 1\r\n");
     assert_eq!((status, said.ends_with("good")), (200, true), "{said}");
     for line in ["Rockpick-Answer: ok", "Rockpick-Build: 1", "Rockpick-Machine: m", "Rockpick-Picks: 1"] {
         assert!(said.contains(line), "{said}");
     }
-    let got = machine.got.recv_timeout(PATIENCE).unwrap();
-    assert_eq!((line_of(&got, "x-own"), line_of(&got, "idempotency-key")), ("kept".into(), "k1".into()));
-    assert_eq!(line_of(&got, "x-gone"), "", "named by Connection: it ends here");
-    assert!(line_of(&got, "rockpick-time-left-ms").parse::<u32>().unwrap() <= 3_000);
+    let got = machine.requests.recv_timeout(TIMEOUT).unwrap();
+    assert_eq!(
+        (header_value(&got, "x-own"), header_value(&got, "idempotency-key")),
+        ("kept".into(), "k1".into())
+    );
+    assert_eq!(header_value(&got, "x-gone"), "", "named by Connection: it ends here");
+    assert!(header_value(&got, "rockpick-time-left-ms").parse::<u32>().unwrap() <= 3_000);
     for (method, lines, wanted) in [
         ("save", "", 400),
         ("nothing", "", 404),
@@ -47,55 +51,58 @@
 #[test]
 fn what_may_have_run_is_aborted_and_what_never_ran_is_pushed_back_or_goes_on() {
     for (does, method, wanted, answer) in [
-        (Does::Half, "lodge", 502, "aborted"),
-        (Does::WrongLength, "lodge", 502, "aborted"),
-        (Does::Closes, "lodge", 502, "aborted"),
-        (Does::Fails, "lodge", 502, "aborted"),
-        (Does::Busy, "lodge", 502, "aborted"),
-        (Does::Full, "lodge", 503, "pushed-back"),
-        (Does::Never, "lodge", 504, "aborted"),
-        (Does::Fails, "lookup", 503, "pushed-back"),
+        (Behavior::Truncates, "lodge", 502, "aborted"),
+        (Behavior::WrongLength, "lodge", 502, "aborted"),
+        (Behavior::Closes, "lodge", 502, "aborted"),
+        (Behavior::Fails, "lodge", 502, "aborted"),
+        (Behavior::Unavailable, "lodge", 502, "aborted"),
+        (Behavior::NeverRuns, "lodge", 503, "pushed-back"),
+        (Behavior::Hangs, "lodge", 504, "aborted"),
+        (Behavior::Fails, "lookup", 503, "pushed-back"),
     ] {
-        let (teller, machine) = (Teller::begin(charter()), Scripted::begin(does));
+        let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(does));
         teller.stage(1, 0, "released", 1.0);
         teller.roster("whole", &[("m", machine.at, 1, "up")]);
         let front = front(teller.at, &[]);
-        listed(&front, 1);
+        wait_for_machines(&front, 1);
         let began = Instant::now();
         let (status, said) = rpc(front.at, method, "Rockpick-Time-Left-Ms: 500\r\n");
         assert!(status == wanted && said.contains(&format!("Rockpick-Answer: {answer}")), "{method}: {said}");
         assert!(began.elapsed() < Duration::from_millis(500), "before the deadline");
-        assert_eq!(machine.got.try_iter().count(), 1);
+        assert_eq!(machine.requests.try_iter().count(), 1);
     }
     // A second machine takes what the first provably never ran, or what may run again.
-    for does in [Does::Half, Does::Full] {
-        let (teller, bad, good) =
-            (Teller::begin(charter()), Scripted::begin(does), Scripted::begin(Does::Answers));
+    for does in [Behavior::Truncates, Behavior::NeverRuns] {
+        let (teller, bad, good) = (
+            ScriptedController::start(charter()),
+            ScriptedMachine::start(does),
+            ScriptedMachine::start(Behavior::Responds),
+        );
         teller.stage(1, 0, "released", 1.0);
         teller.roster("whole", &[("a", bad.at, 1, "up"), ("b", good.at, 1, "up")]);
         let front = front(teller.at, &[]);
-        listed(&front, 2);
-        let method = if does == Does::Full { "lodge" } else { "lookup" };
+        wait_for_machines(&front, 2);
+        let method = if does == Behavior::NeverRuns { "lodge" } else { "lookup" };
         let said: Vec<u16> = (0..8).map(|_| rpc(front.at, method, "").0).collect();
         assert_eq!(said, [200; 8]);
-        assert!(bad.got.try_iter().count() > 0, "the bad one was tried");
+        assert!(bad.requests.try_iter().count() > 0, "the bad one was tried");
     }
 }
 
 /// A kill between a machine's effect and the client's answer: no second effect, ever.
 #[test]
 fn a_front_killed_in_mid_effect_does_not_send_it_again() {
-    let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Never));
+    let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Hangs));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let state = std::env::temp_dir().join(format!("rockpick-test-kill-{}", std::process::id()));
     let state = state.to_string_lossy().into_owned();
     let mut one = front(teller.at, &["--state", &state]);
-    listed(&one, 1);
-    until("its snapshot", || std::path::Path::new(&state).join("f0.json").exists());
+    wait_for_machines(&one, 1);
+    wait_until("its snapshot", || std::path::Path::new(&state).join("f0.json").exists());
     let at = one.at;
     let client = std::thread::spawn(move || rpc(at, "lodge", ""));
-    machine.got.recv_timeout(PATIENCE).unwrap();
+    machine.requests.recv_timeout(TIMEOUT).unwrap();
     one.child.kill().unwrap();
     assert_eq!(client.join().unwrap().0, 0, "the client hears nothing, and must not send it again");
     drop(one);
@@ -105,7 +112,7 @@
     assert_eq!(get(two.at, "/status")["machines"], 1);
     let (status, _) = rpc(two.at, "lookup", "Rockpick-Time-Left-Ms: 300\r\n");
     assert!(status == 504 || status == 503);
-    let heads: Vec<String> = machine.got.try_iter().collect();
+    let heads: Vec<String> = machine.requests.try_iter().collect();
     assert!(heads.iter().all(|h| h.starts_with("POST /rpc/lookup")), "{heads:?}");
     let _ = std::fs::remove_dir_all(state);
 }
@@ -115,21 +122,24 @@
 fn a_front_restarted_in_mid_window_keeps_within_the_cap() {
     let mut charter = charter();
     (charter.rollout.window_ms, charter.rollout.free) = (2_000, 2.0);
-    let (teller, old, new) =
-        (Teller::begin(charter), Scripted::begin(Does::Answers), Scripted::begin(Does::Answers));
+    let (teller, old, new) = (
+        ScriptedController::start(charter),
+        ScriptedMachine::start(Behavior::Responds),
+        ScriptedMachine::start(Behavior::Responds),
+    );
     teller.stage(2, 0, "on-trial", 0.1);
     teller.roster("whole", &[("old", old.at, 1, "up"), ("new", new.at, 2, "up")]);
     let state = std::env::temp_dir().join(format!("rockpick-test-window-{}", std::process::id()));
     let state = state.to_string_lossy().into_owned();
     let (mut taken, mut picks) = (0, 0);
     let mut one = front(teller.at, &["--state", &state]);
-    listed(&one, 2);
-    until("a whole window and picks at the trial", || {
+    wait_for_machines(&one, 2);
+    wait_until("a whole window and picks at the trial", || {
         taken += u32::from(rpc(one.at, "lookup", "").0 == 200);
-        picks += new.got.try_iter().count();
+        picks += new.requests.try_iter().count();
         picks >= 2
     });
-    until("its snapshot", || std::path::Path::new(&state).join("f0.json").exists());
+    wait_until("its snapshot", || std::path::Path::new(&state).join("f0.json").exists());
     for _ in 0..3 {
         one.child.kill().unwrap();
         one = front(teller.at, &["--state", &state]);
@@ -139,11 +149,11 @@
             again += u32::from(rpc(one.at, "lookup", "").0 == 200);
         }
         assert!(again > 0, "it serves meanwhile");
-        assert_eq!(new.got.try_iter().count(), 0, "nothing goes to the trial until a window has passed");
+        assert_eq!(new.requests.try_iter().count(), 0, "nothing goes to the trial until a window has passed");
     }
-    until("the trial gets picks again", || {
+    wait_until("the trial gets picks again", || {
         rpc(one.at, "lookup", "");
-        new.got.try_iter().count() > 0
+        new.requests.try_iter().count() > 0
     });
     let _ = std::fs::remove_dir_all(state);
 }
@@ -161,11 +171,11 @@
     let filler = TcpStream::connect(at).unwrap();
     let mut charter = charter();
     charter.methods.iter_mut().for_each(|m| m.deadline_ms = 8_000);
-    let (teller, good) = (Teller::begin(charter), Scripted::begin(Does::Answers));
+    let (teller, good) = (ScriptedController::start(charter), ScriptedMachine::start(Behavior::Responds));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("hangs", at, 1, "up")]);
     let front = front(teller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let clients: Vec<_> = (0..6)
         .map(|_| {
             let at = front.at;
@@ -173,12 +183,12 @@
         })
         .collect();
     // The watch, and a pick that hangs.
-    until("a pick that hangs", || get(front.at, "/status")["calls"].as_u64() >= Some(2));
+    wait_until("a pick that hangs", || get(front.at, "/status")["calls"].as_u64() >= Some(2));
     teller.roster("changes", &[("good", good.at, 1, "up"), ("hangs", at, 1, "draining")]);
     // Past the grace the machine takes connections again: those that hung until now would come through at the
     // system's next try, three seconds after the first.
     let told = Instant::now();
-    until("the grace is over", || told.elapsed() > Duration::from_millis(1_100));
+    wait_until("the grace is over", || told.elapsed() > Duration::from_millis(1_100));
     drop(filler);
     full.set_nonblocking(true).unwrap();
     while told.elapsed() < Duration::from_millis(3_500) {
@@ -201,34 +211,35 @@
 /// The controller falls silent and comes back with a later stage.
 #[test]
 fn a_silent_controller_is_left_and_a_later_stage_is_taken_from_it_on_return() {
-    let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Answers));
+    let (teller, machine) =
+        (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Responds));
     teller.stage(2, 0, "on-trial", 0.1);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(teller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     // Nothing more is told on this watch: the front drops it and asks again, and goes on serving.
     let first = teller.watches.load(std::sync::atomic::Ordering::SeqCst);
-    teller.anew();
-    until("a second watch", || {
+    teller.clear_lines();
+    wait_until("a second watch", || {
         assert_eq!(rpc(front.at, "lookup", "").0, 200);
         teller.watches.load(std::sync::atomic::Ordering::SeqCst) > first
     });
     teller.stage(2, 2, "on-trial", 1.0);
-    until("the later stage", || get(front.at, "/status")["stage"]["stage"] == 2);
+    wait_until("the later stage", || get(front.at, "/status")["stage"]["stage"] == 2);
 }
 
 #[test]
 fn sigterm_takes_nothing_new_answers_all_that_is_open_and_leaves() {
-    let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Never));
+    let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Hangs));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let mut front = front(teller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let at = front.at;
     let open = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 800\r\n"));
-    machine.got.recv_timeout(PATIENCE).unwrap();
+    machine.requests.recv_timeout(TIMEOUT).unwrap();
     signal(&front, Signal::TERM);
-    until("the door is closed", || TcpStream::connect(at).is_err());
+    wait_until("the door is closed", || TcpStream::connect(at).is_err());
     let (status, said) = open.join().unwrap();
     assert!(status == 504 && said.contains("aborted"), "{said}");
     assert!(front.child.wait().unwrap().success());
@@ -236,13 +247,14 @@
 
 #[test]
 fn out_of_descriptors_it_refuses_in_words_and_recovers() {
-    let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Answers));
+    let (teller, machine) =
+        (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Responds));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let controller = teller.at.to_string();
     let args = ["front", "--name", "f0", "--controller", &controller];
     let front = start_under("ulimit -n 32;", &args);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let mut held: Vec<TcpStream> = (0..40).map(|_| TcpStream::connect(front.at).unwrap()).collect();
     let mut refused = 0;
     for io in &mut held {
@@ -254,26 +266,26 @@
     assert!(refused > 0, "some were refused in words");
     // Those that got in are still answered: pushed back for want of a connection to the machine, or ok.
     let _ = held[0].write_all(b"POST /rpc/lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
-    held[0].set_read_timeout(Some(PATIENCE)).unwrap();
+    held[0].set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut buf = [0; 12];
     held[0].read_exact(&mut buf).unwrap();
     assert!(buf.starts_with(b"HTTP/1.1 "));
     drop(held);
-    until("it serves again", || rpc(front.at, "lookup", "").0 == 200);
+    wait_until("it serves again", || rpc(front.at, "lookup", "").0 == 200);
 }
 
 #[test]
 fn a_client_that_hangs_up_frees_its_rpc() {
-    let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Never));
+    let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Hangs));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(teller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let mut io = TcpStream::connect(front.at).unwrap();
     io.write_all(b"POST /rpc/lodge HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").unwrap();
-    machine.got.recv_timeout(PATIENCE).unwrap();
+    machine.requests.recv_timeout(TIMEOUT).unwrap();
     drop(io);
-    until("it has left", || get(front.at, "/status")["left"] == 1);
-    assert_eq!(machine.got.try_iter().count(), 0);
-    until("its slot is free once the pick's time is over", || get(front.at, "/status")["open"] == 0);
+    wait_until("it has left", || get(front.at, "/status")["left"] == 1);
+    assert_eq!(machine.requests.try_iter().count(), 0);
+    wait_until("its slot is free once the pick's time is over", || get(front.at, "/status")["open"] == 0);
 }
--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rustix::process::Signal;
 use std::io::Write;
@@ -20,7 +20,7 @@
 
 /// The node takes no new connections any more: it closes between two RPCs from now on.
 fn door_closed(node: &Node) {
-    until("the door is closed", || TcpStream::connect(node.proc.at).is_err());
+    wait_until("the door is closed", || TcpStream::connect(node.proc.at).is_err());
 }
 
 /// A machine that welcomes nobody before its gate is open; connections that came to it, queries that it got.
@@ -42,7 +42,7 @@
 /// Asks until a machine has served.
 fn serves(client: &mut Client, machine: &Machine) {
     let mut id = 1 << 40;
-    until("it serves", || {
+    wait_until("it serves", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         machine.queries() > 0
@@ -55,7 +55,7 @@
     let platform = Platform::begin();
     let mut told = configuration(&platform, &[("a", a.at, 1, "active")]);
     told["settings"]["discovery"] = "automatic".into();
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     platform.list(false, &[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
     serves(&mut node.client(), &b);
 }
@@ -64,8 +64,8 @@
 fn lists_that_come_indented_are_heard() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    followed(&platform);
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until_polled(&platform);
     platform.list_indented(&[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
     serves(&mut node.client(), &b);
     assert_eq!(platform.asked.lock().unwrap()[0], 1, "on the first watch");
@@ -76,8 +76,8 @@
 fn a_watch_that_only_lives_tells_that_the_roster_at_start_is_true() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    until("the watch speaks", || platform.last_sign.lock().unwrap().is_some());
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until("the watch speaks", || platform.last_sign.lock().unwrap().is_some());
     // An old roster alone would serve for 1.6 s.
     std::thread::sleep(Duration::from_millis(1_800));
     assert_eq!(node.client().rpc(&lookup(1, 900)), value());
@@ -89,11 +89,11 @@
 fn a_silent_watch_is_asked_for_again_in_time_and_a_mute_one_is_passed_by() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    until("the watch speaks", || platform.last_sign.lock().unwrap().is_some());
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until("the watch speaks", || platform.last_sign.lock().unwrap().is_some());
     platform.answer_list(1, &[("b", b.at, 1, "active")]);
     platform.mute.store(true, Ordering::SeqCst);
-    until("it is asked for again", || platform.asked.lock().unwrap()[0] == 2);
+    wait_until("it is asked for again", || platform.asked.lock().unwrap()[0] == 2);
     // Silent for 2.5 s, then three quarters of a second until it is asked: a second more and the second try is too late.
     let silent = platform.last_sign.lock().unwrap().unwrap().elapsed();
     assert!(silent < Duration::from_millis(3_950), "{silent:?}");
@@ -107,8 +107,8 @@
     let mut told = configuration(&platform, &[("a", at, 1, "active")]);
     told["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
     told["settings"]["invariants"]["drainGraceMs"] = 300.into();
-    let node = Node::begin(&told);
-    followed(&platform);
+    let node = Node::start(&told);
+    wait_until_polled(&platform);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     platform.list(false, &[("a", at, 1, "leaving")]);
@@ -128,7 +128,7 @@
     let mut told = configuration(&platform, &[("a", at, 1, "active")]);
     told["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
     told["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     platform.list(false, &[("a", new.at, 1, "active")]);
@@ -147,14 +147,14 @@
     let mut told = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new, 2, "active")]);
     told["settings"]["permissions"]["dialTimeoutMs"] = 1_800.into();
     told["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
-    let node = Node::begin(&told);
-    followed(&platform);
+    let node = Node::start(&told);
+    wait_until_polled(&platform);
     platform.news("* progress 2 0 canary 1 20000");
     let mut waits = node.client();
     waits.ask(&save(1, 1_900));
-    until("its connection comes up", || met.load(Ordering::SeqCst) > 0);
+    wait_until("its connection comes up", || met.load(Ordering::SeqCst) > 0);
     platform.news("* progress 2 0 reverting 0 0");
-    until("it is told", || node.logged("phase=GoingBack"));
+    wait_until("it is told", || node.log_contains("phase=GoingBack"));
     gate.open();
     assert_eq!(waits.hear(), value(), "by the earlier build");
     assert_eq!(queries.load(Ordering::SeqCst), 0);
@@ -167,12 +167,12 @@
     let platform = Platform::begin();
     let mut told = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]);
     told["settings"]["extra"]["oneWay"] = true.into();
-    let node = Node::begin(&told);
-    followed(&platform);
+    let node = Node::start(&told);
+    wait_until_polled(&platform);
     platform.news("* progress 2 0 canary 1 20000");
     let mut client = node.client();
     let mut id = 0;
-    until("the new build has it", || {
+    wait_until("the new build has it", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         new.queries() > 0
@@ -211,10 +211,10 @@
     let lane = &mut told["settings"]["lanes"][1];
     (lane["idempotency"], lane["windowMs"]) = ("guarded".into(), 400.into());
     told["settings"]["permissions"]["dialTimeoutMs"] = 1_000.into();
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
-    until("the repeat waits for its connection", || met.load(Ordering::SeqCst) == 2);
+    wait_until("the repeat waits for its connection", || met.load(Ordering::SeqCst) == 2);
     let after_the_window = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(600));
         gate.open();
@@ -242,7 +242,7 @@
         line.answers(b"next")
     });
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", at, 1, "active")]));
+    let node = Node::start(&configuration(&platform, &[("a", at, 1, "active")]));
     let mut client = node.client();
     assert_eq!(client.rpc(&save(1, 900)), Said::Value(b"0".to_vec()));
     let said = client.rpc(&save(2, 900));
@@ -257,7 +257,7 @@
     let platform = Platform::begin();
     let mut told = configuration(&platform, &[("a", a.at, 1, "active")]);
     told["limits"]["sockets"] = 64.into();
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     let mut clients: Vec<Client> = (0..10)
         .map(|id| {
             let mut client = node.client();
@@ -268,7 +268,7 @@
     // Only who has rested for half a second gives way.
     std::thread::sleep(Duration::from_millis(600));
     node.signal(Signal::STOP);
-    let mut new = node.stranger();
+    let mut new = node.connect();
     clients[0].ask(&save(100, 1_900));
     node.signal(Signal::CONT);
     assert_eq!(clients[0].hear(), value());
@@ -291,7 +291,7 @@
         None
     });
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", at, 1, "active")]));
+    let node = Node::start(&configuration(&platform, &[("a", at, 1, "active")]));
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     client.ask(&save(2, 1_900));
@@ -305,8 +305,8 @@
 fn a_connection_that_came_before_the_door_closed_may_still_speak() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let mut node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    let (mut ready, mut new) = (node.client(), node.stranger());
+    let mut node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    let (mut ready, mut new) = (node.client(), node.connect());
     node.signal(Signal::TERM);
     door_closed(&node);
     assert_eq!([ready.rpc(&save(1, 900)), ready.hear()], [value(), Said::Closed]);
@@ -329,7 +329,7 @@
         None
     });
     let platform = Platform::begin();
-    let mut node = Node::begin(&configuration(&platform, &[("a", at, 1, "active")]));
+    let mut node = Node::start(&configuration(&platform, &[("a", at, 1, "active")]));
     let mut client = node.client();
     (0..MANY).for_each(|id| client.ask(&lookup(id, 1_900)));
     node.signal(Signal::TERM);
@@ -347,7 +347,7 @@
 fn a_stop_ends_in_its_time_though_a_client_never_rests() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let mut node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    let mut node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     let mut client = node.client();
     // Commands without end, so that a next one is always here.
     let mut ahead = client.io.try_clone().unwrap();
@@ -374,14 +374,14 @@
 fn a_configuration_that_is_whole_a_moment_after_the_signal_is_read() {
     let a = machine(&[Does::Answers]);
     let (platform, other) = (Platform::begin(), Platform::begin());
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    followed(&platform);
-    node.rewrite("{ half");
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until_polled(&platform);
+    node.rewrite_config("{ half");
     node.signal(Signal::HUP);
     // It has read the half: it goes on serving after that signal.
     assert_eq!(node.client().rpc(&lookup(1, 900)), value());
-    node.rewrite(&configuration(&other, &[]).to_string());
-    followed(&other);
+    node.rewrite_config(&configuration(&other, &[]).to_string());
+    wait_until_polled(&other);
 }
 
 /// At the bound of what is kept of all clients, one that sends little is not the one to go.
@@ -392,7 +392,7 @@
     let platform = Platform::begin();
     let mut told = configuration(&platform, &[("a", a.at, 1, "active")]);
     told["limits"]["sockets"] = 512.into();
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     let (mut good, mut looks) = (node.client(), node.client());
     assert_eq!(good.rpc(&lookup(1, 900)), value());
     let mut head = vec![b'Q'];
--- a/cli/tests/node.rs
+++ b/cli/tests/node.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rustix::process::Signal;
 use std::io::Write;
@@ -16,7 +16,7 @@
 /// A node that knows one machine, `a`, of build 1.
 fn with(machine: &Machine) -> (Platform, Node) {
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", machine.at, 1, "active")]));
+    let node = Node::start(&configuration(&platform, &[("a", machine.at, 1, "active")]));
     (platform, node)
 }
 
@@ -91,7 +91,7 @@
     let mut told = configuration(&platform, &machines);
     // Where a new connection made the good one look slow, the other two are tried in turn before it.
     told["settings"]["permissions"]["attemptsCap"] = 6.into();
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     let mut client = node.client();
     for id in 1..=20 {
         assert_eq!(client.rpc(&save(id, 1_500)), Said::Value(b"value".to_vec()));
@@ -102,7 +102,7 @@
         (0..10).map(|i| machine(&[if i == 3 { Does::Answers } else { Does::Closes }])).collect();
     let names: Vec<String> = (0..10).map(|i| format!("m{i}")).collect();
     let machines: Vec<_> = names.iter().zip(&all).map(|(n, m)| (n.as_str(), m.at, 1, "active")).collect();
-    let node = Node::begin(&configuration(&platform, &machines));
+    let node = Node::start(&configuration(&platform, &machines));
     let mut client = node.client();
     let said: Vec<Said> = (1..=20).map(|id| client.rpc(&save(id, 1_500))).collect();
     let aborted = said.iter().filter(|s| failed(s)).count();
@@ -161,7 +161,7 @@
         (true, Vec::new()),
     ] {
         let began = Instant::now();
-        let mut client = if started { node.client() } else { node.stranger() };
+        let mut client = if started { node.client() } else { node.connect() };
         let _ = client.io.write_all(&bytes);
         assert!(matches!(client.hear(), Said::Closed | Said::Error(..)), "{bytes:?}");
         assert!(began.elapsed() < Duration::from_secs(3), "owed within 3 s");
@@ -176,7 +176,7 @@
     let (mut first, mut second) = (node.client(), node.client());
     let before = busy(&machine, &mut first, &[Does::Never, Does::Answers]);
     first.ask(&lookup(7, 700));
-    until("the first is out", || machine.queries() > before);
+    wait_until("the first is out", || machine.queries() > before);
     assert!(failed(&second.rpc(&lookup(7, 700))), "another's id");
     assert_eq!(second.rpc(&lookup(8, 700)), Said::Value(b"value".to_vec()));
     assert!(!matches!(first.hear(), Said::Value(_) | Said::Closed));
@@ -197,7 +197,7 @@
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
     platform.list(false, &[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
     let mut id = 1;
-    until("b serves", || {
+    wait_until("b serves", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         b.queries() > 0
@@ -209,7 +209,7 @@
     assert_eq!(a.queries(), drained);
     // The name returns at another address and with another build.
     platform.list(false, &[("a", c.at, 1, "active"), ("b", b.at, 1, "left")]);
-    until("c serves", || {
+    wait_until("c serves", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         c.queries() > 0
@@ -231,10 +231,10 @@
     let mut told = configuration(&platform, &[("a", a.at, 1, "active"), ("b", b.at, 1, "active")]);
     told["known"]["seq"] = 1.into();
     told["settings"]["balancers"] = 20.into(); // one of many picks by chance, so that each machine is met
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     let mut client = node.client();
     let mut id = 0;
-    until("b is left alone", || {
+    wait_until("b is left alone", || {
         let before = b.queries();
         (0..40).for_each(|_| {
             id += 1;
@@ -252,7 +252,7 @@
     // No time at all: nothing can be sent on, and that is said.
     assert!(pushed_back(&client.rpc(&save(1, 0))));
     client.ask(&save(2, 300));
-    until("the pick is out", || machine.queries() > 0);
+    wait_until("the pick is out", || machine.queries() > 0);
     node.signal(Signal::STOP);
     std::thread::sleep(Duration::from_millis(400));
     node.signal(Signal::CONT);
@@ -266,8 +266,8 @@
     let platform = Platform::begin();
     *platform.answer.lock().unwrap() = None;
     let node =
-        Node::begin(&configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]));
-    followed(&platform);
+        Node::start(&configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]));
+    wait_until_polled(&platform);
     platform.news("* progress 2 0 canary 1 20000");
     let mut client = node.client();
     let mut id = 0;
@@ -275,20 +275,20 @@
         id += 1;
         client.rpc(&lookup(id, 900));
     };
-    until("a vote is lost and cast again", || {
+    wait_until("a vote is lost and cast again", || {
         ask();
         platform.votes.lock().unwrap().len() >= 2
     });
     *platform.answer.lock().unwrap() = Some("OK 2 0 can".into());
     let lost = platform.votes.lock().unwrap().len();
-    until("a spoilt one too", || {
+    wait_until("a spoilt one too", || {
         ask();
         platform.votes.lock().unwrap().len() >= lost + 2
     });
     assert!(platform.votes.lock().unwrap().iter().all(|v| v == "BALLOT 2 0 on"));
     *platform.answer.lock().unwrap() = Some("OK 2 0 canary 1 20000".into());
     let spoilt = platform.votes.lock().unwrap().len();
-    until("one that counts", || {
+    wait_until("one that counts", || {
         ask();
         platform.votes.lock().unwrap().len() > spoilt
     });
@@ -303,18 +303,18 @@
 fn a_reload_moves_to_other_addresses_and_an_unreadable_file_changes_nothing() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let (platform, node) = with(&a);
-    followed(&platform);
-    node.rewrite("{ half");
+    wait_until_polled(&platform);
+    node.rewrite_config("{ half");
     node.signal(Signal::HUP);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
     let other = Platform::begin();
-    node.rewrite(&configuration(&other, &[]).to_string());
+    node.rewrite_config(&configuration(&other, &[]).to_string());
     node.signal(Signal::HUP);
-    followed(&other);
+    wait_until_polled(&other);
     other.list(true, &[("b", b.at, 1, "active")]);
     let mut id = 1;
-    until("the other's list counts", || {
+    wait_until("the other's list counts", || {
         id += 1;
         assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)), "served throughout");
         b.queries() > 0
@@ -328,7 +328,7 @@
     let (mut waits, mut goes_on) = (node.client(), node.client());
     let before = busy(&machine, &mut waits, &[Does::Never, Does::Answers]);
     waits.ask(&lookup(1, 900));
-    until("it is out", || machine.queries() > before);
+    wait_until("it is out", || machine.queries() > before);
     let began = Instant::now();
     node.signal(Signal::TERM);
     assert!(matches!(goes_on.rpc(&lookup(2, 900)), Said::Value(_)));
@@ -345,7 +345,7 @@
     let (_platform, node) = with(&machine);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
-    let silent: Vec<Client> = (0..4 * SOCKETS).map(|_| node.stranger()).collect();
+    let silent: Vec<Client> = (0..4 * SOCKETS).map(|_| node.connect()).collect();
     for id in 10..30 {
         assert!(matches!(node.client().rpc(&lookup(id, 900)), Said::Value(_)));
         assert!(node.descriptors() <= SOCKETS, "{} descriptors", node.descriptors());
@@ -382,7 +382,7 @@
 fn a_node_is_one_process_with_sockets_of_the_internet_alone() {
     let machine = machine(&[Does::Answers]);
     let (platform, node) = with(&machine);
-    followed(&platform);
+    wait_until_polled(&platform);
     assert!(matches!(node.client().rpc(&lookup(1, 900)), Said::Value(_)));
     let of = |file: &str| format!("/proc/{}/{file}", node.proc.child.id());
     let read = |file: &str| std::fs::read_to_string(of(file)).unwrap();
@@ -428,7 +428,7 @@
             if i > 0 {
                 args.extend(["--join", &free]);
             }
-            Node::begin_with(&told, &args)
+            Node::start_with(&told, &args)
         })
         .collect();
     platforms.iter().for_each(|p| p.news("* progress 2 0 canary 1 20000"));
@@ -441,9 +441,9 @@
         }
         new.queries() - before
     };
-    until("the trial gets picks", || trial(1) > 0);
+    wait_until("the trial gets picks", || trial(1) > 0);
     platforms[0].news("* progress 2 0 reverting 0 0");
-    until("the other knows", || trial(10) == 0);
+    wait_until("the other knows", || trial(10) == 0);
     platforms[1].news("* progress 2 0 canary 1 20000");
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(trial(100), 0);
--- a/cli/tests/peers/mod.rs
+++ b/cli/tests/peers/mod.rs
@@ -12,13 +12,13 @@
 use std::time::{Duration, Instant};
 
 /// What a wait is worth before a test is given up.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until something holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "in vain: {what}");
+        assert!(began.elapsed() < TIMEOUT, "in vain: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -86,13 +86,13 @@
 }
 
 /// A value of a head's line.
-pub fn line_of(head: &str, name: &str) -> String {
+pub fn header_value(head: &str, name: &str) -> String {
     let found = head.lines().filter_map(|l| l.split_once(':')).find(|(n, _)| n.eq_ignore_ascii_case(name));
     found.map_or(String::new(), |(_, v)| v.trim().to_string())
 }
 
 /// A controller that tells what the test says.
-pub struct Teller {
+pub struct ScriptedController {
     pub at: SocketAddr,
     /// Bodies of votes, and of counts.
     pub votes: Arc<Mutex<Vec<Value>>>,
@@ -104,10 +104,10 @@
     lines: Arc<Mutex<Vec<String>>>,
 }
 
-impl Teller {
-    pub fn begin(charter: Charter) -> Teller {
+impl ScriptedController {
+    pub fn start(charter: Charter) -> ScriptedController {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let teller = Teller {
+        let teller = ScriptedController {
             at: listener.local_addr().unwrap(),
             votes: Arc::default(),
             counts: Arc::default(),
@@ -128,25 +128,25 @@
     }
 
     /// Gives other settings, and tells of them; the first `nonsense` answers to who asks are none.
-    pub fn gives(&self, charter: Charter, nonsense: u32) -> u64 {
+    pub fn set_settings(&self, charter: Charter, nonsense: u32) -> u64 {
         let mut settings = self.settings.lock().unwrap();
         *settings = (settings.0 + 1, charter, nonsense);
-        self.tell(json!({ "settings_version": settings.0 }));
+        self.push_line(json!({ "settings_version": settings.0 }));
         settings.0
     }
 
     /// Adds a line; every watch gets all lines from the first on.
-    pub fn tell(&self, line: Value) {
+    pub fn push_line(&self, line: Value) {
         self.lines.lock().unwrap().push(line.to_string());
     }
 
     /// Forgets the lines so far: watches that begin from now on start with the next.
-    pub fn anew(&self) {
+    pub fn clear_lines(&self) {
         self.lines.lock().unwrap().clear();
     }
 
     pub fn stage(&self, build: u32, stage: u32, phase: &str, cap: f64) {
-        self.tell(
+        self.push_line(
             json!({ "stage": { "build": build, "stage": stage, "phase": phase, "cap": cap, "age_ms": 10 } }),
         );
     }
@@ -158,7 +158,7 @@
                 "weight": 1.0, "state": state, "age_ms": 3_600_000.0 })
         };
         let members: Vec<Value> = members.iter().map(line).collect();
-        self.tell(json!({ "roster": { "kind": kind, "serial": 1, "members": members } }));
+        self.push_line(json!({ "roster": { "kind": kind, "serial": 1, "members": members } }));
     }
 }
 
@@ -207,78 +207,81 @@
 }
 
 /// A machine that answers as told; what it got comes out of `got`.
-pub struct Scripted {
+pub struct ScriptedMachine {
     pub at: SocketAddr,
-    pub got: Receiver<String>,
+    pub requests: Receiver<String>,
 }
 
 /// What a scripted machine does with a request.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Does {
-    Answers,
+pub enum Behavior {
+    Responds,
     /// 500.
     Fails,
-    Never,
-    Half,
+    Hangs,
+    Truncates,
     /// Longer than what comes.
     WrongLength,
     /// Closes without a word.
     Closes,
     /// 503 that says it never ran.
-    Full,
+    NeverRuns,
     /// 503 that says nothing more.
-    Busy,
+    Unavailable,
     /// With [`LONG`] bytes.
-    AtLength,
+    RespondsLong,
 }
 
 /// More than the buffers of a connection with a small window take.
-pub const LONG: usize = 1_000_000;
+pub const LONG_BODY_LEN: usize = 1_000_000;
 
-impl Scripted {
-    pub fn begin(does: Does) -> Scripted {
+impl ScriptedMachine {
+    pub fn start(behavior: Behavior) -> ScriptedMachine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let (to, got) = channel();
+        let (to, requests) = channel();
         std::thread::spawn(move || {
             for io in listener.incoming().flatten() {
-                let (to, long) = (to.clone(), vec![b'x'; LONG]);
+                let (to, long) = (to.clone(), vec![b'x'; LONG_BODY_LEN]);
                 std::thread::spawn(move || {
                     let mut out = io.try_clone().unwrap();
                     let mut io = BufReader::new(io);
                     while let Some((head, _)) = read_request(&mut io) {
                         let _ = to.send(head);
-                        let said: &[u8] = match does {
-                            Does::Answers => b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood",
-                            Does::Fails => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                            Does::Full => {
+                        let said: &[u8] = match behavior {
+                            Behavior::Responds => b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood",
+                            Behavior::Fails => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                            Behavior::NeverRuns => {
                                 b"HTTP/1.1 503 No\r\nRockpick-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
                             }
-                            Does::Busy => b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
-                            Does::Half => b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nha",
-                            Does::WrongLength => b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ngood",
-                            Does::Never => continue,
-                            Does::Closes => return,
-                            Does::AtLength => {
-                                let _ = write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
+                            Behavior::Unavailable => b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+                            Behavior::Truncates => b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nha",
+                            Behavior::WrongLength => b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ngood",
+                            Behavior::Hangs => continue,
+                            Behavior::Closes => return,
+                            Behavior::RespondsLong => {
+                                let _ =
+                                    write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_LEN}\r\n\r\n");
                                 &long
                             }
                         };
-                        if out.write_all(said).is_err() || matches!(does, Does::Half | Does::WrongLength) {
+                        if out.write_all(said).is_err()
+                            || matches!(behavior, Behavior::Truncates | Behavior::WrongLength)
+                        {
                             return;
                         }
                     }
                 });
             }
         });
-        Scripted { at, got }
+        ScriptedMachine { at, requests }
     }
 }
 
 /// Sends an RPC and reads its whole answer: status, head and body. Status 0: none came.
 pub fn rpc(front: SocketAddr, method: &str, lines: &str) -> (u16, String) {
     let Ok(mut io) = TcpStream::connect(front) else { return (0, String::new()) };
-    io.set_read_timeout(Some(PATIENCE)).unwrap();
+    io.set_read_timeout(Some(TIMEOUT)).unwrap();
     let text = format!(
         "POST /rpc/{method} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n{lines}Content-Length: 2\r\n\r\nhi"
     );
@@ -294,7 +297,7 @@
 }
 
 /// A pipe that nobody reads, where a file would be written: a disk that does not answer.
-pub fn fifo(at: &std::path::Path) {
+pub fn create_fifo(at: &std::path::Path) {
     assert!(Command::new("mkfifo").arg(at).status().unwrap().success());
 }
 
@@ -308,6 +311,6 @@
 }
 
 /// Waits until a front lists so many machines.
-pub fn listed(front: &Proc, machines: u64) {
-    until("the roster at the front", || get(front.at, "/status")["machines"] == machines);
+pub fn wait_for_machines(front: &Proc, machines: u64) {
+    wait_until("the roster at the front", || get(front.at, "/status")["machines"] == machines);
 }
--- a/cli/tests/peers/platform.rs
+++ b/cli/tests/peers/platform.rs
@@ -1,6 +1,6 @@
 //! The running node among scripted peers.
 #![allow(dead_code)]
-use super::peers::{start_with, until, Proc};
+use super::peers::{start_with, wait_until, Proc};
 pub use rockpick_standin::scripted::*;
 use serde_json::Value;
 use std::process::Stdio;
@@ -13,11 +13,11 @@
 }
 
 impl Node {
-    pub fn begin(told: &Value) -> Node {
-        Node::begin_with(told, &[])
+    pub fn start(told: &Value) -> Node {
+        Node::start_with(told, &[])
     }
 
-    pub fn begin_with(told: &Value, more: &[&str]) -> Node {
+    pub fn start_with(told: &Value, more: &[&str]) -> Node {
         let file = tempfile::NamedTempFile::new().unwrap();
         std::fs::write(file.path(), told.to_string()).unwrap();
         let prefix = format!("PROXY_CONFIG='{}'", file.path().display());
@@ -28,11 +28,11 @@
     }
 
     /// Has a line of its log held these words?
-    pub fn logged(&self, words: &str) -> bool {
+    pub fn log_contains(&self, words: &str) -> bool {
         std::fs::read_to_string(self.log.path()).unwrap().contains(words)
     }
 
-    pub fn rewrite(&self, told: &str) {
+    pub fn rewrite_config(&self, told: &str) {
         std::fs::write(self.file.path(), told).unwrap();
     }
 
@@ -46,18 +46,18 @@
     }
 
     pub fn client(&self) -> Client {
-        let mut client = self.stranger();
+        let mut client = self.connect();
         client.startup();
         client
     }
 
     /// A connection that has said nothing.
-    pub fn stranger(&self) -> Client {
+    pub fn connect(&self) -> Client {
         Client::connect(self.proc.at).unwrap()
     }
 }
 
 /// Waits until the node has asked discovery and desk.
-pub fn followed(platform: &Platform) {
-    until("discovery and desk are followed", || platform.asked.lock().unwrap().iter().all(|n| *n > 0));
+pub fn wait_until_polled(platform: &Platform) {
+    wait_until("discovery and desk are followed", || platform.asked.lock().unwrap().iter().all(|n| *n > 0));
 }
--- a/cli/tests/pipelining.rs
+++ b/cli/tests/pipelining.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rustix::process::Signal;
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
     /// Waits until exactly these have come.
     fn has(&self, ids: impl IntoIterator<Item = u64>) {
         let ids: Vec<u64> = ids.into_iter().collect();
-        until("statements come", || self.came() == ids);
+        wait_until("statements come", || self.came() == ids);
     }
 
     fn free(&self, ids: impl IntoIterator<Item = u64>) {
@@ -80,8 +80,8 @@
     let at = held.begin();
     let names: Vec<String> = (0..machines).map(|i| format!("m{i}")).collect();
     let list: Vec<(&str, SocketAddr, u32, &str)> = names.iter().map(|n| (&n[..], at, 1, "active")).collect();
-    let node = Node::begin(&configuration(&platform, &list));
-    followed(&platform);
+    let node = Node::start(&configuration(&platform, &list));
+    wait_until_polled(&platform);
     (held, platform, node)
 }
 
@@ -93,7 +93,7 @@
 
 /// So many RPCs were answered ok, as the node counts them.
 fn answered(node: &Node, ok: usize) {
-    until("they are answered", || node.logged(&format!(" ok={ok} ")));
+    wait_until("they are answered", || node.log_contains(&format!(" ok={ok} ")));
 }
 
 /// Nothing has come to a client that was not read.
@@ -191,15 +191,15 @@
     let platform = Platform::begin();
     let mut told = configuration(&platform, &[("a", at, 1, "active"), ("b", at, 1, "active")]);
     told["settings"]["permissions"]["dialTimeoutMs"] = 1_900.into();
-    let node = Node::begin(&told);
+    let node = Node::start(&told);
     let (mut client, mut other) = (node.client(), node.client());
     (1..=3).for_each(|id| client.ask(&save(id, 1_900)));
-    until("two connections are asked for", || met.lock().unwrap()[0] == 2);
+    wait_until("two connections are asked for", || met.lock().unwrap()[0] == 2);
     drop(client);
     turns(&node);
     gate.open();
-    until("it serves others", || matches!(other.rpc(&save(9, 900)), Said::Value(_)));
-    until("it has counted", || node.logged("void 2"));
+    wait_until("it serves others", || matches!(other.rpc(&save(9, 900)), Said::Value(_)));
+    wait_until("it has counted", || node.log_contains("void 2"));
     assert_eq!(met.lock().unwrap()[1], 1, "the other's alone");
 }
 
@@ -211,9 +211,9 @@
     (1..=300).for_each(|id| client.ask(&save(id, 1_900)));
     held.has([1]);
     drop(client);
-    until("it has left, before its RPC ends", || node.logged(" aborted=0 left=1 "));
+    wait_until("it has left, before its RPC ends", || node.log_contains(" aborted=0 left=1 "));
     held.with(|seen| seen.all = true);
-    until("it serves others", || matches!(other.rpc(&save(5_000, 900)), Said::Value(_)));
+    wait_until("it serves others", || matches!(other.rpc(&save(5_000, 900)), Said::Value(_)));
     turns(&node);
     assert_eq!(held.came(), [1, 5_000], "nothing of one that has gone");
 }
--- a/cli/tests/whole.rs
+++ b/cli/tests/whole.rs
@@ -53,10 +53,10 @@
     let fronts: Vec<Proc> =
         names.iter().map(|n| start(&["front", "--name", n, "--controller", &at])).collect();
     let all = |at| get(at, "/status")["watching"].as_array().map_or(0, Vec::len) == 30;
-    until("all watch", || all(controller.at));
+    wait_until("all watch", || all(controller.at));
     drop(controller);
     let controller = start(&["controller", "--state", &state, "--listen", &at]);
-    until("all watch again", || all(controller.at));
+    wait_until("all watch again", || all(controller.at));
     assert_eq!(get(controller.at, "/status")["settings_version"], 1, "its settings were kept");
     // New settings reach every front in its running.
     let mut charter = Charter::example(30, 2);
@@ -64,7 +64,7 @@
     let settings = serde_json::to_string(&charter).unwrap();
     assert_eq!(rockpick_rehearse::call(controller.at, "PUT", "/settings", &settings).unwrap().status, 200);
     for front in &fronts {
-        until("the new settings", || get(front.at, "/status")["settings_version"] == 2);
+        wait_until("the new settings", || get(front.at, "/status")["settings_version"] == 2);
     }
     drop(fronts);
     let _ = std::fs::remove_dir_all(state);
