--- a/cli/tests/peers/mod.rs
+++ b/cli/tests/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Scripted peers for tests of the running binary: a controller that tells what the test says, machines
-//! that answer as the test says, processes that end with the test.
+//! Scripted peers for tests of the running binary: a controller and machines that respond as the test specifies, and processes
+//! that end with the test.
 #![allow(dead_code)]
 use rockpick_control::Charter;
 use serde_json::{json, Value};
@@ -11,14 +11,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a wait is worth before a test is given up.
+/// How long a condition is awaited before the test fails.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < TIMEOUT, "in vain: {what}");
+        assert!(began.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -35,12 +35,12 @@
     }
 }
 
-/// Starts the binary, under a shell's `prefix` if one is given, and waits for its address.
+/// Starts the binary, optionally after a shell command in `prefix`, and waits for its address.
 pub fn start_under(prefix: &str, args: &[&str]) -> Proc {
     start_with(prefix, args, Stdio::null())
 }
 
-/// The same, with standard error as the test wants it.
+/// The same, with the given standard error.
 pub fn start_with(prefix: &str, args: &[&str], errors: Stdio) -> Proc {
     let program = env!("CARGO_BIN_EXE_rockpick");
     let mut command = Command::new("sh");
@@ -64,42 +64,42 @@
     start(&args)
 }
 
-/// One request head and body, read whole.
+/// Reads a request's head and body.
 fn read_request(io: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
-    let (mut head, mut long) = (String::new(), 0);
+    let (mut head, mut len) = (String::new(), 0);
     loop {
         let mut line = String::new();
         if io.read_line(&mut line).ok()? == 0 {
             return None;
         }
         if let Some(n) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            long = n.trim().parse().ok()?;
+            len = n.trim().parse().ok()?;
         }
         if line == "\r\n" {
             break;
         }
         head.push_str(&line);
     }
-    let mut body = vec![0; long];
+    let mut body = vec![0; len];
     io.read_exact(&mut body).ok()?;
     Some((head, body))
 }
 
-/// A value of a head's line.
+/// The value of a header.
 pub fn header_value(head: &str, name: &str) -> String {
     let found = head.lines().filter_map(|l| l.split_once(':')).find(|(n, _)| n.eq_ignore_ascii_case(name));
     found.map_or(String::new(), |(_, v)| v.trim().to_string())
 }
 
-/// A controller that tells what the test says.
+/// A controller that sends what the test specifies.
 pub struct ScriptedController {
     pub at: SocketAddr,
-    /// Bodies of votes, and of counts.
+    /// Bodies of votes and of counts.
     pub votes: Arc<Mutex<Vec<Value>>>,
     pub counts: Arc<Mutex<Vec<Value>>>,
-    /// Connections that asked to watch.
+    /// Number of connections that asked to watch.
     pub watches: Arc<AtomicU64>,
-    /// The settings and their version; how many answers to who asks for them are nonsense first.
+    /// The settings, their version, and how many requests for them are first answered with invalid content.
     pub settings: Arc<Mutex<(u64, Charter, u32)>>,
     lines: Arc<Mutex<Vec<String>>>,
 }
@@ -107,7 +107,7 @@
 impl ScriptedController {
     pub fn start(charter: Charter) -> ScriptedController {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let teller = ScriptedController {
+        let controller = ScriptedController {
             at: listener.local_addr().unwrap(),
             votes: Arc::default(),
             counts: Arc::default(),
@@ -115,8 +115,9 @@
             settings: Arc::new(Mutex::new((1, charter, 0))),
             lines: Arc::default(),
         };
-        let (votes, watches, lines) = (teller.votes.clone(), teller.watches.clone(), teller.lines.clone());
-        let (settings, counts) = (teller.settings.clone(), teller.counts.clone());
+        let (votes, watches, lines) =
+            (controller.votes.clone(), controller.watches.clone(), controller.lines.clone());
+        let (settings, counts) = (controller.settings.clone(), controller.counts.clone());
         std::thread::spawn(move || {
             for io in listener.incoming().flatten() {
                 let (votes, watches, lines) = (votes.clone(), watches.clone(), lines.clone());
@@ -124,23 +125,23 @@
                 std::thread::spawn(move || serve(io, &settings, [&votes, &counts], &watches, &lines));
             }
         });
-        teller
+        controller
     }
 
-    /// Gives other settings, and tells of them; the first `nonsense` answers to who asks are none.
-    pub fn set_settings(&self, charter: Charter, nonsense: u32) -> u64 {
+    /// Replaces the settings and announces them; the first `invalid` requests for them get invalid content.
+    pub fn set_settings(&self, charter: Charter, invalid: u32) -> u64 {
         let mut settings = self.settings.lock().unwrap();
-        *settings = (settings.0 + 1, charter, nonsense);
+        *settings = (settings.0 + 1, charter, invalid);
         self.push_line(json!({ "settings_version": settings.0 }));
         settings.0
     }
 
-    /// Adds a line; every watch gets all lines from the first on.
+    /// Adds a line to the watch. Every watch gets all lines from the first on.
     pub fn push_line(&self, line: Value) {
         self.lines.lock().unwrap().push(line.to_string());
     }
 
-    /// Forgets the lines so far: watches that begin from now on start with the next.
+    /// Drops the lines so far: watches that start from now on begin with the next.
     pub fn clear_lines(&self) {
         self.lines.lock().unwrap().clear();
     }
@@ -151,7 +152,7 @@
         );
     }
 
-    /// Tells the whole roster: name, address, build, state; all are long warm.
+    /// Sends the whole roster: name, address, build, state; all have been warm for long.
     pub fn roster(&self, kind: &str, members: &[(&str, SocketAddr, u32, &str)]) {
         let line = |(name, addr, build, state): &(&str, SocketAddr, u32, &str)| {
             json!({ "name": name, "addr": addr.to_string(), "zone": 0, "cell": 0, "build": build, "run": 1,
@@ -172,10 +173,10 @@
         let answer = if head.starts_with("GET /watch") {
             watches.fetch_add(1, Ordering::SeqCst);
             let _ = out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            let mut told = 0;
+            let mut sent = 0;
             loop {
-                let fresh: Vec<String> = lines.lock().unwrap().iter().skip(told).cloned().collect();
-                told += fresh.len();
+                let fresh: Vec<String> = lines.lock().unwrap().iter().skip(sent).cloned().collect();
+                sent += fresh.len();
                 for line in fresh {
                     if out.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).is_err() {
                         return;
@@ -206,7 +207,7 @@
     }
 }
 
-/// A machine that answers as told; what it got comes out of `got`.
+/// A machine that responds as specified and passes the requests it receives on to `requests`.
 pub struct ScriptedMachine {
     pub at: SocketAddr,
     pub requests: Receiver<String>,
@@ -216,23 +217,23 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum Behavior {
     Responds,
-    /// 500.
+    /// Responds with 500.
     Fails,
     Hangs,
     Truncates,
-    /// Longer than what comes.
+    /// Announces a length greater than the body's.
     WrongLength,
-    /// Closes without a word.
+    /// Closes without a response.
     Closes,
-    /// 503 that says it never ran.
+    /// Responds with 503 and states that the request never ran.
     NeverRuns,
-    /// 503 that says nothing more.
+    /// Responds with 503 alone.
     Unavailable,
-    /// With [`LONG`] bytes.
+    /// Responds with [`LONG_BODY_LEN`] bytes.
     RespondsLong,
 }
 
-/// More than the buffers of a connection with a small window take.
+/// More than fits into the buffers of a connection with a small window.
 pub const LONG_BODY_LEN: usize = 1_000_000;
 
 impl ScriptedMachine {
@@ -242,13 +243,13 @@
         let (to, requests) = channel();
         std::thread::spawn(move || {
             for io in listener.incoming().flatten() {
-                let (to, long) = (to.clone(), vec![b'x'; LONG_BODY_LEN]);
+                let (to, long_body) = (to.clone(), vec![b'x'; LONG_BODY_LEN]);
                 std::thread::spawn(move || {
                     let mut out = io.try_clone().unwrap();
                     let mut io = BufReader::new(io);
                     while let Some((head, _)) = read_request(&mut io) {
                         let _ = to.send(head);
-                        let said: &[u8] = match behavior {
+                        let response: &[u8] = match behavior {
                             Behavior::Responds => b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood",
                             Behavior::Fails => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
                             Behavior::NeverRuns => {
@@ -262,10 +263,10 @@
                             Behavior::RespondsLong => {
                                 let _ =
                                     write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_LEN}\r\n\r\n");
-                                &long
+                                &long_body
                             }
                         };
-                        if out.write_all(said).is_err()
+                        if out.write_all(response).is_err()
                             || matches!(behavior, Behavior::Truncates | Behavior::WrongLength)
                         {
                             return;
@@ -278,7 +279,7 @@
     }
 }
 
-/// Sends an RPC and reads its whole answer: status, head and body. Status 0: none came.
+/// Sends an RPC and reads the whole response: status, head and body. Status 0 means that none came.
 pub fn rpc(front: SocketAddr, method: &str, lines: &str) -> (u16, String) {
     let Ok(mut io) = TcpStream::connect(front) else { return (0, String::new()) };
     io.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -286,9 +287,9 @@
         "POST /rpc/{method} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n{lines}Content-Length: 2\r\n\r\nhi"
     );
     io.write_all(text.as_bytes()).unwrap();
-    let mut said = String::new();
-    let _ = io.read_to_string(&mut said);
-    (said.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0), said)
+    let mut response = String::new();
+    let _ = io.read_to_string(&mut response);
+    (response.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0), response)
 }
 
 pub fn get(at: SocketAddr, target: &str) -> Value {
@@ -296,7 +297,7 @@
     serde_json::from_slice(&answer.body).unwrap()
 }
 
-/// A pipe that nobody reads, where a file would be written: a disk that does not answer.
+/// Creates a pipe without a reader in place of a file, to imitate a disk that does not respond.
 pub fn create_fifo(at: &std::path::Path) {
     assert!(Command::new("mkfifo").arg(at).status().unwrap().success());
 }
@@ -310,7 +311,7 @@
     rockpick_rehearse::call(at, "PUT", "/settings", &serde_json::to_string(charter).unwrap()).unwrap()
 }
 
-/// Waits until a front lists so many machines.
+/// Waits until a front lists this many machines.
 pub fn wait_for_machines(front: &Proc, machines: u64) {
     wait_until("the roster at the front", || get(front.at, "/status")["machines"] == machines);
 }
--- a/cli/tests/peers/platform.rs
+++ b/cli/tests/peers/platform.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::process::Stdio;
 
-/// A running node, and its configuration's file.
+/// A running node and its configuration file.
 pub struct Node {
     pub proc: Proc,
     file: tempfile::NamedTempFile,
@@ -13,13 +13,13 @@
 }
 
 impl Node {
-    pub fn start(told: &Value) -> Node {
-        Node::start_with(told, &[])
+    pub fn start(config: &Value) -> Node {
+        Node::start_with(config, &[])
     }
 
-    pub fn start_with(told: &Value, more: &[&str]) -> Node {
+    pub fn start_with(config: &Value, more: &[&str]) -> Node {
         let file = tempfile::NamedTempFile::new().unwrap();
-        std::fs::write(file.path(), told.to_string()).unwrap();
+        std::fs::write(file.path(), config.to_string()).unwrap();
         let prefix = format!("PROXY_CONFIG='{}'", file.path().display());
         let args = [&["node"], more].concat();
         let log = tempfile::NamedTempFile::new().unwrap();
@@ -27,20 +27,20 @@
         Node { proc: start_with(&prefix, &args, errors), file, log }
     }
 
-    /// Has a line of its log held these words?
-    pub fn log_contains(&self, words: &str) -> bool {
-        std::fs::read_to_string(self.log.path()).unwrap().contains(words)
+    /// Whether the log contains this text.
+    pub fn log_contains(&self, text: &str) -> bool {
+        std::fs::read_to_string(self.log.path()).unwrap().contains(text)
     }
 
-    pub fn rewrite_config(&self, told: &str) {
-        std::fs::write(self.file.path(), told).unwrap();
+    pub fn rewrite_config(&self, config: &str) {
+        std::fs::write(self.file.path(), config).unwrap();
     }
 
     pub fn signal(&self, signal: rustix::process::Signal) {
         rustix::process::kill_process(rustix::process::Pid::from_child(&self.proc.child), signal).unwrap();
     }
 
-    /// Its open descriptors.
+    /// Number of open descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.proc.child.id())).unwrap().count()
     }
@@ -51,13 +51,13 @@
         client
     }
 
-    /// A connection that has said nothing.
+    /// A connection on which nothing has been sent.
     pub fn connect(&self) -> Client {
         Client::connect(self.proc.at).unwrap()
     }
 }
 
-/// Waits until the node has asked discovery and desk.
+/// Waits until the node has polled discovery and the controller.
 pub fn wait_until_polled(platform: &Platform) {
     wait_until("discovery and desk are followed", || platform.asked.lock().unwrap().iter().all(|n| *n > 0));
 }
