--- a/cli/tests/peers/platform.rs
+++ b/cli/tests/peers/platform.rs
@@ -59,5 +59,7 @@
 
 /// Waits until the node has polled discovery and the controller.
 pub fn wait_until_polled(platform: &Platform) {
-    wait_until("discovery and desk are followed", || platform.asked.lock().unwrap().iter().all(|n| *n > 0));
+    wait_until("the node polls discovery and the controller", || {
+        platform.asked.lock().unwrap().iter().all(|n| *n > 0)
+    });
 }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -80,8 +80,8 @@
     /// Records a key that this front has bound.
     fn record_binding(&mut self, key: u64, build: u32);
     /// Merges the controller's statement on the newest build with what peers know, and returns the result for this front. Once
-    /// any front has heard that a build is sent back, it stays so, whatever a delayed message or an outdated controller says, as build
-    /// numbers only increase.
+    /// any front has heard that a build is sent back, it stays so, whatever a delayed message or an outdated controller says,
+    /// as build numbers only increase.
     fn merge_standing(&mut self, standing: Standing) -> Standing;
     /// Returns what peers have reported since the last call, if anything.
     fn take_updates(&mut self) -> Option<PeerUpdates>;
