--- a/adapter/src/seat.rs
+++ b/adapter/src/seat.rs
@@ -1,8 +1,8 @@
 //! One front's seat: ids become small indices at its door, calls go in, actions go out.
 use crate::read::{armour, bytes, Bad, Line};
 use rockpick::{Ctl, Front, Member, Ns, Outcome, Phase, Post, Reply, Roll, Standing, State, Verdict};
-use rockpick_door::{tag, Door};
-use rockpick_terms::{nanos, number, Terms};
+use rockpick_front_settings::{nanos, number, Terms};
+use rockpick_id_table::{tag, IdTable};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -36,7 +36,7 @@
 struct Wire<'a> {
     now: Ns,
     front: u32,
-    door: &'a mut Door,
+    door: &'a mut IdTable,
     out: &'a mut String,
 }
 
@@ -131,7 +131,7 @@
 
 pub struct Seat {
     number: u32,
-    door: Door,
+    door: IdTable,
     front: Option<Front>,
 }
 
@@ -157,13 +157,13 @@
 fn post(line: &mut Line) -> Result<Post, Bad> {
     let seed =
         line.must("rngSeed", |w| w.parse::<u64>().ok().or_else(|| w.parse::<i64>().ok().map(|x| x as u64)))?;
-    Ok(rockpick_terms::post(seed, &Terms::of_pairs(line.rest())?)?)
+    Ok(rockpick_front_settings::post(seed, &Terms::of_pairs(line.rest())?)?)
 }
 
 impl Seat {
     pub fn start(now: Ns, number: u32, line: &mut Line, out: &mut String) -> Result<Self, Bad> {
         let post = post(line)?;
-        let mut seat = Seat { number, door: Door::default(), front: None };
+        let mut seat = Seat { number, door: IdTable::default(), front: None };
         seat.call(now, out, |front, ctl| *front = Some(Front::start(post, ctl)));
         Ok(seat)
     }
