--- a/cli/tests/agent.rs
+++ b/cli/tests/agent.rs
@@ -139,16 +139,16 @@
     fs::write(&target, &bytes).unwrap();
     deployment.start_agent("p0");
     deployment.start_agent("p1");
-    until("build 1 serves", || ["p0", "p1"].iter().all(|p| deployment.state(p, 1) == "serving"));
+    wait_until("build 1 serves", || ["p0", "p1"].iter().all(|p| deployment.state(p, 1) == "serving"));
     assert_eq!(deployment.post("/builds", "{\"build\":2}"), 201);
-    until("the first place is unfit", || {
+    wait_until("the first place is unfit", || {
         deployment.state("p0", 2) == "failed" && deployment.log("p0").contains("its hash")
     });
     // The stage takes the other place, which fails too, so the stage does not advance.
-    until("the second place tries", || deployment.state("p1", 2) == "failed");
+    wait_until("the second place tries", || deployment.state("p1", 2) == "failed");
     assert_eq!(deployment.status()["stage"]["stage"], 0);
     assert_eq!(deployment.post("/builds", "{\"build\":3}"), 201);
-    until("an unsigned build is refused", || {
+    wait_until("an unsigned build is refused", || {
         deployment.log("p0").contains("build-3: not signed for")
             || deployment.log("p1").contains("build-3: not signed for")
     });
@@ -164,7 +164,7 @@
 fn an_artefact_changed_on_disk_is_not_started_again() {
     let mut deployment = Deployment::new(1, &[(1, "")]);
     deployment.start_agent("p0");
-    until("build 1 serves", || deployment.state("p0", 1) == "serving");
+    wait_until("build 1 serves", || deployment.state("p0", 1) == "serving");
     let artefact = deployment.path("agent-p0/artefacts/build-1");
     fs::set_permissions(&artefact, fs::Permissions::from_mode(0o700)).unwrap();
     let text = fs::read_to_string(&artefact).unwrap();
@@ -176,7 +176,7 @@
         rustix::process::Signal::KILL,
     )
     .unwrap();
-    until("it has been fetched again and serves", || {
+    wait_until("it has been fetched again and serves", || {
         deployment.started_builds().len() == 2 && deployment.state("p0", 1) == "serving"
     });
     assert_eq!(deployment.started_builds(), ["p0..1", "p0..1"]);
@@ -189,9 +189,9 @@
     let mut deployment = Deployment::new(2, &[(1, ""), (2, "sleep 8")]);
     deployment.start_agent("p0");
     deployment.start_agent("p1");
-    until("build 1 serves", || ["p0", "p1"].iter().all(|p| deployment.state(p, 1) == "serving"));
+    wait_until("build 1 serves", || ["p0", "p1"].iter().all(|p| deployment.state(p, 1) == "serving"));
     deployment.post("/builds", "{\"build\":2}");
-    until("build 2 is starting", || deployment.started_builds().iter().any(|r| r.ends_with("..2")));
+    wait_until("build 2 is starting", || deployment.started_builds().iter().any(|r| r.ends_with("..2")));
     let down = if deployment.started_builds().contains(&"p0..2".to_string()) { 0 } else { 1 };
     let place = ["p0", "p1"][down];
     deployment.agents[down].kill().unwrap();
@@ -204,10 +204,10 @@
     let started = Instant::now();
     assert_eq!(deployment.post("/builds/2/back", ""), 200);
     deployment.start_agent(place);
-    until("its process has ended", || !Path::new(&format!("/proc/{pid}/stat")).exists());
-    until("the agent has removed the build", || deployment.state(place, 2) == "none");
+    wait_until("its process has ended", || !Path::new(&format!("/proc/{pid}/stat")).exists());
+    wait_until("the agent has removed the build", || deployment.state(place, 2) == "none");
     assert!(started.elapsed() < Duration::from_secs(30));
-    until("withdrawn", || deployment.status()["stage"]["phase"] == "withdrawn");
+    wait_until("withdrawn", || deployment.status()["stage"]["phase"] == "withdrawn");
     assert_eq!(deployment.state(place, 1), "serving", "adopted as it was");
     assert_eq!(
         deployment.started_builds().iter().filter(|r| r.ends_with("..1")).count(),
@@ -222,18 +222,18 @@
     let metadata = deployment.path("repo/metadata");
     let old = fs::read(metadata.join("timestamp.json")).unwrap();
     deployment.start_agent("p0");
-    until("build 1 serves", || deployment.state("p0", 1) == "serving");
+    wait_until("build 1 serves", || deployment.state("p0", 1) == "serving");
     deployment.add_build(2, "");
     let new = fs::read(metadata.join("timestamp.json")).unwrap();
     deployment.post("/builds", "{\"build\":2}");
-    until("build 2 serves", || deployment.state("p0", 2) == "serving");
+    wait_until("build 2 serves", || deployment.state("p0", 2) == "serving");
     // The repository is rolled back to its state before build 2, and build 3 is offered.
     fs::write(metadata.join("timestamp.json"), &old).unwrap();
     deployment.post("/builds", "{\"build\":3}");
-    until("the rollback is refused", || deployment.log("p0").contains("rolled back"));
+    wait_until("the rollback is refused", || deployment.log("p0").contains("rolled back"));
     fs::write(metadata.join("timestamp.json"), &new).unwrap();
     deployment.add_build(3, "");
-    until("build 3 serves", || deployment.state("p0", 3) == "serving");
+    wait_until("build 3 serves", || deployment.state("p0", 3) == "serving");
     assert_eq!(deployment.state("p0", 1), "serving");
     let ran = deployment.started_builds();
     assert_eq!(ran.iter().filter(|r| r.ends_with("..1")).count(), 1, "{ran:?}");
@@ -243,13 +243,13 @@
 fn drains_run_in_order_and_a_restarted_controller_orders_nothing_it_does_not_know() {
     let mut deployment = Deployment::new(1, &[(1, ""), (2, "")]);
     deployment.start_agent("p0");
-    until("build 1 serves", || deployment.state("p0", 1) == "serving");
+    wait_until("build 1 serves", || deployment.state("p0", 1) == "serving");
     deployment.post("/builds", "{\"build\":2}");
-    until("build 2 serves", || deployment.state("p0", 2) == "serving");
+    wait_until("build 2 serves", || deployment.state("p0", 2) == "serving");
     let generation = deployment.status()["generation"].as_u64().unwrap();
     deployment.controller = None;
     deployment.start_controller();
-    until("both are known again", || {
+    wait_until("both are known again", || {
         let up =
             deployment.status()["machines"].as_array().unwrap().iter().filter(|m| m["state"] == "up").count();
         up == 2
@@ -258,11 +258,11 @@
     assert_eq!(deployment.started_builds().len(), 2, "nothing was ended or started again");
     let started = Instant::now();
     assert_eq!(deployment.post("/builds/2/back", ""), 200);
-    until("reported as draining before it ends", || {
+    wait_until("reported as draining before it ends", || {
         let status = deployment.status();
         let m = status["machines"].as_array().unwrap().iter().find(|m| m["name"] == "p0..2").cloned();
         m.is_some_and(|m| m["state"] == "draining")
     });
-    until("ended", || deployment.state("p0", 2) == "none");
+    wait_until("ended", || deployment.state("p0", 2) == "none");
     assert!(started.elapsed() > Duration::from_millis(600), "not before the grace was over");
 }
--- a/cli/tests/answers.rs
+++ b/cli/tests/answers.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rockpick_pg as pg;
 use rustix::process::Signal;
@@ -134,9 +134,9 @@
     let machine = gated_machine(step);
     let platform = Platform::begin();
     let config = configuration(&platform, &[("a", machine.at, 1, "active")]);
-    let (node, other) = (Node::begin(&config), Node::begin(&config));
-    followed(&platform);
-    let mut client = node.stranger();
+    let (node, other) = (Node::start(&config), Node::start(&config));
+    wait_until_polled(&platform);
+    let mut client = node.connect();
     let (before, after) = bytes_of(step);
     client.io.write_all(&before).unwrap();
     if step != Step::Connected && step != Step::HalfStartup {
@@ -146,7 +146,7 @@
         assert_eq!(client.rpc(&lookup(6, DEADLINE_MS)), Said::Value(VALUE.to_vec()));
     }
     if after.is_empty() {
-        until("the machine is at the step", || machine.reached.load(Ordering::SeqCst) > 0);
+        wait_until("the machine is at the step", || machine.reached.load(Ordering::SeqCst) > 0);
     }
     match interruption {
         Interruption::Stop => node.signal(Signal::TERM),
@@ -205,13 +205,13 @@
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", machine.at, 1, "active")]);
     config["limits"]["sockets"] = 64.into();
-    let node = Node::begin(&config);
-    followed(&platform);
+    let node = Node::start(&config);
+    wait_until_polled(&platform);
     // The process is paused, so that all connections arrive at once.
     node.signal(Signal::STOP);
     let mut clients: Vec<Client> = (0..CLIENTS)
         .map(|id| {
-            let mut client = node.stranger();
+            let mut client = node.connect();
             let mut messages = Vec::new();
             pg::put_startup(&mut messages, "api", "ledger");
             pg::put_query(&mut messages, &lookup(id + 1, DEADLINE_MS));
--- a/cli/tests/hardening.rs
+++ b/cli/tests/hardening.rs
@@ -18,19 +18,19 @@
     charter
 }
 
-fn controller_with_machines(machines: &[(&str, SocketAddr, u32, &str)]) -> Teller {
-    let controller = Teller::begin(charter());
+fn controller_with_machines(machines: &[(&str, SocketAddr, u32, &str)]) -> ScriptedController {
+    let controller = ScriptedController::start(charter());
     controller.stage(1, 0, "released", 1.0);
     controller.roster("whole", machines);
     controller
 }
 
 fn wait_for_settings(front: &Proc, version: u64) {
-    until("the front uses the settings", || get(front.at, "/status")["settings_version"] == version);
+    wait_until("the front uses the settings", || get(front.at, "/status")["settings_version"] == version);
 }
 
 fn wait_for_success(proc: &mut Proc) {
-    until("the process ends", || proc.child.try_wait().unwrap().is_some());
+    wait_until("the process ends", || proc.child.try_wait().unwrap().is_some());
     assert!(proc.child.wait().unwrap().success());
 }
 
@@ -47,7 +47,7 @@
     assert_eq!(put(controller.at, &charter()).status, 200);
     let one = front(controller.at, &["--state", &state]);
     wait_for_settings(&one, 1);
-    until("the snapshot is written", || dir.path().join("f0.json").exists());
+    wait_until("the snapshot is written", || dir.path().join("f0.json").exists());
     drop(one);
     assert_eq!(put(controller.at, &charter()).status, 200);
     wait_for_settings(&front(controller.at, &["--state", &state]), 2);
@@ -59,17 +59,17 @@
     // The controller sends data a minute apart, so that the watch is not considered dead and restarted meanwhile.
     let mut charter = charter();
     charter.rollout.told_every_ms = 60_000;
-    let controller = Teller::begin(charter.clone());
+    let controller = ScriptedController::start(charter.clone());
     let front = front(controller.at, &[]);
     wait_for_settings(&front, 1);
-    let version = controller.gives(charter, 2);
+    let version = controller.set_settings(charter, 2);
     wait_for_settings(&front, version);
 }
 
 /// 4: numbers out of range neither crash the front (limited to 4 GB) nor affect the rest of the line.
 #[test]
 fn a_malformed_roster_line_affects_no_others() {
-    let machine = Scripted::begin(Does::Answers);
+    let machine = ScriptedMachine::start(Behavior::Responds);
     let controller = controller_with_machines(&[]);
     let line = |name: &str, field: &str, value: Value| {
         let mut line = json!({ "name": name, "addr": machine.at.to_string(), "zone": 0, "cell": 0, "build": 1,
@@ -84,12 +84,12 @@
         line("d\r\nX: y", "cell", json!(0)),
     ];
     let members: Vec<Value> = bad.into_iter().chain([line("good", "cell", json!(1))]).collect();
-    controller.tell(json!({ "roster": { "kind": "whole", "serial": 1, "members": members } }));
-    controller.tell(json!({ "stage": { "build": 4_294_967_295u32, "stage": 0, "phase": "released", "cap": 1.0, "age_ms": 1 } }));
-    controller.tell(json!({ "tally": [[1, 0, u64::MAX, 0], [1, 0, u64::MAX, u64::MAX]] }));
+    controller.push_line(json!({ "roster": { "kind": "whole", "serial": 1, "members": members } }));
+    controller.push_line(json!({ "stage": { "build": 4_294_967_295u32, "stage": 0, "phase": "released", "cap": 1.0, "age_ms": 1 } }));
+    controller.push_line(json!({ "tally": [[1, 0, u64::MAX, 0], [1, 0, u64::MAX, u64::MAX]] }));
     let at = controller.at.to_string();
     let front = start_under("ulimit -v 4000000;", &["front", "--name", "f0", "--controller", &at]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     for _ in 0..20 {
         assert_eq!(rpc(front.at, "lookup", "").0, 200);
     }
@@ -100,11 +100,11 @@
 #[test]
 fn a_hung_disk_does_not_delay_a_shutdown() {
     let dir = tempfile::tempdir().unwrap();
-    fifo(&dir.path().join("f0.new"));
-    let machine = Scripted::begin(Does::Answers);
+    create_fifo(&dir.path().join("f0.new"));
+    let machine = ScriptedMachine::start(Behavior::Responds);
     let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
     let mut front = front(controller.at, &["--state", &dir.path().to_string_lossy()]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     assert_eq!(rpc(front.at, "lookup", "").0, 200);
     signal(&front, Signal::TERM);
     wait_for_success(&mut front);
@@ -113,15 +113,15 @@
 /// 6: standard error is a pipe that nobody reads, and more is logged than it can hold.
 #[test]
 fn a_log_that_nobody_reads_delays_no_rpc() {
-    let machine = Scripted::begin(Does::Answers);
+    let machine = ScriptedMachine::start(Behavior::Responds);
     let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
     let at = controller.at.to_string();
     let mut front = start_with("", &["front", "--name", "f0", "--controller", &at], Stdio::piped());
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let names: Vec<String> = (0..3_000).map(|i| format!("a-machine-that-goes-{i}")).collect();
     let lines: Vec<_> = names.iter().map(|n| (n.as_str(), machine.at, 1, "draining")).collect();
     controller.roster("changes", &lines);
-    listed(&front, 3_001);
+    wait_for_machines(&front, 3_001);
     assert_eq!(rpc(front.at, "lookup", "").0, 200);
     signal(&front, Signal::TERM);
     wait_for_success(&mut front);
@@ -146,25 +146,25 @@
 fn a_wall_clock_set_ahead_makes_no_cold_machine_warm() {
     let dir = tempfile::tempdir().unwrap();
     let (state, file) = (dir.path().to_string_lossy().into_owned(), dir.path().join("f0.json"));
-    let controller = Teller::begin(charter());
+    let controller = ScriptedController::start(charter());
     controller.stage(1, 0, "released", 1.0);
-    controller.tell(
+    controller.push_line(
         json!({ "roster": { "kind": "whole", "serial": 1, "members": [{ "name": "m", "addr": "127.0.0.1:1",
         "zone": 0, "cell": 0, "build": 1, "run": 1, "weight": 1.0, "state": "up", "age_ms": 5.0 }] } }),
     );
     let one = front(controller.at, &["--state", &state]);
-    listed(&one, 1);
+    wait_for_machines(&one, 1);
     let snapshot = || -> Value {
         std::fs::read(&file)
             .map_or(Value::Null, |t| serde_json::from_slice(&strip_checksum(t).unwrap()).unwrap())
     };
-    until("the snapshot is written", || snapshot()["members"][0]["name"] == "m");
+    wait_until("the snapshot is written", || snapshot()["members"][0]["name"] == "m");
     drop(one);
     let mut old = snapshot();
     old["saved_ms"] = json!(1);
     std::fs::write(&file, old.to_string()).unwrap();
     let mut two = front(unused_address(), &["--state", &state]);
-    listed(&two, 1);
+    wait_for_machines(&two, 1);
     signal(&two, Signal::TERM);
     wait_for_success(&mut two);
     let age = snapshot()["members"][0]["age_ms"].as_f64().unwrap();
@@ -174,16 +174,16 @@
 /// 14: RPCs of former settings are answered by their own deadlines, even if the new ones are shorter.
 #[test]
 fn a_shutdown_waits_for_rpcs_of_former_settings() {
-    let machine = Scripted::begin(Does::Never);
+    let machine = ScriptedMachine::start(Behavior::Hangs);
     let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
     let mut front = front(controller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let at = front.at;
     let open = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 2500\r\n"));
-    machine.got.recv_timeout(PATIENCE).unwrap();
+    machine.requests.recv_timeout(TIMEOUT).unwrap();
     let mut short = charter();
     short.methods.iter_mut().for_each(|m| (m.soft_deadline_ms, m.deadline_ms) = (50, 100));
-    let version = controller.gives(short, 0);
+    let version = controller.set_settings(short, 0);
     wait_for_settings(&front, version);
     signal(&front, Signal::TERM);
     signal(&front, Signal::TERM); // a second one changes nothing
@@ -199,7 +199,7 @@
     connect(&fd, &front.at).unwrap();
     let mut io = TcpStream::from(fd);
     io.write_all(b"POST /rpc/lookup HTTP/1.1\r\nHost: f\r\nContent-Length: 0\r\n\r\n").unwrap();
-    until("the front has the answer", || get(front.at, "/status")["ok"] == 1);
+    wait_until("the front has the answer", || get(front.at, "/status")["ok"] == 1);
     io
 }
 
@@ -207,18 +207,18 @@
 #[test]
 fn a_shutdown_sends_pending_answers_and_does_not_wait_for_ever() {
     for reads in [true, false] {
-        let machine = Scripted::begin(Does::AtLength);
+        let machine = ScriptedMachine::start(Behavior::RespondsLong);
         let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
         let mut front = front(controller.at, &[]);
-        listed(&front, 1);
+        wait_for_machines(&front, 1);
         let mut io = slow_reader(&front);
         signal(&front, Signal::TERM);
-        until("the listener is closed", || TcpStream::connect(front.at).is_err());
+        wait_until("the listener is closed", || TcpStream::connect(front.at).is_err());
         if reads {
             let mut received = Vec::new();
-            io.set_read_timeout(Some(PATIENCE)).unwrap();
+            io.set_read_timeout(Some(TIMEOUT)).unwrap();
             let end = io.read_to_end(&mut received);
-            assert!(received.len() > LONG && end.is_ok(), "{} bytes, {end:?}", received.len());
+            assert!(received.len() > LONG_BODY_LEN && end.is_ok(), "{} bytes, {end:?}", received.len());
         }
         wait_for_success(&mut front);
     }
@@ -235,7 +235,7 @@
     let output: Value = serde_json::from_slice(&answer.body).unwrap();
     assert_eq!((answer.status, output["errors"][0]["field"].as_str()), (500, Some("state")), "{output}");
     std::fs::remove_dir(&obstacle).unwrap();
-    until("the snapshot", || dir.path().join("controller.json").exists());
+    wait_until("the snapshot", || dir.path().join("controller.json").exists());
 }
 
 /// 19: names are used in paths and headers.
@@ -258,7 +258,7 @@
                 child
             },
         };
-        until("the process exits", || proc.child.try_wait().unwrap().is_some());
+        wait_until("the process exits", || proc.child.try_wait().unwrap().is_some());
         let mut output = String::new();
         proc.child.stderr.take().unwrap().read_to_string(&mut output).unwrap();
         assert!(
@@ -271,18 +271,18 @@
 /// 21: settings that change faster than RPCs end are delayed.
 #[test]
 fn the_number_of_module_instances_is_limited() {
-    let machine = Scripted::begin(Does::Never);
+    let machine = ScriptedMachine::start(Behavior::Hangs);
     let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
     let front = front(controller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let mut open = Vec::new();
     for _ in 0..12 {
         let at = front.at;
         open.push(std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 2500\r\n").0));
         let began = Instant::now();
         let taken = open.len() as u64;
-        until("the RPC", || get(front.at, "/status")["taken"] == taken);
-        let version = controller.gives(charter(), 0);
+        wait_until("the RPC", || get(front.at, "/status")["taken"] == taken);
+        let version = controller.set_settings(charter(), 0);
         while get(front.at, "/status")["settings_version"] != version
             && began.elapsed() < Duration::from_millis(60)
         {}
@@ -302,38 +302,38 @@
 /// reported.
 #[test]
 fn outcomes_of_former_settings_are_not_reported_under_new_ones() {
-    let machine = Scripted::begin(Does::Never);
+    let machine = ScriptedMachine::start(Behavior::Hangs);
     let mut charter = charter();
     (charter.rollout.tally_every_ms, charter.rollout.tally_sample) = (100, 1.0);
-    let controller = Teller::begin(charter.clone());
+    let controller = ScriptedController::start(charter.clone());
     controller.stage(1, 0, "released", 1.0);
     controller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(controller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let at = front.at;
     let former = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 900\r\n").0);
-    machine.got.recv_timeout(PATIENCE).unwrap();
+    machine.requests.recv_timeout(TIMEOUT).unwrap();
     charter.methods.truncate(1);
-    let version = controller.gives(charter, 0);
+    let version = controller.set_settings(charter, 0);
     wait_for_settings(&front, version);
     assert_eq!(former.join().unwrap(), 504);
     assert_eq!(rpc(front.at, "lookup", "Rockpick-Time-Left-Ms: 100\r\n").0, 503);
-    until("outcomes are reported", || !controller.counts.lock().unwrap().is_empty());
+    wait_until("outcomes are reported", || !controller.counts.lock().unwrap().is_empty());
     assert_eq!(controller.counts.lock().unwrap()[0]["rows"], json!([[1, 0, 1, 1]]));
 }
 
 /// Rule 1: a front that was paused beyond a client's deadline sends it nothing.
 #[test]
 fn an_answer_that_would_come_after_the_deadline_is_not_sent() {
-    let machine = Scripted::begin(Does::Never);
+    let machine = ScriptedMachine::start(Behavior::Hangs);
     let controller = controller_with_machines(&[("m", machine.at, 1, "up")]);
     let front = front(controller.at, &[]);
-    listed(&front, 1);
+    wait_for_machines(&front, 1);
     let (at, began) = (front.at, Instant::now());
     let open = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 400\r\n"));
-    machine.got.recv_timeout(PATIENCE).unwrap();
+    machine.requests.recv_timeout(TIMEOUT).unwrap();
     signal(&front, Signal::STOP);
-    until("the deadline has passed", || began.elapsed() > Duration::from_millis(800));
+    wait_until("the deadline has passed", || began.elapsed() > Duration::from_millis(800));
     signal(&front, Signal::CONT);
     assert_eq!(open.join().unwrap(), (0, String::new()));
     assert_eq!(get(front.at, "/status")["late"], 1);
@@ -342,35 +342,36 @@
 /// Rule 4: a machine that has just started gets only the few picks that the decision module allows it.
 #[test]
 fn a_cold_machine_gets_few_picks() {
-    let (warm, cold) = (Scripted::begin(Does::Answers), Scripted::begin(Does::Answers));
+    let (warm, cold) =
+        (ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds));
     let controller = controller_with_machines(&[("warm", warm.at, 1, "up")]);
-    controller.tell(json!({ "roster": { "kind": "changes", "serial": 2, "members": [{ "name": "cold", "zone": 0, "cell": 0,
+    controller.push_line(json!({ "roster": { "kind": "changes", "serial": 2, "members": [{ "name": "cold", "zone": 0, "cell": 0,
         "addr": cold.at.to_string(), "build": 1, "run": 1, "weight": 1.0, "state": "up", "age_ms": 0.0 }] } }));
     let front = front(controller.at, &[]);
-    listed(&front, 2);
+    wait_for_machines(&front, 2);
     for _ in 0..40 {
         assert_eq!(rpc(front.at, "lookup", "").0, 200);
     }
-    let picks = cold.got.try_iter().count();
+    let picks = cold.requests.try_iter().count();
     assert!(picks <= 8, "{picks} of 40");
 }
 
 /// Rule 5: the cap holds over sockets.
 #[test]
 fn picks_over_sockets_respect_the_cap() {
-    let (old, new) = (Scripted::begin(Does::Answers), Scripted::begin(Does::Answers));
+    let (old, new) = (ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds));
     let mut charter = charter();
     (charter.rollout.free, charter.rollout.window_ms) = (0.0, 400);
-    let controller = Teller::begin(charter);
+    let controller = ScriptedController::start(charter);
     controller.stage(2, 0, "on-trial", 0.2);
     controller.roster("whole", &[("old", old.at, 1, "up"), ("new", new.at, 2, "up")]);
     let front = front(controller.at, &[]);
-    listed(&front, 2);
+    wait_for_machines(&front, 2);
     let (mut taken, mut picks) = (0.0, 0.0);
     // Some hundreds of RPCs are accepted before the first window ends; many more must follow to measure the cap.
-    until("picks at the trial", || {
+    wait_until("picks at the trial", || {
         taken += f64::from(u8::from(rpc(front.at, "lookup", "").0 == 200));
-        picks += new.got.try_iter().count() as f64;
+        picks += new.requests.try_iter().count() as f64;
         taken >= 2_000.0
     });
     assert!(picks > 0.0 && picks <= 0.2 * taken + 1.0, "{picks} of {taken}");
@@ -382,25 +383,25 @@
 fn unknown_fields_of_later_versions_are_ignored_except_in_settings() {
     let dir = tempfile::tempdir().unwrap();
     let (state, file) = (dir.path().to_string_lossy().into_owned(), dir.path().join("f0.json"));
-    let machine = Scripted::begin(Does::Answers);
-    let controller = Teller::begin(charter());
-    controller.tell(
+    let machine = ScriptedMachine::start(Behavior::Responds);
+    let controller = ScriptedController::start(charter());
+    controller.push_line(
         json!({ "later": [1], "stage": { "build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_ms": 1,
         "later": 1 } }),
     );
-    controller.tell(
+    controller.push_line(
         json!({ "roster": { "kind": "whole", "members": [{ "name": "m", "addr": machine.at.to_string(),
         "build": 1, "run": 1, "state": "up", "later": 1 }] } }),
     );
     // Finding 41: neither is an empty roster.
-    controller.tell(json!({ "roster": { "kind": "later", "members": [] } }));
-    controller.tell(json!({ "roster": { "kind": "whole" } }));
+    controller.push_line(json!({ "roster": { "kind": "later", "members": [] } }));
+    controller.push_line(json!({ "roster": { "kind": "whole" } }));
     controller.stage(1, 0, "released", 0.5);
     let mut one = front(controller.at, &["--state", &state]);
-    until("the last line", || get(one.at, "/status")["stage"]["cap"] == 0.5);
-    listed(&one, 1);
+    wait_until("the last line", || get(one.at, "/status")["stage"]["cap"] == 0.5);
+    wait_for_machines(&one, 1);
     assert_eq!(rpc(one.at, "lookup", "Rockpick-Later: 1\r\n").0, 200);
-    until("the snapshot is written", || file.exists());
+    wait_until("the snapshot is written", || file.exists());
     signal(&one, Signal::TERM);
     wait_for_success(&mut one);
     let mut snapshot: Value =
@@ -428,20 +429,22 @@
     assert_eq!(put(controller.at, &Settings::example(1, 1)).status, 200);
     let at = controller.at.to_string();
     let machine = || start(&["machine", "--controller", &at, "--name", "m", "--place", "p0", "--build", "1"]);
-    let listed = || get(controller.at, "/roster")["roster"]["members"][0].clone();
+    let listed_machine = || get(controller.at, "/roster")["roster"]["members"][0].clone();
     let one = machine();
-    until("the machine", || listed()["state"] == "up");
-    let former = listed();
+    wait_until("the machine", || listed_machine()["state"] == "up");
+    let former = listed_machine();
     drop(one);
     let began = Instant::now();
     let mut two = machine();
-    until("the new machine", || listed()["state"] == "up" && listed()["run"] != former["run"]);
-    assert_ne!(listed()["addr"], former["addr"]);
-    assert!(listed()["age_ms"].as_f64().unwrap() <= began.elapsed().as_secs_f64() * 1e3 + 50.0);
+    wait_until("the new machine", || {
+        listed_machine()["state"] == "up" && listed_machine()["run"] != former["run"]
+    });
+    assert_ne!(listed_machine()["addr"], former["addr"]);
+    assert!(listed_machine()["age_ms"].as_f64().unwrap() <= began.elapsed().as_secs_f64() * 1e3 + 50.0);
     signal(&two, Signal::TERM);
-    until("the machine drains", || listed()["state"] == "draining");
+    wait_until("the machine drains", || listed_machine()["state"] == "draining");
     wait_for_success(&mut two);
-    until("the machine is gone", || listed().is_null());
+    wait_until("the machine is gone", || listed_machine().is_null());
 }
 
 /// Partial snapshots left by a kill are never read, and are overwritten.
@@ -467,20 +470,20 @@
 #[test]
 fn a_hung_disk_blocks_only_the_requester_of_a_change() {
     let dir = tempfile::tempdir().unwrap();
-    fifo(&dir.path().join("controller.new"));
+    create_fifo(&dir.path().join("controller.new"));
     let mut controller = start(&["controller", "--state", &dir.path().to_string_lossy()]);
     let mut io = TcpStream::connect(controller.at).unwrap();
     let settings = serde_json::to_string(&charter()).unwrap();
     write!(io, "PUT /settings HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{settings}", settings.len())
         .unwrap();
-    until("the settings", || get(controller.at, "/status")["settings_version"] == 1);
+    wait_until("the settings", || get(controller.at, "/status")["settings_version"] == 1);
     io.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
     assert!(io.read(&mut [0; 1]).is_err(), "no answer before the change is saved");
     signal(&controller, Signal::TERM);
     let mut output = String::new();
-    io.set_read_timeout(Some(PATIENCE)).unwrap();
+    io.set_read_timeout(Some(TIMEOUT)).unwrap();
     let _ = io.read_to_string(&mut output);
     assert!(output.starts_with("HTTP/1.1 500 ") && output.contains("does not answer"), "{output}");
-    until("the process ends", || controller.child.try_wait().unwrap().is_some());
+    wait_until("the process ends", || controller.child.try_wait().unwrap().is_some());
     assert_eq!(controller.child.wait().unwrap().code(), Some(2));
 }
--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rustix::process::Signal;
 use std::io::Write;
@@ -20,7 +20,7 @@
 
 /// Waits until the node accepts no more connections; from then on it closes those that are idle.
 fn wait_for_listener_closed(node: &Node) {
-    until("the listener is closed", || TcpStream::connect(node.proc.at).is_err());
+    wait_until("the listener is closed", || TcpStream::connect(node.proc.at).is_err());
 }
 
 /// A machine that answers no startup message before its gate is open, with the number of its connections and queries.
@@ -42,7 +42,7 @@
 /// Sends RPCs until a machine has served one.
 fn wait_until_served(client: &mut Client, machine: &Machine) {
     let mut id = 1 << 40;
-    until("the machine has served", || {
+    wait_until("the machine has served", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         machine.queries() > 0
@@ -55,7 +55,7 @@
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
     config["settings"]["discovery"] = "automatic".into();
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     platform.list(false, &[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
     wait_until_served(&mut node.client(), &b);
 }
@@ -64,8 +64,8 @@
 fn indented_rosters_are_parsed() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    followed(&platform);
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until_polled(&platform);
     platform.list_indented(&[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
     wait_until_served(&mut node.client(), &b);
     assert_eq!(platform.asked.lock().unwrap()[0], 1, "still the first watch");
@@ -76,8 +76,8 @@
 fn a_watch_with_only_heartbeats_confirms_the_initial_roster() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
     // The initial roster alone would be used for 1.6 s.
     std::thread::sleep(Duration::from_millis(1_800));
     assert_eq!(node.client().rpc(&lookup(1, 900)), value());
@@ -89,11 +89,11 @@
 fn a_silent_watch_is_replaced_in_time_and_a_list_is_fetched_if_the_next_is_silent_too() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
     platform.answer_list(1, &[("b", b.at, 1, "active")]);
     platform.mute.store(true, Ordering::SeqCst);
-    until("the watch is requested again", || platform.asked.lock().unwrap()[0] == 2);
+    wait_until("the watch is requested again", || platform.asked.lock().unwrap()[0] == 2);
     // It is considered dead after 2.5 s, and requested again three quarters of a second later. One second more, and
     // the second attempt would be too late.
     let silent = platform.last_sign.lock().unwrap().unwrap().elapsed();
@@ -108,8 +108,8 @@
     let mut config = configuration(&platform, &[("a", at, 1, "active")]);
     config["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
     config["settings"]["invariants"]["drainGraceMs"] = 300.into();
-    let node = Node::begin(&config);
-    followed(&platform);
+    let node = Node::start(&config);
+    wait_until_polled(&platform);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     platform.list(false, &[("a", at, 1, "leaving")]);
@@ -129,7 +129,7 @@
     let mut config = configuration(&platform, &[("a", at, 1, "active")]);
     config["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
     config["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     platform.list(false, &[("a", new.at, 1, "active")]);
@@ -148,14 +148,14 @@
     let mut config = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new, 2, "active")]);
     config["settings"]["permissions"]["dialTimeoutMs"] = 1_800.into();
     config["settings"]["invariants"]["drainGraceMs"] = 10_000.into();
-    let node = Node::begin(&config);
-    followed(&platform);
+    let node = Node::start(&config);
+    wait_until_polled(&platform);
     platform.news("* progress 2 0 canary 1 20000");
     let mut client = node.client();
     client.ask(&save(1, 1_900));
-    until("the pick connects", || connections.load(Ordering::SeqCst) > 0);
+    wait_until("the pick connects", || connections.load(Ordering::SeqCst) > 0);
     platform.news("* progress 2 0 reverting 0 0");
-    until("the withdrawal is received", || node.logged("phase=GoingBack"));
+    wait_until("the withdrawal is received", || node.log_contains("phase=GoingBack"));
     gate.open();
     assert_eq!(client.hear(), value(), "answered by the earlier build");
     assert_eq!(queries.load(Ordering::SeqCst), 0);
@@ -168,12 +168,12 @@
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]);
     config["settings"]["extra"]["oneWay"] = true.into();
-    let node = Node::begin(&config);
-    followed(&platform);
+    let node = Node::start(&config);
+    wait_until_polled(&platform);
     platform.news("* progress 2 0 canary 1 20000");
     let mut client = node.client();
     let mut id = 0;
-    until("the new build has the key", || {
+    wait_until("the new build has the key", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         new.queries() > 0
@@ -213,10 +213,10 @@
     let lane = &mut config["settings"]["lanes"][1];
     (lane["idempotency"], lane["windowMs"]) = ("guarded".into(), 400.into());
     config["settings"]["permissions"]["dialTimeoutMs"] = 1_000.into();
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     let mut client = node.client();
     client.ask(&save(1, 1_900));
-    until("the repeat connects", || connections.load(Ordering::SeqCst) == 2);
+    wait_until("the repeat connects", || connections.load(Ordering::SeqCst) == 2);
     let opens_gate = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(600));
         gate.open();
@@ -244,7 +244,7 @@
         line.answers(b"next")
     });
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", at, 1, "active")]));
+    let node = Node::start(&configuration(&platform, &[("a", at, 1, "active")]));
     let mut client = node.client();
     assert_eq!(client.rpc(&save(1, 900)), Said::Value(b"0".to_vec()));
     let said = client.rpc(&save(2, 900));
@@ -259,7 +259,7 @@
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
     config["limits"]["sockets"] = 64.into();
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     let mut clients: Vec<Client> = (0..10)
         .map(|id| {
             let mut client = node.client();
@@ -270,7 +270,7 @@
     // Only connections that were idle for half a second are evicted.
     std::thread::sleep(Duration::from_millis(600));
     node.signal(Signal::STOP);
-    let mut new = node.stranger();
+    let mut new = node.connect();
     clients[0].ask(&save(100, 1_900));
     node.signal(Signal::CONT);
     assert_eq!(clients[0].hear(), value());
@@ -293,7 +293,7 @@
         None
     });
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", at, 1, "active")]));
+    let node = Node::start(&configuration(&platform, &[("a", at, 1, "active")]));
     let mut client = node.client();
     client.ask(&save(1, 1_900));
     client.ask(&save(2, 1_900));
@@ -307,8 +307,8 @@
 fn a_connection_that_came_before_the_listener_closed_is_served() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let mut node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    let (mut ready, mut new) = (node.client(), node.stranger());
+    let mut node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    let (mut ready, mut new) = (node.client(), node.connect());
     node.signal(Signal::TERM);
     wait_for_listener_closed(&node);
     assert_eq!([ready.rpc(&save(1, 900)), ready.hear()], [value(), Said::Closed]);
@@ -331,7 +331,7 @@
         None
     });
     let platform = Platform::begin();
-    let mut node = Node::begin(&configuration(&platform, &[("a", at, 1, "active")]));
+    let mut node = Node::start(&configuration(&platform, &[("a", at, 1, "active")]));
     let mut client = node.client();
     (0..MANY).for_each(|id| client.ask(&lookup(id, 1_900)));
     node.signal(Signal::TERM);
@@ -349,7 +349,7 @@
 fn a_shutdown_ends_in_time_though_a_client_is_never_idle() {
     let a = machine(&[Does::Answers]);
     let platform = Platform::begin();
-    let mut node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    let mut node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     let mut client = node.client();
     // Commands without end, so that the next one is always there.
     let mut writer = client.io.try_clone().unwrap();
@@ -376,14 +376,14 @@
 fn a_configuration_that_is_complete_only_after_the_signal_is_read() {
     let a = machine(&[Does::Answers]);
     let (platform, other) = (Platform::begin(), Platform::begin());
-    let node = Node::begin(&configuration(&platform, &[("a", a.at, 1, "active")]));
-    followed(&platform);
-    node.rewrite("{ half");
+    let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
+    wait_until_polled(&platform);
+    node.rewrite_config("{ half");
     node.signal(Signal::HUP);
     // The node has read the partial file, as it serves after the signal.
     assert_eq!(node.client().rpc(&lookup(1, 900)), value());
-    node.rewrite(&configuration(&other, &[]).to_string());
-    followed(&other);
+    node.rewrite_config(&configuration(&other, &[]).to_string());
+    wait_until_polled(&other);
 }
 
 /// At the limit of buffered bytes of all clients, a client that sends little is not closed.
@@ -394,7 +394,7 @@
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
     config["limits"]["sockets"] = 512.into();
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     let (mut good, mut probe) = (node.client(), node.client());
     assert_eq!(good.rpc(&lookup(1, 900)), value());
     let mut head = vec![b'Q'];
--- a/cli/tests/node.rs
+++ b/cli/tests/node.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rustix::process::Signal;
 use std::io::Write;
@@ -16,7 +16,7 @@
 /// Starts a platform, and a node that knows one machine, `a`, of build 1.
 fn node_with(machine: &Machine) -> (Platform, Node) {
     let platform = Platform::begin();
-    let node = Node::begin(&configuration(&platform, &[("a", machine.at, 1, "active")]));
+    let node = Node::start(&configuration(&platform, &[("a", machine.at, 1, "active")]));
     (platform, node)
 }
 
@@ -92,7 +92,7 @@
     let mut config = configuration(&platform, &machines);
     // If connecting to the good machine made it look slow, the other two are tried in turn before it.
     config["settings"]["permissions"]["attemptsCap"] = 6.into();
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     let mut client = node.client();
     for id in 1..=20 {
         assert_eq!(client.rpc(&save(id, 1_500)), Said::Value(b"value".to_vec()));
@@ -103,7 +103,7 @@
         (0..10).map(|i| machine(&[if i == 3 { Does::Answers } else { Does::Closes }])).collect();
     let names: Vec<String> = (0..10).map(|i| format!("m{i}")).collect();
     let machines: Vec<_> = names.iter().zip(&all).map(|(n, m)| (n.as_str(), m.at, 1, "active")).collect();
-    let node = Node::begin(&configuration(&platform, &machines));
+    let node = Node::start(&configuration(&platform, &machines));
     let mut client = node.client();
     let said: Vec<Said> = (1..=20).map(|id| client.rpc(&save(id, 1_500))).collect();
     let aborted = said.iter().filter(|s| failed(s)).count();
@@ -162,7 +162,7 @@
         (true, Vec::new()),
     ] {
         let began = Instant::now();
-        let mut client = if started { node.client() } else { node.stranger() };
+        let mut client = if started { node.client() } else { node.connect() };
         let _ = client.io.write_all(&bytes);
         assert!(matches!(client.hear(), Said::Closed | Said::Error(..)), "{bytes:?}");
         assert!(began.elapsed() < Duration::from_secs(3), "answered or closed within 3 s");
@@ -177,7 +177,7 @@
     let (mut first, mut second) = (node.client(), node.client());
     let before = warm_up(&machine, &mut first, &[Does::Never, Does::Answers]);
     first.ask(&lookup(7, 700));
-    until("the first is sent", || machine.queries() > before);
+    wait_until("the first is sent", || machine.queries() > before);
     assert!(failed(&second.rpc(&lookup(7, 700))), "the id of an open RPC");
     assert_eq!(second.rpc(&lookup(8, 700)), Said::Value(b"value".to_vec()));
     assert!(!matches!(first.hear(), Said::Value(_) | Said::Closed));
@@ -198,7 +198,7 @@
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
     platform.list(false, &[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
     let mut id = 1;
-    until("b serves", || {
+    wait_until("b serves", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         b.queries() > 0
@@ -210,7 +210,7 @@
     assert_eq!(a.queries(), drained);
     // The name returns with another address and build.
     platform.list(false, &[("a", c.at, 1, "active"), ("b", b.at, 1, "left")]);
-    until("c serves", || {
+    wait_until("c serves", || {
         id += 1;
         client.rpc(&lookup(id, 900));
         c.queries() > 0
@@ -232,10 +232,10 @@
     let mut config = configuration(&platform, &[("a", a.at, 1, "active"), ("b", b.at, 1, "active")]);
     config["known"]["seq"] = 1.into();
     config["settings"]["balancers"] = 20.into(); // one of many picks by chance, so that each machine is met
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     let mut client = node.client();
     let mut id = 0;
-    until("b is not used", || {
+    wait_until("b is not used", || {
         let before = b.queries();
         (0..40).for_each(|_| {
             id += 1;
@@ -253,7 +253,7 @@
     // Without any time left nothing is sent, and the RPC is pushed back.
     assert!(pushed_back(&client.rpc(&save(1, 0))));
     client.ask(&save(2, 300));
-    until("the pick is sent", || machine.queries() > 0);
+    wait_until("the pick is sent", || machine.queries() > 0);
     node.signal(Signal::STOP);
     std::thread::sleep(Duration::from_millis(400));
     node.signal(Signal::CONT);
@@ -267,8 +267,8 @@
     let platform = Platform::begin();
     *platform.answer.lock().unwrap() = None;
     let node =
-        Node::begin(&configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]));
-    followed(&platform);
+        Node::start(&configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]));
+    wait_until_polled(&platform);
     platform.news("* progress 2 0 canary 1 20000");
     let mut client = node.client();
     let mut id = 0;
@@ -276,20 +276,20 @@
         id += 1;
         client.rpc(&lookup(id, 900));
     };
-    until("a vote without a reply is cast again", || {
+    wait_until("a vote without a reply is cast again", || {
         ask();
         platform.votes.lock().unwrap().len() >= 2
     });
     *platform.answer.lock().unwrap() = Some("OK 2 0 can".into());
     let unanswered = platform.votes.lock().unwrap().len();
-    until("one with a malformed reply is cast again", || {
+    wait_until("one with a malformed reply is cast again", || {
         ask();
         platform.votes.lock().unwrap().len() >= unanswered + 2
     });
     assert!(platform.votes.lock().unwrap().iter().all(|v| v == "BALLOT 2 0 on"));
     *platform.answer.lock().unwrap() = Some("OK 2 0 canary 1 20000".into());
     let before = platform.votes.lock().unwrap().len();
-    until("a vote is counted", || {
+    wait_until("a vote is counted", || {
         ask();
         platform.votes.lock().unwrap().len() > before
     });
@@ -307,18 +307,18 @@
 fn a_reload_moves_to_other_addresses_and_an_unreadable_file_changes_nothing() {
     let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
     let (platform, node) = node_with(&a);
-    followed(&platform);
-    node.rewrite("{ half");
+    wait_until_polled(&platform);
+    node.rewrite_config("{ half");
     node.signal(Signal::HUP);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
     let other = Platform::begin();
-    node.rewrite(&configuration(&other, &[]).to_string());
+    node.rewrite_config(&configuration(&other, &[]).to_string());
     node.signal(Signal::HUP);
-    followed(&other);
+    wait_until_polled(&other);
     other.list(true, &[("b", b.at, 1, "active")]);
     let mut id = 1;
-    until("the other platform's roster is used", || {
+    wait_until("the other platform's roster is used", || {
         id += 1;
         assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)), "served throughout");
         b.queries() > 0
@@ -332,7 +332,7 @@
     let (mut waiting, mut active) = (node.client(), node.client());
     let before = warm_up(&machine, &mut waiting, &[Does::Never, Does::Answers]);
     waiting.ask(&lookup(1, 900));
-    until("it is sent", || machine.queries() > before);
+    wait_until("it is sent", || machine.queries() > before);
     let began = Instant::now();
     node.signal(Signal::TERM);
     assert!(matches!(active.rpc(&lookup(2, 900)), Said::Value(_)));
@@ -349,7 +349,7 @@
     let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
-    let silent: Vec<Client> = (0..4 * SOCKETS).map(|_| node.stranger()).collect();
+    let silent: Vec<Client> = (0..4 * SOCKETS).map(|_| node.connect()).collect();
     for id in 10..30 {
         assert!(matches!(node.client().rpc(&lookup(id, 900)), Said::Value(_)));
         assert!(node.descriptors() <= SOCKETS, "{} descriptors", node.descriptors());
@@ -386,7 +386,7 @@
 fn a_node_is_one_process_with_only_ipv4_sockets() {
     let machine = machine(&[Does::Answers]);
     let (platform, node) = node_with(&machine);
-    followed(&platform);
+    wait_until_polled(&platform);
     assert!(matches!(node.client().rpc(&lookup(1, 900)), Said::Value(_)));
     let of = |file: &str| format!("/proc/{}/{file}", node.proc.child.id());
     let read = |file: &str| std::fs::read_to_string(of(file)).unwrap();
@@ -432,7 +432,7 @@
             if i > 0 {
                 args.extend(["--join", &free]);
             }
-            Node::begin_with(&config, &args)
+            Node::start_with(&config, &args)
         })
         .collect();
     platforms.iter().for_each(|p| p.news("* progress 2 0 canary 1 20000"));
@@ -445,9 +445,9 @@
         }
         new.queries() - before
     };
-    until("the build on trial gets picks", || trial_picks(1) > 0);
+    wait_until("the build on trial gets picks", || trial_picks(1) > 0);
     platforms[0].news("* progress 2 0 reverting 0 0");
-    until("the peer knows", || trial_picks(10) == 0);
+    wait_until("the peer knows", || trial_picks(10) == 0);
     platforms[1].news("* progress 2 0 canary 1 20000");
     std::thread::sleep(Duration::from_millis(200));
     assert_eq!(trial_picks(100), 0);
--- a/cli/tests/peers/mod.rs
+++ b/cli/tests/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Scripted peers for tests of the running binary: a controller that tells what the test says, machines
-//! that answer as the test says, processes that end with the test.
+//! Scripted peers for tests of the running binary: a controller and machines that respond as the test specifies, and processes
+//! that end with the test.
 #![allow(dead_code)]
 use rockpick_control::Settings;
 use serde_json::{json, Value};
@@ -11,14 +11,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a wait is worth before a test is given up.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a condition is awaited before the test fails.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "in vain: {what}");
+        assert!(began.elapsed() < TIMEOUT, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -35,12 +35,12 @@
     }
 }
 
-/// Starts the binary, under a shell's `prefix` if one is given, and waits for its address.
+/// Starts the binary, optionally after a shell command in `prefix`, and waits for its address.
 pub fn start_under(prefix: &str, args: &[&str]) -> Proc {
     start_with(prefix, args, Stdio::null())
 }
 
-/// The same, with standard error as the test wants it.
+/// The same, with the given standard error.
 pub fn start_with(prefix: &str, args: &[&str], errors: Stdio) -> Proc {
     let program = env!("CARGO_BIN_EXE_rockpick");
     let mut command = Command::new("sh");
@@ -64,50 +64,50 @@
     start(&args)
 }
 
-/// One request head and body, read whole.
+/// Reads a request's head and body.
 fn read_request(io: &mut BufReader<TcpStream>) -> Option<(String, Vec<u8>)> {
-    let (mut head, mut long) = (String::new(), 0);
+    let (mut head, mut len) = (String::new(), 0);
     loop {
         let mut line = String::new();
         if io.read_line(&mut line).ok()? == 0 {
             return None;
         }
         if let Some(n) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            long = n.trim().parse().ok()?;
+            len = n.trim().parse().ok()?;
         }
         if line == "\r\n" {
             break;
         }
         head.push_str(&line);
     }
-    let mut body = vec![0; long];
+    let mut body = vec![0; len];
     io.read_exact(&mut body).ok()?;
     Some((head, body))
 }
 
-/// A value of a head's line.
-pub fn line_of(head: &str, name: &str) -> String {
+/// The value of a header.
+pub fn header_value(head: &str, name: &str) -> String {
     let found = head.lines().filter_map(|l| l.split_once(':')).find(|(n, _)| n.eq_ignore_ascii_case(name));
     found.map_or(String::new(), |(_, v)| v.trim().to_string())
 }
 
-/// A controller that tells what the test says.
-pub struct Teller {
+/// A controller that sends what the test specifies.
+pub struct ScriptedController {
     pub at: SocketAddr,
-    /// Bodies of votes, and of counts.
+    /// Bodies of votes and of counts.
     pub votes: Arc<Mutex<Vec<Value>>>,
     pub counts: Arc<Mutex<Vec<Value>>>,
-    /// Connections that asked to watch.
+    /// Number of connections that asked to watch.
     pub watches: Arc<AtomicU64>,
-    /// The settings and their version; how many answers to who asks for them are nonsense first.
+    /// The settings, their version, and how many requests for them are first answered with invalid content.
     pub settings: Arc<Mutex<(u64, Settings, u32)>>,
     lines: Arc<Mutex<Vec<String>>>,
 }
 
-impl Teller {
-    pub fn begin(charter: Settings) -> Teller {
+impl ScriptedController {
+    pub fn start(charter: Settings) -> ScriptedController {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let teller = Teller {
+        let controller = ScriptedController {
             at: listener.local_addr().unwrap(),
             votes: Arc::default(),
             counts: Arc::default(),
@@ -115,8 +115,9 @@
             settings: Arc::new(Mutex::new((1, charter, 0))),
             lines: Arc::default(),
         };
-        let (votes, watches, lines) = (teller.votes.clone(), teller.watches.clone(), teller.lines.clone());
-        let (settings, counts) = (teller.settings.clone(), teller.counts.clone());
+        let (votes, watches, lines) =
+            (controller.votes.clone(), controller.watches.clone(), controller.lines.clone());
+        let (settings, counts) = (controller.settings.clone(), controller.counts.clone());
         std::thread::spawn(move || {
             for io in listener.incoming().flatten() {
                 let (votes, watches, lines) = (votes.clone(), watches.clone(), lines.clone());
@@ -124,41 +125,41 @@
                 std::thread::spawn(move || serve(io, &settings, [&votes, &counts], &watches, &lines));
             }
         });
-        teller
+        controller
     }
 
-    /// Gives other settings, and tells of them; the first `nonsense` answers to who asks are none.
-    pub fn gives(&self, charter: Settings, nonsense: u32) -> u64 {
+    /// Replaces the settings and announces them; the first `invalid` requests for them get invalid content.
+    pub fn set_settings(&self, charter: Settings, invalid: u32) -> u64 {
         let mut settings = self.settings.lock().unwrap();
-        *settings = (settings.0 + 1, charter, nonsense);
-        self.tell(json!({ "settings_version": settings.0 }));
+        *settings = (settings.0 + 1, charter, invalid);
+        self.push_line(json!({ "settings_version": settings.0 }));
         settings.0
     }
 
-    /// Adds a line; every watch gets all lines from the first on.
-    pub fn tell(&self, line: Value) {
+    /// Adds a line to the watch. Every watch gets all lines from the first on.
+    pub fn push_line(&self, line: Value) {
         self.lines.lock().unwrap().push(line.to_string());
     }
 
-    /// Forgets the lines so far: watches that begin from now on start with the next.
-    pub fn anew(&self) {
+    /// Drops the lines so far: watches that start from now on begin with the next.
+    pub fn clear_lines(&self) {
         self.lines.lock().unwrap().clear();
     }
 
     pub fn stage(&self, build: u32, stage: u32, phase: &str, cap: f64) {
-        self.tell(
+        self.push_line(
             json!({ "stage": { "build": build, "stage": stage, "phase": phase, "cap": cap, "age_ms": 10 } }),
         );
     }
 
-    /// Tells the whole roster: name, address, build, state; all are long warm.
+    /// Sends the whole roster: name, address, build, state; all have been warm for long.
     pub fn roster(&self, kind: &str, members: &[(&str, SocketAddr, u32, &str)]) {
         let line = |(name, addr, build, state): &(&str, SocketAddr, u32, &str)| {
             json!({ "name": name, "addr": addr.to_string(), "zone": 0, "cell": 0, "build": build, "run": 1,
                 "weight": 1.0, "state": state, "age_ms": 3_600_000.0 })
         };
         let members: Vec<Value> = members.iter().map(line).collect();
-        self.tell(json!({ "roster": { "kind": kind, "serial": 1, "members": members } }));
+        self.push_line(json!({ "roster": { "kind": kind, "serial": 1, "members": members } }));
     }
 }
 
@@ -172,10 +173,10 @@
         let answer = if head.starts_with("GET /watch") {
             watches.fetch_add(1, Ordering::SeqCst);
             let _ = out.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            let mut told = 0;
+            let mut sent = 0;
             loop {
-                let fresh: Vec<String> = lines.lock().unwrap().iter().skip(told).cloned().collect();
-                told += fresh.len();
+                let fresh: Vec<String> = lines.lock().unwrap().iter().skip(sent).cloned().collect();
+                sent += fresh.len();
                 for line in fresh {
                     if out.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).is_err() {
                         return;
@@ -206,86 +207,89 @@
     }
 }
 
-/// A machine that answers as told; what it got comes out of `got`.
-pub struct Scripted {
+/// A machine that responds as specified and passes the requests it receives on to `requests`.
+pub struct ScriptedMachine {
     pub at: SocketAddr,
-    pub got: Receiver<String>,
+    pub requests: Receiver<String>,
 }
 
 /// What a scripted machine does with a request.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Does {
-    Answers,
-    /// 500.
+pub enum Behavior {
+    Responds,
+    /// Responds with 500.
     Fails,
-    Never,
-    Half,
-    /// Longer than what comes.
+    Hangs,
+    Truncates,
+    /// Announces a length greater than the body's.
     WrongLength,
-    /// Closes without a word.
+    /// Closes without a response.
     Closes,
-    /// 503 that says it never ran.
-    Full,
-    /// 503 that says nothing more.
-    Busy,
-    /// With [`LONG`] bytes.
-    AtLength,
+    /// Responds with 503 and states that the request never ran.
+    NeverRuns,
+    /// Responds with 503 alone.
+    Unavailable,
+    /// Responds with [`LONG_BODY_LEN`] bytes.
+    RespondsLong,
 }
 
-/// More than the buffers of a connection with a small window take.
-pub const LONG: usize = 1_000_000;
+/// More than fits into the buffers of a connection with a small window.
+pub const LONG_BODY_LEN: usize = 1_000_000;
 
-impl Scripted {
-    pub fn begin(does: Does) -> Scripted {
+impl ScriptedMachine {
+    pub fn start(behavior: Behavior) -> ScriptedMachine {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
-        let (to, got) = channel();
+        let (to, requests) = channel();
         std::thread::spawn(move || {
             for io in listener.incoming().flatten() {
-                let (to, long) = (to.clone(), vec![b'x'; LONG]);
+                let (to, long_body) = (to.clone(), vec![b'x'; LONG_BODY_LEN]);
                 std::thread::spawn(move || {
                     let mut out = io.try_clone().unwrap();
                     let mut io = BufReader::new(io);
                     while let Some((head, _)) = read_request(&mut io) {
                         let _ = to.send(head);
-                        let said: &[u8] = match does {
-                            Does::Answers => b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood",
-                            Does::Fails => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
-                            Does::Full => {
+                        let response: &[u8] = match behavior {
+                            Behavior::Responds => b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood",
+                            Behavior::Fails => b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
+                            Behavior::NeverRuns => {
                                 b"HTTP/1.1 503 No\r\nRockpick-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
                             }
-                            Does::Busy => b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
-                            Does::Half => b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nha",
-                            Does::WrongLength => b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ngood",
-                            Does::Never => continue,
-                            Does::Closes => return,
-                            Does::AtLength => {
-                                let _ = write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n");
-                                &long
+                            Behavior::Unavailable => b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
+                            Behavior::Truncates => b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nha",
+                            Behavior::WrongLength => b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ngood",
+                            Behavior::Hangs => continue,
+                            Behavior::Closes => return,
+                            Behavior::RespondsLong => {
+                                let _ =
+                                    write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_LEN}\r\n\r\n");
+                                &long_body
                             }
                         };
-                        if out.write_all(said).is_err() || matches!(does, Does::Half | Does::WrongLength) {
+                        if out.write_all(response).is_err()
+                            || matches!(behavior, Behavior::Truncates | Behavior::WrongLength)
+                        {
                             return;
                         }
                     }
                 });
             }
         });
-        Scripted { at, got }
+        ScriptedMachine { at, requests }
     }
 }
 
-/// Sends an RPC and reads its whole answer: status, head and body. Status 0: none came.
+/// Sends an RPC and reads the whole response: status, head and body. Status 0 means that none came.
 pub fn rpc(front: SocketAddr, method: &str, lines: &str) -> (u16, String) {
     let Ok(mut io) = TcpStream::connect(front) else { return (0, String::new()) };
-    io.set_read_timeout(Some(PATIENCE)).unwrap();
+    io.set_read_timeout(Some(TIMEOUT)).unwrap();
     let text = format!(
         "POST /rpc/{method} HTTP/1.1\r\nHost: f\r\nConnection: close\r\n{lines}Content-Length: 2\r\n\r\nhi"
     );
     io.write_all(text.as_bytes()).unwrap();
-    let mut said = String::new();
-    let _ = io.read_to_string(&mut said);
-    (said.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0), said)
+    let mut response = String::new();
+    let _ = io.read_to_string(&mut response);
+    (response.get(9..12).and_then(|s| s.parse().ok()).unwrap_or(0), response)
 }
 
 pub fn get(at: SocketAddr, target: &str) -> Value {
@@ -293,8 +297,8 @@
     serde_json::from_slice(&answer.body).unwrap()
 }
 
-/// A pipe that nobody reads, where a file would be written: a disk that does not answer.
-pub fn fifo(at: &std::path::Path) {
+/// Creates a pipe without a reader in place of a file, to imitate a disk that does not respond.
+pub fn create_fifo(at: &std::path::Path) {
     assert!(Command::new("mkfifo").arg(at).status().unwrap().success());
 }
 
@@ -307,7 +311,7 @@
     rockpick_rehearse::call(at, "PUT", "/settings", &serde_json::to_string(charter).unwrap()).unwrap()
 }
 
-/// Waits until a front lists so many machines.
-pub fn listed(front: &Proc, machines: u64) {
-    until("the roster at the front", || get(front.at, "/status")["machines"] == machines);
+/// Waits until a front lists this many machines.
+pub fn wait_for_machines(front: &Proc, machines: u64) {
+    wait_until("the roster at the front", || get(front.at, "/status")["machines"] == machines);
 }
--- a/cli/tests/peers/platform.rs
+++ b/cli/tests/peers/platform.rs
@@ -1,11 +1,11 @@
 //! The running node among scripted peers.
 #![allow(dead_code)]
-use super::peers::{start_with, until, Proc};
+use super::peers::{start_with, wait_until, Proc};
 pub use rockpick_standin::scripted::*;
 use serde_json::Value;
 use std::process::Stdio;
 
-/// A running node, and its configuration's file.
+/// A running node and its configuration file.
 pub struct Node {
     pub proc: Proc,
     file: tempfile::NamedTempFile,
@@ -13,13 +13,13 @@
 }
 
 impl Node {
-    pub fn begin(told: &Value) -> Node {
-        Node::begin_with(told, &[])
+    pub fn start(config: &Value) -> Node {
+        Node::start_with(config, &[])
     }
 
-    pub fn begin_with(told: &Value, more: &[&str]) -> Node {
+    pub fn start_with(config: &Value, more: &[&str]) -> Node {
         let file = tempfile::NamedTempFile::new().unwrap();
-        std::fs::write(file.path(), told.to_string()).unwrap();
+        std::fs::write(file.path(), config.to_string()).unwrap();
         let prefix = format!("PROXY_CONFIG='{}'", file.path().display());
         let args = [&["node"], more].concat();
         let log = tempfile::NamedTempFile::new().unwrap();
@@ -27,37 +27,39 @@
         Node { proc: start_with(&prefix, &args, errors), file, log }
     }
 
-    /// Has a line of its log held these words?
-    pub fn logged(&self, words: &str) -> bool {
-        std::fs::read_to_string(self.log.path()).unwrap().contains(words)
+    /// Whether the log contains this text.
+    pub fn log_contains(&self, text: &str) -> bool {
+        std::fs::read_to_string(self.log.path()).unwrap().contains(text)
     }
 
-    pub fn rewrite(&self, told: &str) {
-        std::fs::write(self.file.path(), told).unwrap();
+    pub fn rewrite_config(&self, config: &str) {
+        std::fs::write(self.file.path(), config).unwrap();
     }
 
     pub fn signal(&self, signal: rustix::process::Signal) {
         rustix::process::kill_process(rustix::process::Pid::from_child(&self.proc.child), signal).unwrap();
     }
 
-    /// Its open descriptors.
+    /// Number of open descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.proc.child.id())).unwrap().count()
     }
 
     pub fn client(&self) -> Client {
-        let mut client = self.stranger();
+        let mut client = self.connect();
         client.startup();
         client
     }
 
-    /// A connection that has said nothing.
-    pub fn stranger(&self) -> Client {
+    /// A connection on which nothing has been sent.
+    pub fn connect(&self) -> Client {
         Client::connect(self.proc.at).unwrap()
     }
 }
 
-/// Waits until the node has asked discovery and desk.
-pub fn followed(platform: &Platform) {
-    until("discovery and desk are followed", || platform.asked.lock().unwrap().iter().all(|n| *n > 0));
+/// Waits until the node has polled discovery and the controller.
+pub fn wait_until_polled(platform: &Platform) {
+    wait_until("the node polls discovery and the controller", || {
+        platform.asked.lock().unwrap().iter().all(|n| *n > 0)
+    });
 }
--- a/cli/tests/pipelining.rs
+++ b/cli/tests/pipelining.rs
@@ -3,7 +3,7 @@
 #[path = "peers/platform.rs"]
 mod platform;
 
-use peers::until;
+use peers::wait_until;
 use platform::*;
 use rustix::process::Signal;
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
     /// Waits until exactly these statements have arrived.
     fn wait_for(&self, ids: impl IntoIterator<Item = u64>) {
         let ids: Vec<u64> = ids.into_iter().collect();
-        until("the statements have arrived", || self.received() == ids);
+        wait_until("the statements have arrived", || self.received() == ids);
     }
 
     fn release(&self, ids: impl IntoIterator<Item = u64>) {
@@ -80,8 +80,8 @@
     let at = held.begin();
     let names: Vec<String> = (0..machines).map(|i| format!("m{i}")).collect();
     let list: Vec<(&str, SocketAddr, u32, &str)> = names.iter().map(|n| (&n[..], at, 1, "active")).collect();
-    let node = Node::begin(&configuration(&platform, &list));
-    followed(&platform);
+    let node = Node::start(&configuration(&platform, &list));
+    wait_until_polled(&platform);
     (held, platform, node)
 }
 
@@ -93,7 +93,7 @@
 
 /// Waits until the node has counted that many ok answers.
 fn wait_for_ok_answers(node: &Node, ok: usize) {
-    until("the RPCs are answered", || node.logged(&format!(" ok={ok} ")));
+    wait_until("the RPCs are answered", || node.log_contains(&format!(" ok={ok} ")));
 }
 
 /// Checks that a client has no unread data.
@@ -191,15 +191,15 @@
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", at, 1, "active"), ("b", at, 1, "active")]);
     config["settings"]["permissions"]["dialTimeoutMs"] = 1_900.into();
-    let node = Node::begin(&config);
+    let node = Node::start(&config);
     let (mut client, mut other) = (node.client(), node.client());
     (1..=3).for_each(|id| client.ask(&save(id, 1_900)));
-    until("two picks connect", || counts.lock().unwrap()[0] == 2);
+    wait_until("two picks connect", || counts.lock().unwrap()[0] == 2);
     drop(client);
     wait_two_turns(&node);
     gate.open();
-    until("others are served", || matches!(other.rpc(&save(9, 900)), Said::Value(_)));
-    until("both void picks are counted", || node.logged("void 2"));
+    wait_until("others are served", || matches!(other.rpc(&save(9, 900)), Said::Value(_)));
+    wait_until("both void picks are counted", || node.log_contains("void 2"));
     assert_eq!(counts.lock().unwrap()[1], 1, "only the other client's query");
 }
 
@@ -211,9 +211,9 @@
     (1..=300).for_each(|id| client.ask(&save(id, 1_900)));
     held.wait_for([1]);
     drop(client);
-    until("the disconnect is counted before the RPC ends", || node.logged(" aborted=0 left=1 "));
+    wait_until("the disconnect is counted before the RPC ends", || node.log_contains(" aborted=0 left=1 "));
     held.with(|seen| seen.release_all = true);
-    until("others are served", || matches!(other.rpc(&save(5_000, 900)), Said::Value(_)));
+    wait_until("others are served", || matches!(other.rpc(&save(5_000, 900)), Said::Value(_)));
     wait_two_turns(&node);
     assert_eq!(held.received(), [1, 5_000], "nothing of the disconnected client");
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -32,7 +32,7 @@
     /// Machines close a connection that was idle for this long.
     pub machine_idle_timeout: Ns,
     /// The peers to join. There are none on a platform that forbids or does not configure them.
-    pub circle: Option<rockpick_peers::Circle>,
+    pub circle: Option<rockpick_peers::Config>,
 }
 
 impl Config {
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -10,7 +10,7 @@
 use crate::Config;
 use rockpick::{Front, Ns, Outcome, Reply, RosterUpdate};
 use rockpick_net::{Bound, Event, Id, Net, MS, SEC};
-use rockpick_peers::{Company, Peers};
+use rockpick_peers::{PeerService, Peers};
 use rockpick_pg as pg;
 use rockpick_platform::{roster, statement};
 use std::net::SocketAddr;
@@ -107,12 +107,12 @@
         let peers = match effects.config.circle.clone() {
             Some(circle) => {
                 let (name, fronts) = (effects.config.name.clone(), effects.config.post.fronts);
-                Some(Peers::begin(&mut effects.net, &name, fronts, &circle, PEERS_TIMER)?)
+                Some(Peers::start(&mut effects.net, &name, fronts, &circle, PEERS_TIMER)?)
             }
             None => None,
         };
         if let Some(peers) = &peers {
-            peers.tell_all(&mut front);
+            peers.replay_to(&mut front);
         }
         let next_tick = effects.net.now() + TICK_INTERVAL;
         let mut node = Node {
@@ -189,9 +189,9 @@
     /// Publishes the key bindings of this front's RPCs to its peers, and passes their news to the module.
     fn exchange_with_peers(&mut self) {
         let Some(peers) = &mut self.peers else { return };
-        self.effects.bound_keys.drain(..).for_each(|(key, build)| peers.bind(key, build));
-        let Some(news) = peers.news() else { return };
-        news.tell(&mut self.front);
+        self.effects.bound_keys.drain(..).for_each(|(key, build)| peers.record_binding(key, build));
+        let Some(news) = peers.take_updates() else { return };
+        news.apply_to(&mut self.front);
         // This node's own connection to the rollout API may be silent or down, so a withdrawal reported by a peer
         // counts at once.
         if let Some(s) = news.withdrawn {
@@ -232,7 +232,7 @@
             ModuleEvent::Members(roll, members) => front.roster_updated(effects, roll, &members),
             ModuleEvent::Status(reply, news) => {
                 let news = match &mut self.peers {
-                    Some(peers) => news.map(|s| peers.stands(s)),
+                    Some(peers) => news.map(|s| peers.merge_standing(s)),
                     None => news,
                 };
                 if let Some(s) = news {
@@ -300,12 +300,12 @@
             Event::Woke { tag: DEADLINE_TIMER } => self.expire_deadlines(),
             Event::Woke { tag: PEERS_TIMER } => {
                 if let Some(peers) = &mut self.peers {
-                    peers.woke(&mut self.effects.net);
+                    peers.handle_timer(&mut self.effects.net);
                 }
             }
             Event::Datagram { from, bytes } => {
                 if let Some(peers) = &mut self.peers {
-                    peers.datagram(&mut self.effects.net, from, &bytes);
+                    peers.handle_datagram(&mut self.effects.net, from, &bytes);
                 }
             }
             Event::Woke { tag: TICK_TIMER } => self.tick(),
