--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -10,7 +10,7 @@
 use rockpick_control::release::MOST_BUILD;
 use rockpick_control::Charter;
 use rockpick_net::http::Request;
-use rockpick_net::{take_line, Bound, End, Event, Id, Net, Often, MS, SEC};
+use rockpick_net::{take_line, Bound, End, Event, Id, LogLimiter, Net, MS, SEC};
 use rockpick_peers::{Company, Peers, Seal};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -58,7 +58,7 @@
     newer: bool,
     no_settings: bool,
     /// For lines that make no sense.
-    odd: Often,
+    odd: LogLimiter,
     /// Tenants, where the settings name a directory.
     shelf: Option<Shelf>,
     /// The other fronts, where it was told to keep company.
@@ -114,7 +114,7 @@
         asked: -ASK_EVERY,
         newer: false,
         no_settings,
-        odd: Often::new(LOG_LINES),
+        odd: LogLimiter::new(LOG_LINES),
         shelf: None,
         peers,
     };
@@ -547,7 +547,7 @@
 
     /// Says that a line was passed over, and why, if not too often.
     fn passed_over(&mut self, what: &str, why: &str) {
-        if let Some(left_out) = self.odd.may(self.wire.net.now()) {
+        if let Some(left_out) = self.odd.allow(self.wire.net.now()) {
             tracing::warn!(event = "line passed over", what, why, left_out);
         }
     }
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -9,7 +9,7 @@
 use rockpick_control::Charter;
 use rockpick_door::Door;
 use rockpick_net::http::{self, Lines, Request, Response};
-use rockpick_net::{Call, Event, Id, Net, Often, MS, SEC};
+use rockpick_net::{Call, Event, Id, LogLimiter, Net, MS, SEC};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -147,7 +147,7 @@
     /// Keys that a build has answered here for the first time.
     pub bound: Vec<(u64, u32)>,
     pub standing: Option<Standing>,
-    pub often: Often,
+    pub often: LogLimiter,
     /// Time spent in the module, and of that in carrying its actions out, where it is asked for.
     pub in_module: Ns,
     pub in_actions: Ns,
@@ -191,7 +191,7 @@
             bound: Vec::new(),
             tolls: Tolls::default(),
             standing: None,
-            often: Often::new(LOG_LINES),
+            often: LogLimiter::new(LOG_LINES),
             in_module: 0,
             in_actions: 0,
         }
@@ -488,7 +488,7 @@
             self.net.cancel(old);
         }
         let word = verdict_word(verdict);
-        if let Some(left_out) = self.often.may(self.net.now()) {
+        if let Some(left_out) = self.often.allow(self.net.now()) {
             tracing::info!(event = "vote", build, stage, verdict = word, left_out);
         }
         let body = json!({ "front": self.opening.name, "build": build, "stage": stage, "verdict": word })
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -4,15 +4,15 @@
 //! Bounds, and the answer when one is met, stand beside their constants here and in [`http`].
 mod dues;
 pub mod http;
+mod log_limiter;
 mod net;
-mod often;
 pub mod secure;
 mod streams;
 mod timers;
 
 pub use dues::Dues;
+pub use log_limiter::LogLimiter;
 pub use net::{skew, Bound, Call, End, Event, Id, Net, LINGER, MAX_BACKLOG, MAX_CALLS, MAX_IDLE};
-pub use often::Often;
 pub use streams::{MAX_STREAMS, MOST_CLOSING};
 pub use timers::{Ns, Timers};
 
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -293,7 +293,7 @@
             conn.answer.take(bytes);
             if let Step::Idle(since) = conn.step {
                 let late_us = (now - since) / 1_000;
-                if let Some(left_out) = self.often.may(now) {
+                if let Some(left_out) = self.often.allow(now) {
                     tracing::warn!(event = "more than an answer", late_us, bytes = bytes.len(), left_out);
                 }
             }
@@ -361,7 +361,7 @@
                     let job = conn.job.take();
                     let (tag, long) = conn.answer.header().unwrap_or_default();
                     self.pool.spoilt += 1;
-                    if let Some(left_out) = self.often.may(now) {
+                    if let Some(left_out) = self.often.allow(now) {
                         tracing::warn!(event = "odd machine", why = odd.0, tag = %char::from(tag), long, step = ?step, asked = job.is_some(), left_out);
                     }
                     ends.extend(job.map(|(rpc, n)| (rpc, n, Came::Over(how, None))));
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -224,7 +224,7 @@
             }
         }
         if bad {
-            if let Some(left_out) = self.often.may(now) {
+            if let Some(left_out) = self.often.allow(now) {
                 tracing::warn!(event = "watch makes no sense", status, left_out);
             }
             tells.extend(self.watch_over(call));
@@ -269,7 +269,7 @@
         let newest = at + 1 == self.discovery.watches.len();
         let watch = self.discovery.watches.remove(at);
         let after_ms = (self.net.now() - watch.asked) / MS;
-        if let Some(left_out) = self.often.may(self.net.now()) {
+        if let Some(left_out) = self.often.allow(self.net.now()) {
             tracing::info!(event = "watch over", served = watch.serves, after_ms, left_out);
         }
         self.end_call(call);
@@ -443,7 +443,7 @@
             }
         }
         if bad || self.desk.news[at].came.len() >= desk::MOST_LINE {
-            if let Some(left_out) = self.often.may(now) {
+            if let Some(left_out) = self.often.allow(now) {
                 tracing::warn!(event = "desk makes no sense", left_out);
             }
             self.desk_over(conn, false);
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rockpick::{Ctl, Ns, Outcome, Verdict};
 use rockpick_door::Door;
-use rockpick_net::{Dues, Event, Id, Net, Often, MS};
+use rockpick_net::{Dues, Event, Id, LogLimiter, Net, MS};
 use rockpick_pg as pg;
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
@@ -86,7 +86,7 @@
     pub made: Vec<Event>,
     pub chance: StdRng,
     pub tolls: Tolls,
-    pub often: Often,
+    pub often: LogLimiter,
     /// Keys that a build has answered here for the first time, where it keeps company.
     pub bound: Vec<(u64, u32)>,
     /// Nanoseconds from 1970 to the loop's beginning.
@@ -110,7 +110,7 @@
             left: VecDeque::new(),
             made: Vec::new(),
             tolls: Tolls::default(),
-            often: Often::new(LOG_LINES),
+            often: LogLimiter::new(LOG_LINES),
             bound: Vec::new(),
             wall,
         }
@@ -183,7 +183,7 @@
         let Some(open) = self.open[rpc].as_ref().filter(|_| !self.door.finished(rpc)) else { return false };
         let late_by = self.net.clock() - open.gives_up;
         if late_by >= LATE_LOGGED_FROM {
-            if let Some(left_out) = self.often.may(self.net.now()) {
+            if let Some(left_out) = self.often.allow(self.net.now()) {
                 let id = format!("{:016x}", open.id);
                 let (late_ms, picks) = (late_by / MS, open.picks.len());
                 tracing::warn!(event = "late answer", id, late_ms, picks, left_out);
--- a/node/src/lateness.rs
+++ b/node/src/lateness.rs
@@ -1,7 +1,7 @@
 //! How far the loop falls behind its clock: turns that last long, and timers that come late. A request that was answered too
 //! late can be traced by these lines alone to a process that was held up.
 use rockpick::Ns;
-use rockpick_net::{Often, MS};
+use rockpick_net::{LogLimiter, MS};
 
 /// A turn or a timer is logged from so much on: deadlines leave 20 ms for it.
 const LOGGED_FROM: Ns = 50 * MS;
@@ -17,12 +17,12 @@
 
 pub struct Lateness {
     longest: Longest,
-    often: Often,
+    often: LogLimiter,
 }
 
 impl Default for Lateness {
     fn default() -> Lateness {
-        Lateness { longest: Longest::default(), often: Often::new(LOG_LINES) }
+        Lateness { longest: Longest::default(), often: LogLimiter::new(LOG_LINES) }
     }
 }
 
@@ -34,7 +34,7 @@
         if lasted < LOGGED_FROM {
             return;
         }
-        if let Some(left_out) = self.often.may(ended) {
+        if let Some(left_out) = self.often.allow(ended) {
             tracing::warn!(event = "long turn", lasted_ms = lasted / MS, events, left_out);
         }
     }
@@ -46,7 +46,7 @@
         if late < LOGGED_FROM {
             return;
         }
-        if let Some(left_out) = self.often.may(now) {
+        if let Some(left_out) = self.often.allow(now) {
             tracing::warn!(event = "late timer", late_ms = late / MS, left_out);
         }
     }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -10,7 +10,7 @@
 use rockpick::{Front, Standing};
 use rockpick_copies::{self as copies, Build, Copies, Fact, Key, Near, Phase, Row, Table};
 use rockpick_members::{Act, Change, Event, Members, Ns, Pace, Place, Record, Status, MS, SEC};
-use rockpick_net::{Id, Net, Often};
+use rockpick_net::{Id, LogLimiter, Net};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -138,7 +138,7 @@
     tag: u64,
     listen: SocketAddr,
     changes: Vec<(Ns, Change)>,
-    often: Often,
+    often: LogLimiter,
     /// Datagrams in and out, their bytes, and those passed over.
     heard: (u64, u64),
     sent: (u64, u64),
@@ -186,7 +186,7 @@
             tag,
             listen,
             changes: Vec::new(),
-            often: Often::new(LOG_LINES),
+            often: LogLimiter::new(LOG_LINES),
             heard: (0, 0),
             sent: (0, 0),
             strange: 0,
@@ -262,7 +262,7 @@
                 Fact::Whole(table) => tracing::info!(event = "copies whole", table = ?table),
                 Fact::Differs(key) => {
                     self.differs += 1;
-                    if let Some(left_out) = self.often.may(now) {
+                    if let Some(left_out) = self.often.allow(now) {
                         tracing::warn!(event = "copies differ", key = ?key, left_out);
                     }
                 }
@@ -296,7 +296,7 @@
 
     fn note(&mut self, now: Ns, change: Change) {
         let (what, record) = words(&change);
-        if let Some(left_out) = self.often.may(now) {
+        if let Some(left_out) = self.often.allow(now) {
             tracing::info!(event = "peer", what, name = record.name, at = %record.at, turn = record.turn, left_out);
         }
         if self.changes.len() >= MOST_CHANGES {
@@ -372,7 +372,7 @@
             Ok(_) => self.strange += 1,
             Err(odd) => {
                 self.strange += 1;
-                if let Some(left_out) = self.often.may(net.now()) {
+                if let Some(left_out) = self.often.allow(net.now()) {
                     tracing::warn!(event = "strange datagram", from = %from, why = ?odd, left_out);
                 }
             }
