--- a/net/src/dues.rs
+++ b/net/src/deadline_queue.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeSet, HashMap};
 
 #[derive(Default)]
-pub struct Dues {
+pub struct DeadlineQueue {
     order: BTreeSet<(Ns, Id)>,
     at: HashMap<Id, Ns>,
     /// The earliest timer that is set.
     timer: Option<Ns>,
 }
 
-impl Dues {
+impl DeadlineQueue {
     /// Sets or moves the time of `id`; a timer is wanted at the time returned.
     pub fn set(&mut self, id: Id, at: Ns) -> Option<Ns> {
         self.clear(id);
@@ -27,7 +27,7 @@
     }
 
     /// A timer has come up; another may be wanted.
-    pub fn woke(&mut self, now: Ns) -> Option<Ns> {
+    pub fn timer_fired(&mut self, now: Ns) -> Option<Ns> {
         self.timer = self.timer.filter(|set| *set > now);
         self.wanted()
     }
@@ -40,7 +40,7 @@
     }
 
     /// One whose time is up.
-    pub fn over(&mut self, now: Ns) -> Option<Id> {
+    pub fn pop_expired(&mut self, now: Ns) -> Option<Id> {
         let (at, id) = *self.order.first()?;
         (at <= now).then(|| {
             self.clear(id);
@@ -63,13 +63,16 @@
 
     #[test]
     fn a_time_is_moved_and_one_timer_stands_for_all() {
-        let mut dues = Dues::default();
+        let mut dues = DeadlineQueue::default();
         assert_eq!(dues.set(1, 100), Some(100));
         assert_eq!(dues.set(2, 200), None);
         assert_eq!(dues.set(1, 50), Some(50));
-        assert_eq!((dues.over(49), dues.over(50), dues.over(150)), (None, Some(1), None));
-        assert_eq!(dues.woke(50), Some(200));
+        assert_eq!(
+            (dues.pop_expired(49), dues.pop_expired(50), dues.pop_expired(150)),
+            (None, Some(1), None)
+        );
+        assert_eq!(dues.timer_fired(50), Some(200));
         dues.clear(2);
-        assert!(dues.over(1_000).is_none() && dues.is_empty() && dues.woke(200).is_none());
+        assert!(dues.pop_expired(1_000).is_none() && dues.is_empty() && dues.timer_fired(200).is_none());
     }
 }
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -2,7 +2,7 @@
 //! happened as [`Event`]s and does as it is told; what to do is the caller's.
 //!
 //! Bounds, and the answer when one is met, stand beside their constants here and in [`http`].
-mod dues;
+mod deadline_queue;
 pub mod http;
 mod log_limiter;
 mod net;
@@ -10,7 +10,7 @@
 mod streams;
 mod timers;
 
-pub use dues::Dues;
+pub use deadline_queue::DeadlineQueue;
 pub use log_limiter::LogLimiter;
 pub use net::{skew, Bound, Call, End, Event, Id, Net, LINGER, MAX_BACKLOG, MAX_CALLS, MAX_IDLE};
 pub use streams::{MAX_STREAMS, MOST_CLOSING};
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rockpick::{Ctl, Ns, Outcome, Verdict};
 use rockpick_door::Door;
-use rockpick_net::{Dues, Event, Id, LogLimiter, Net, MS};
+use rockpick_net::{DeadlineQueue, Event, Id, LogLimiter, Net, MS};
 use rockpick_pg as pg;
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
@@ -77,7 +77,7 @@
     pub pool: Pool,
     pub discovery: Discovery,
     pub desk: Desk,
-    pub dues: Dues,
+    pub dues: DeadlineQueue,
     /// Ends that came while the module was at work: told to it next.
     pub owed: VecDeque<(usize, usize, Outcome)>,
     /// Open RPCs whose client's connection is gone: told to the module next.
@@ -105,7 +105,7 @@
             door: Door::default(),
             startup,
             open: Vec::new(),
-            dues: Dues::default(),
+            dues: DeadlineQueue::default(),
             owed: VecDeque::new(),
             left: VecDeque::new(),
             made: Vec::new(),
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -300,7 +300,7 @@
 
     fn dues(&mut self) {
         let now = self.effects.net.now();
-        while let Some(id) = self.effects.dues.over(now) {
+        while let Some(id) = self.effects.dues.pop_expired(now) {
             if self.effects.clients.owns(id) {
                 self.effects.client_due(id);
             } else if self.effects.pool.owns(id) {
@@ -314,7 +314,7 @@
             }
             self.settle();
         }
-        if let Some(at) = self.effects.dues.woke(now) {
+        if let Some(at) = self.effects.dues.timer_fired(now) {
             self.effects.net.wake_at(at, DUE);
         }
     }
