--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -6,9 +6,9 @@
 pub mod http;
 mod log_limiter;
 mod net;
-pub mod secure;
 mod streams;
 mod timers;
+pub mod tls;
 
 pub use deadline_queue::DeadlineQueue;
 pub use log_limiter::LogLimiter;
--- a/net/src/secure.rs
+++ b/net/src/tls.rs
@@ -5,8 +5,8 @@
 /// Takes what has come; what was secured in it goes to `clear`, up to where it stops making sense.
 ///
 /// # Errors
-/// Why TLS broke off; what [`given`] still has is worth sending.
-pub fn taken<D: SideData>(
+/// Why TLS broke off; what [`take_output`] still has is worth sending.
+pub fn decrypt<D: SideData>(
     secure: &mut ConnectionCommon<D>, mut bytes: &[u8], clear: &mut Vec<u8>,
 ) -> Result<(), String> {
     while !bytes.is_empty() {
@@ -19,7 +19,7 @@
 }
 
 /// What is to be sent.
-pub fn given<D: SideData>(secure: &mut ConnectionCommon<D>) -> Vec<u8> {
+pub fn take_output<D: SideData>(secure: &mut ConnectionCommon<D>) -> Vec<u8> {
     let mut out = Vec::new();
     while secure.wants_write() && secure.write_tls(&mut out).is_ok_and(|n| n > 0) {}
     out
--- a/standin/src/directory.rs
+++ b/standin/src/directory.rs
@@ -6,7 +6,7 @@
 use rockpick_ldap::frames::Frames;
 use rockpick_ldap::message::*;
 use rockpick_net::http::Request;
-use rockpick_net::{secure, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{tls, Event, Id, Net, Ns, MS, SEC};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, PrivatePkcs8KeyDer};
 use rustls::server::WebPkiClientVerifier;
 use rustls::{RootCertStore, ServerConfig, ServerConnection};
@@ -287,7 +287,7 @@
         match &mut peer.secure {
             None => clear.extend_from_slice(bytes),
             Some(secure) => {
-                if secure::taken(secure, bytes, &mut clear).is_err() {
+                if tls::decrypt(secure, bytes, &mut clear).is_err() {
                     self.flush(conn);
                     return self.drop(conn);
                 }
@@ -361,7 +361,7 @@
 
     fn flush(&mut self, conn: Id) {
         let Some(secure) = self.peers.get_mut(&conn).and_then(|p| p.secure.as_mut()) else { return };
-        let out = secure::given(secure);
+        let out = tls::take_output(secure);
         if !out.is_empty() {
             self.net.send(conn, &out);
         }
--- a/tenant/src/link.rs
+++ b/tenant/src/link.rs
@@ -6,7 +6,7 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rockpick_ldap::{News, Out, Quest, Session};
-use rockpick_net::{secure, Event, Id, Net, Ns, SEC};
+use rockpick_net::{tls, Event, Id, Net, Ns, SEC};
 use rustls::pki_types::ServerName;
 use rustls::{ClientConfig, ClientConnection};
 use std::io::Write;
@@ -161,7 +161,7 @@
             return self.act(net, keeper);
         };
         let mut clear = Vec::new();
-        let taken = secure::taken(secure, bytes, &mut clear);
+        let taken = tls::decrypt(secure, bytes, &mut clear);
         if let Some(session) = self.session.as_mut().filter(|_| !clear.is_empty()) {
             session.bytes(now, &clear);
         }
@@ -223,7 +223,7 @@
     /// TLS's own bytes go out.
     fn flush(&mut self, net: &mut Net) {
         let (Some(secure), Some(conn)) = (&mut self.secure, self.conn) else { return };
-        let out = secure::given(secure);
+        let out = tls::take_output(secure);
         if !out.is_empty() {
             net.send(conn, &out);
         }
