--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -475,7 +475,7 @@
     if let Some(file) = cli.disk_lies {
         rockpick_files::lie_by(file);
     }
-    rockpick_net::skew(cli.clock_ppm.unwrap_or(0));
+    rockpick_net::set_clock_skew(cli.clock_ppm.unwrap_or(0));
     let end = act(cli.what).and_then(|code| match rockpick_rehearse::out_lost() {
         None => Ok(code),
         Some(why) => Err(Bad2(format!("standard output: {why}"))),
--- a/net/src/net.rs
+++ b/net/src/net.rs
@@ -336,7 +336,7 @@
 static SKEW: AtomicI64 = AtomicI64::new(0);
 
 /// The one seam of time: from now on clocks of loops run fast, or slow, by so many parts of a million, as a storm asks.
-pub fn skew(ppm: i64) {
+pub fn set_clock_skew(ppm: i64) {
     SKEW.store(ppm, Ordering::Relaxed);
 }
 
