--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -473,7 +473,7 @@
         Log::Text => made.with_ansi(false).init(),
     }
     if let Some(file) = cli.disk_lies {
-        rockpick_files::lie_by(file);
+        rockpick_files::inject_faults_from(file);
     }
     rockpick_net::set_clock_skew(cli.clock_ppm.unwrap_or(0));
     let end = act(cli.what).and_then(|code| match rockpick_rehearse::out_lost() {
--- a/files/src/lib.rs
+++ b/files/src/lib.rs
@@ -1,5 +1,5 @@
 //! The one layer through which all that must outlive a process is written and read. As it stands it is the system's files.
-//! Where a storm asks for it ([`lie_by`], a hidden option), it lies as disks do: what is not synced is held back as if in a
+//! Where a storm asks for it ([`inject_faults_from`], a hidden option), it lies as disks do: what is not synced is held back as if in a
 //! page cache that a power cut takes, syncs that say they succeed keep nothing, calls fail, take long, or bring other bytes.
 use std::fs;
 use std::io::{self, Write};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// How disks lie, by the names that a storm's plan gives.
-pub const LIES: [&str; 9] = [
+pub const FAULT_NAMES: [&str; 9] = [
     "sync-lies",
     "sync-fails",
     "write-short",
@@ -26,7 +26,7 @@
 static LIE: OnceLock<PathBuf> = OnceLock::new();
 
 /// From now on this file's text is how the disk lies; none, or nothing in it: it does not. Said once, at start.
-pub fn lie_by(file: PathBuf) {
+pub fn inject_faults_from(file: PathBuf) {
     let _ = LIE.set(file);
 }
 
--- a/files/tests/lies.rs
+++ b/files/tests/lies.rs
@@ -1,12 +1,12 @@
 //! Each lie does what its name says. One test, as the lie is the process's.
-use rockpick_files::{lie_by, read, rename, File, LIES};
+use rockpick_files::{inject_faults_from, read, rename, File, FAULT_NAMES};
 
 #[test]
 fn each_lie_does_what_its_name_says() {
     let dir = std::env::temp_dir().join(format!("rockpick-files-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let [lie, at, to] = ["lie", "at", "to"].map(|name| dir.join(name));
-    lie_by(lie.clone());
+    inject_faults_from(lie.clone());
     // Writes a file under a lie: whether each step said yes, and what is there once the process is gone.
     let write = |name: &str| {
         std::fs::write(&lie, name).unwrap();
@@ -39,6 +39,6 @@
     assert_eq!(flipped.iter().zip(b"whole text").filter(|(a, b)| a != b).count(), 1);
     let began = std::time::Instant::now();
     assert!(reads("slow").is_some() && began.elapsed().as_secs() >= 5);
-    assert_eq!(LIES.len(), 9);
+    assert_eq!(FAULT_NAMES.len(), 9);
     std::fs::remove_dir_all(&dir).unwrap();
 }
--- a/rehearse/src/day.rs
+++ b/rehearse/src/day.rs
@@ -221,7 +221,7 @@
         kills: true,
         // Each front's clock has a pace of its own all day (see `pace`).
         clocks: false,
-        disks: &rockpick_files::LIES,
+        disks: &rockpick_files::FAULT_NAMES,
     };
     Storm::draw(plan.seed, range)
 }
