--- a/control/src/files.rs
+++ b/control/src/files.rs
@@ -52,7 +52,7 @@
         Ok(meta) if meta.is_file() => meta.len(),
         _ => return no(404, "no such file"),
     };
-    let asked = request.lines.get("range");
+    let asked = request.headers.get("range");
     let (status, from, to) = match asked.map(|r| range(r, length)) {
         None => (200, 0, length),
         Some(Some((from, last))) => (206, from, last + 1),
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -366,7 +366,7 @@
         };
         let row = &self.wire.charter.methods[method];
         let whole = row.deadline_ms as Ns * MS;
-        let left = match request.lines.get("rockpick-time-left-ms").map(str::parse::<f64>) {
+        let left = match request.headers.get("rockpick-time-left-ms").map(str::parse::<f64>) {
             None => whole,
             Some(Ok(ms)) if ms.is_finite() && ms > 0.0 => ((ms * MS as f64) as Ns).min(whole),
             Some(_) => return self.not_taken(conn, 400, "Rockpick-Time-Left-Ms: a number above 0 is wanted"),
@@ -374,10 +374,11 @@
         if !fresh::in_time(left, self.wire.charter.guard.answer_margin_ms as Ns * MS) {
             return self.not_taken(conn, 503, "too little time is left to answer");
         }
-        if row.repeat == Repeats::Tokened && request.lines.get("idempotency-key").is_none_or(str::is_empty) {
+        if row.repeat == Repeats::Tokened && request.headers.get("idempotency-key").is_none_or(str::is_empty)
+        {
             return self.not_taken(conn, 400, "Idempotency-Key: wanted for this method");
         }
-        let key = request.lines.get("rockpick-key").map(key_of);
+        let key = request.headers.get("rockpick-key").map(key_of);
         let now = self.wire.net.now();
         let tenant = match self.shelf.as_mut().map(|s| s.take(now, &request, method)) {
             None => None,
@@ -408,7 +409,7 @@
         match (what, end) {
             (What::Pick(rpc, pick), end) => {
                 let (outcome, response) = match end {
-                    End::Answer(r) if r.status == 503 && r.lines.get("rockpick-never-ran") == Some("1") => {
+                    End::Answer(r) if r.status == 503 && r.headers.get("rockpick-never-ran") == Some("1") => {
                         (Outcome::Full, None)
                     }
                     End::Answer(r) if r.status >= 500 => (Outcome::Error, None),
--- a/front/src/shelf.rs
+++ b/front/src/shelf.rs
@@ -113,7 +113,7 @@
 
     /// Whose an RPC is: by its API key, its principal, or the tenant that it names.
     fn whose(&self, now: Ns, tenants: &Tenants, request: &Request) -> Option<Id> {
-        let line = |name: &str| request.lines.get(name);
+        let line = |name: &str| request.headers.get(name);
         // One who shows a key is who the key says, or nobody.
         if let Some(key) = line("authorization").and_then(|a| a.strip_prefix("Bearer ")) {
             return tenants.of(&Identity::of_key(key.trim().as_bytes()));
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -8,7 +8,7 @@
 use rockpick_control::desk::verdict_word;
 use rockpick_control::Charter;
 use rockpick_door::Door;
-use rockpick_net::http::{self, Lines, Request, Response};
+use rockpick_net::http::{self, Headers, Request, Response};
 use rockpick_net::{Call, Event, Id, LogLimiter, Net, MS, SEC};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
@@ -43,7 +43,7 @@
 }
 
 /// Lines to pass on: not those of the hop, nor those that the peer's Connection line names.
-fn passed(lines: &Lines) -> impl Iterator<Item = (&str, &str)> {
+fn passed(lines: &Headers) -> impl Iterator<Item = (&str, &str)> {
     let named = move |name: &str| {
         lines.all("connection").any(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(name)))
     };
@@ -281,7 +281,7 @@
             open.served = Some(true);
             let (build, picks) = (build.to_string(), picks.to_string());
             let own = |n: &str| n.len() > 9 && n[..9].eq_ignore_ascii_case("rockpick-");
-            let mut lines: Vec<(&str, &str)> = passed(&response.lines).filter(|(n, _)| !own(n)).collect();
+            let mut lines: Vec<(&str, &str)> = passed(&response.headers).filter(|(n, _)| !own(n)).collect();
             lines.push(("Rockpick-Answer", "ok"));
             lines.push(("Rockpick-Build", &build));
             lines.push(("Rockpick-Machine", self.door.name(machine)));
@@ -347,7 +347,7 @@
             return self.owed.push((rpc, number, none, 0));
         };
         let (left, nth) = ((time_out / MS).to_string(), number.to_string());
-        let mut lines: Vec<(&str, &str)> = passed(&open.request.lines)
+        let mut lines: Vec<(&str, &str)> = passed(&open.request.headers)
             .filter(|(n, _)| {
                 !n.eq_ignore_ascii_case("rockpick-time-left-ms")
                     && !n.eq_ignore_ascii_case("rockpick-pick")
--- a/load/src/thread.rs
+++ b/load/src/thread.rs
@@ -168,10 +168,10 @@
                 let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
                 let (how, wait) = heard(&r, said["right"].as_bool().unwrap_or(true));
                 if let How::Ok { right } = how {
-                    let build = r.lines.get("rockpick-build").and_then(|b| b.parse().ok());
+                    let build = r.headers.get("rockpick-build").and_then(|b| b.parse().ok());
                     self.ok(now, &t, right, build);
                 }
-                self.say(&t, "answer", r.lines.get("rockpick-answer").unwrap_or("none"));
+                self.say(&t, "answer", r.headers.get("rockpick-answer").unwrap_or("none"));
                 (how, wait)
             }
             End::Unreachable | End::Unsent => {
--- a/net/src/http.rs
+++ b/net/src/http.rs
@@ -5,7 +5,7 @@
 /// Longest head, request line and header lines together: double what common servers take.
 pub const MAX_HEAD: usize = 16 * 1024;
 /// Most header lines in a head; browsers send about twenty.
-pub const MAX_LINES: usize = 64;
+pub const MAX_HEADERS: usize = 64;
 /// Longest body taken or passed on: RPCs are small, and settings of 5,000 places fit.
 pub const MAX_BODY: usize = 1024 * 1024;
 /// Longest line that opens a chunk, extensions included.
@@ -24,12 +24,12 @@
 
 /// Names and values of a head's lines, kept as ranges of one buffer.
 #[derive(Clone, Debug, Default)]
-pub struct Lines {
+pub struct Headers {
     text: String,
     spans: Vec<(Range<u32>, Range<u32>)>,
 }
 
-impl Lines {
+impl Headers {
     /// The first value under a name, whatever the case of its letters.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v)
@@ -50,7 +50,7 @@
     pub method: String,
     /// Path and query, as sent.
     pub target: String,
-    pub lines: Lines,
+    pub headers: Headers,
     pub body: Vec<u8>,
     /// The connection stays open after the answer.
     pub keep: bool,
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     pub status: u16,
-    pub lines: Lines,
+    pub headers: Headers,
     pub body: Vec<u8>,
     pub keep: bool,
 }
@@ -123,7 +123,7 @@
 }
 
 /// Keeps a head's lines; text that is no UTF-8 is refused, as nothing here could pass it on unharmed.
-fn lines_of(head: &[u8], headers: &[httparse::Header]) -> Result<Lines, Refusal> {
+fn headers_of(head: &[u8], parsed: &[httparse::Header]) -> Result<Headers, Refusal> {
     let base = head.as_ptr() as usize;
     let span = |part: &[u8]| {
         let part = part.trim_ascii();
@@ -134,21 +134,21 @@
         start as u32..(start + part.len()) as u32
     };
     match std::str::from_utf8(head) {
-        Ok(text) => Ok(Lines {
+        Ok(text) => Ok(Headers {
             text: text.into(),
-            spans: headers.iter().map(|h| (span(h.name.as_bytes()), span(h.value))).collect(),
+            spans: parsed.iter().map(|h| (span(h.name.as_bytes()), span(h.value))).collect(),
         }),
         Err(_) => refuse(400, "a head that is no UTF-8"),
     }
 }
 
-fn framing(lines: &Lines, old: bool) -> Result<Option<Framing>, Refusal> {
-    let mut lengths = lines.all("content-length");
+fn framing(headers: &Headers, old: bool) -> Result<Option<Framing>, Refusal> {
+    let mut lengths = headers.all("content-length");
     let length = lengths.next();
     if lengths.next().is_some() {
         return refuse(400, "two lengths");
     }
-    let mut codings = lines.all("transfer-encoding");
+    let mut codings = headers.all("transfer-encoding");
     let coding = codings.next();
     if codings.next().is_some() {
         return refuse(400, "two transfer codings");
@@ -171,9 +171,9 @@
     }
 }
 
-fn keeps(lines: &Lines, old: bool) -> bool {
+fn keeps(headers: &Headers, old: bool) -> bool {
     let said = |word: &str| {
-        lines.all("connection").any(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
+        headers.all("connection").any(|v| v.split(',').any(|w| w.trim().eq_ignore_ascii_case(word)))
     };
     if old {
         said("keep-alive")
@@ -203,7 +203,7 @@
 /// ```
 pub fn request_head(buf: &[u8]) -> Result<Option<Head<Request>>, Refusal> {
     let Some(long) = head_end(buf)? else { return Ok(None) };
-    let mut space = [httparse::EMPTY_HEADER; MAX_LINES];
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut space);
     match parsed.parse(&buf[..long]).map_err(explain)? {
         httparse::Status::Complete(n) if n == long => {}
@@ -211,44 +211,44 @@
     }
     let (method, target) = (parsed.method.unwrap_or(""), parsed.path.unwrap_or(""));
     let old = parsed.version == Some(0);
-    let lines = lines_of(&buf[..long], parsed.headers)?;
-    let hosts = lines.all("host").count();
+    let headers = headers_of(&buf[..long], parsed.headers)?;
+    let hosts = headers.all("host").count();
     if hosts > 1 || hosts == 0 && !old {
         return refuse(400, "one Host line is wanted");
     }
     if !target.starts_with('/') {
         return refuse(400, "the target is not a path");
     }
-    let expects = match lines.get("expect") {
+    let expects = match headers.get("expect") {
         None => false,
         Some(v) if v.eq_ignore_ascii_case("100-continue") => !old,
         Some(_) => return refuse(417, "an expectation other than 100-continue"),
     };
-    let framing = framing(&lines, old)?.unwrap_or(Framing::Length(0));
-    let keep = keeps(&lines, old);
+    let framing = framing(&headers, old)?.unwrap_or(Framing::Length(0));
+    let keep = keeps(&headers, old);
     let head_only = method == "HEAD";
     let message =
-        Request { method: method.into(), target: target.into(), lines, body: Vec::new(), keep, head_only };
+        Request { method: method.into(), target: target.into(), headers, body: Vec::new(), keep, head_only };
     Ok(Some(Head { message, framing, long, expects }))
 }
 
 /// Reads an answer's head; informational ones (1xx) are passed over by the caller.
 pub fn response_head(buf: &[u8]) -> Result<Option<Head<Response>>, Refusal> {
     let Some(long) = head_end(buf)? else { return Ok(None) };
-    let mut space = [httparse::EMPTY_HEADER; MAX_LINES];
+    let mut space = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut space);
     match parsed.parse(&buf[..long]).map_err(explain)? {
         httparse::Status::Complete(n) if n == long => {}
         _ => return refuse(0, "a malformed head"),
     }
     let (status, old) = (parsed.code.unwrap_or(0), parsed.version == Some(0));
-    let lines = lines_of(&buf[..long], parsed.headers)?;
+    let headers = headers_of(&buf[..long], parsed.headers)?;
     let empty = status < 200 || status == 204 || status == 304;
-    let told = framing(&lines, old)?;
+    let told = framing(&headers, old)?;
     let framing = if empty { Framing::Length(0) } else { told.unwrap_or(Framing::Close) };
-    let keep = keeps(&lines, old) && framing != Framing::Close;
+    let keep = keeps(&headers, old) && framing != Framing::Close;
     Ok(Some(Head {
-        message: Response { status, lines, body: Vec::new(), keep },
+        message: Response { status, headers, body: Vec::new(), keep },
         framing,
         long,
         expects: false,
@@ -394,15 +394,15 @@
 }
 
 /// Writes an answer's head, to which the body's framing belongs already.
-pub fn head(out: &mut Vec<u8>, status: u16, lines: &[(&str, &str)], keep: bool) {
-    lead(out, status, lines, keep);
+pub fn head(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], keep: bool) {
+    lead(out, status, headers, keep);
     out.extend_from_slice(b"\r\n");
 }
 
-fn lead(out: &mut Vec<u8>, status: u16, lines: &[(&str, &str)], keep: bool) {
+fn lead(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], keep: bool) {
     use std::io::Write;
     let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
-    for (name, value) in lines {
+    for (name, value) in headers {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
         out.extend_from_slice(value.as_bytes());
@@ -415,10 +415,10 @@
 
 /// Writes an answer; `body` none: a head that opens a chunked stream; `bare`: the answer to a HEAD.
 pub fn answer(
-    out: &mut Vec<u8>, status: u16, lines: &[(&str, &str)], body: Option<&[u8]>, keep: bool, bare: bool,
+    out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: Option<&[u8]>, keep: bool, bare: bool,
 ) {
     use std::io::Write;
-    lead(out, status, lines, keep);
+    lead(out, status, headers, keep);
     match body {
         Some(body) => {
             let _ = write!(out, "Content-Length: {}\r\n\r\n", body.len());
@@ -431,11 +431,11 @@
 }
 
 /// Writes a whole request.
-pub fn ask(method: &str, target: &str, host: &str, lines: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn ask(method: &str, target: &str, host: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     use std::io::Write;
     let mut out = Vec::with_capacity(256 + body.len());
     let _ = write!(out, "{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
-    for (name, value) in lines {
+    for (name, value) in headers {
         let _ = write!(out, "{name}: {value}\r\n");
     }
     let _ = write!(out, "Content-Length: {}\r\n\r\n", body.len());
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -101,13 +101,13 @@
 
 /// What an answer says, and when to return if it tells that.
 pub fn heard(r: &Response, right: bool) -> (How, Option<Ns>) {
-    let how = match r.lines.get("rockpick-answer") {
+    let how = match r.headers.get("rockpick-answer") {
         Some("ok") => How::Ok { right },
         Some("pushed-back") => How::PushedBack,
         Some("aborted") => How::Aborted,
         _ => How::NotTaken,
     };
-    let wait = r.lines.get("rockpick-retry-after-ms").and_then(|v| v.parse::<i64>().ok());
+    let wait = r.headers.get("rockpick-retry-after-ms").and_then(|v| v.parse::<i64>().ok());
     // An hour at most: nothing waits longer.
     (how, wait.map(|ms| ms.clamp(0, 3_600_000) * MS))
 }
@@ -268,9 +268,9 @@
 
     fn answered(&mut self, t: Try, r: Response) {
         let now = self.net.now();
-        let answer = r.lines.get("rockpick-answer").unwrap_or("none").to_string();
+        let answer = r.headers.get("rockpick-answer").unwrap_or("none").to_string();
         let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
-        let build = r.lines.get("rockpick-build").unwrap_or("").to_string();
+        let build = r.headers.get("rockpick-build").unwrap_or("").to_string();
         let right = said["right"].as_bool().unwrap_or(true);
         self.say(
             &t,
--- a/standin/src/faulty.rs
+++ b/standin/src/faulty.rs
@@ -106,11 +106,11 @@
                                     send(&mut net, &mut made, &mut calls, &self.name, to, conn, request, 1);
                                     continue;
                                 }
-                                let build = r.lines.get("standin-build").unwrap_or("").to_string();
+                                let build = r.headers.get("standin-build").unwrap_or("").to_string();
                                 let lines = [("Rockpick-Answer", "ok"), ("Rockpick-Build", &*build)];
                                 net.answer(conn, r.status, &lines, &r.body);
                             }
-                            End::Answer(r) if r.lines.get("rockpick-never-ran").is_some() => {
+                            End::Answer(r) if r.headers.get("rockpick-never-ran").is_some() => {
                                 net.answer(conn, 503, &[("Rockpick-Answer", "pushed-back")], b"");
                             }
                             End::Unreachable | End::Unsent => {
@@ -155,7 +155,7 @@
     let nth = pick.to_string();
     let skip = ["host", "content-length"];
     let mut lines: Vec<(&str, &str)> =
-        request.lines.iter().filter(|(n, _)| !skip.iter().any(|s| n.eq_ignore_ascii_case(s))).collect();
+        request.headers.iter().filter(|(n, _)| !skip.iter().any(|s| n.eq_ignore_ascii_case(s))).collect();
     lines.push(("Rockpick-Front", name));
     lines.push(("Rockpick-Pick", &nth));
     let text = http::ask("POST", &request.target, "m", &lines, &request.body);
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -312,7 +312,7 @@
         let Some(method) = path.strip_prefix("/rpc/").filter(|_| request.method == "POST") else {
             return self.street.net.answer(conn, 404, &[], b"POST /rpc/METHOD is known\n");
         };
-        let line = |name: &str| request.lines.get(name).unwrap_or("").to_string();
+        let line = |name: &str| request.headers.get(name).unwrap_or("").to_string();
         let left = line("rockpick-time-left-ms").parse::<f64>().unwrap_or(60_000.0).clamp(0.0, 1e9);
         let work = line("standin-work-ms").parse::<f64>().map_or(WORK, |ms| ms.clamp(0.0, 60_000.0) / 1e3);
         let tag = Tag {
