--- a/agent/src/hand.rs
+++ b/agent/src/hand.rs
@@ -289,7 +289,7 @@
     fn ask(&mut self, why: What, to: SocketAddr, what: (&str, &str), range: &str, body: &str, within: Ns) {
         let lines = [("Content-Type", "application/json"), ("Range", range)];
         let lines = if range.is_empty() { &lines[..1] } else { &lines[..] };
-        let request = http::ask(what.0, what.1, &to.to_string(), lines, body.as_bytes());
+        let request = http::encode_request(what.0, what.1, &to.to_string(), lines, body.as_bytes());
         let call = Call { to, request: &request, connect_within: within, stream: false, head_only: false };
         let id = self.net.call(&mut self.made, call);
         self.calls.insert(id, (why, self.net.now() + within));
--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -130,7 +130,7 @@
                             "{{\"addr\":\"{at}\",\"place\":\"{name}\",\"build\":1,\"run\":1,\"age_ms\":3600000.0}}"
                         );
                         let target = format!("/machines/{name}");
-                        let request = http::ask("POST", &target, "c", &[], body.as_bytes());
+                        let request = http::encode_request("POST", &target, "c", &[], body.as_bytes());
                         let call = Call {
                             to,
                             request: &request,
@@ -173,8 +173,10 @@
     let many = rate.map_or(0, |_| (lasts / SPAN) as usize + 1);
     let mut spans: Vec<Histogram<u64>> = (0..many).map(|_| times.clone()).collect();
     let lines = [("Rockpick-Key", "7")];
-    let requests: Vec<Vec<u8>> =
-        to.iter().map(|at| http::ask("POST", "/rpc/lookup", &at.to_string(), &lines, b"hello")).collect();
+    let requests: Vec<Vec<u8>> = to
+        .iter()
+        .map(|at| http::encode_request("POST", "/rpc/lookup", &at.to_string(), &lines, b"hello"))
+        .collect();
     let (mut events, mut made) = (Vec::new(), Vec::new());
     let mut due: std::collections::HashMap<u64, Ns> = std::collections::HashMap::new();
     let (mut nth, mut ok, mut failed) = (0usize, 0u64, 0u64);
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -225,7 +225,7 @@
     pub fn ask(&mut self, what: What, method: &str, target: &str, body: &str, within: Option<Ns>) -> Id {
         let to = self.opening.controller;
         let lines = [("Content-Type", "application/json")];
-        let request = http::ask(method, target, &to.to_string(), &lines, body.as_bytes());
+        let request = http::encode_request(method, target, &to.to_string(), &lines, body.as_bytes());
         let stream = matches!(what, What::Watch);
         let call = Call { to, request: &request, connect_within: SEC, stream, head_only: false };
         let id = self.net.call(&mut self.made, call);
@@ -357,7 +357,8 @@
         lines.push(("Rockpick-Time-Left-Ms", &left));
         lines.push(("Rockpick-Pick", &nth));
         lines.push(("Rockpick-Front", &self.opening.name));
-        let request = http::ask("POST", &open.request.target, &to.to_string(), &lines, &open.request.body);
+        let request =
+            http::encode_request("POST", &open.request.target, &to.to_string(), &lines, &open.request.body);
         let grace = self.charter.guard.drain_grace_ms as Ns * MS;
         let connect_within = CONNECT.min(grace).min(time_out);
         let call = Call { to, request: &request, connect_within, stream: false, head_only: false };
@@ -438,7 +439,7 @@
 
     fn probe(&mut self, machine: usize) {
         let Some(to) = self.places[machine].addr else { return };
-        let request = http::ask("GET", "/probe", &to.to_string(), &[], b"");
+        let request = http::encode_request("GET", "/probe", &to.to_string(), &[], b"");
         let call = Call { to, request: &request, connect_within: CONNECT, stream: false, head_only: false };
         let id = self.net.call(&mut self.made, call);
         self.calls.insert(id, What::Else);
--- a/net/src/http.rs
+++ b/net/src/http.rs
@@ -364,7 +364,7 @@
     }
 }
 
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
@@ -394,14 +394,14 @@
 }
 
 /// Writes an answer's head, to which the body's framing belongs already.
-pub fn head(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], keep: bool) {
-    lead(out, status, headers, keep);
+pub fn write_head(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], keep: bool) {
+    write_status_and_headers(out, status, headers, keep);
     out.extend_from_slice(b"\r\n");
 }
 
-fn lead(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], keep: bool) {
+fn write_status_and_headers(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], keep: bool) {
     use std::io::Write;
-    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason(status));
+    let _ = write!(out, "HTTP/1.1 {status} {}\r\n", reason_phrase(status));
     for (name, value) in headers {
         out.extend_from_slice(name.as_bytes());
         out.extend_from_slice(b": ");
@@ -414,11 +414,11 @@
 }
 
 /// Writes an answer; `body` none: a head that opens a chunked stream; `bare`: the answer to a HEAD.
-pub fn answer(
+pub fn write_response(
     out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: Option<&[u8]>, keep: bool, bare: bool,
 ) {
     use std::io::Write;
-    lead(out, status, headers, keep);
+    write_status_and_headers(out, status, headers, keep);
     match body {
         Some(body) => {
             let _ = write!(out, "Content-Length: {}\r\n\r\n", body.len());
@@ -431,7 +431,9 @@
 }
 
 /// Writes a whole request.
-pub fn ask(method: &str, target: &str, host: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn encode_request(
+    method: &str, target: &str, host: &str, headers: &[(&str, &str)], body: &[u8],
+) -> Vec<u8> {
     use std::io::Write;
     let mut out = Vec::with_capacity(256 + body.len());
     let _ = write!(out, "{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
--- a/net/src/net.rs
+++ b/net/src/net.rs
@@ -117,7 +117,7 @@
 /// A request to make.
 pub struct Call<'a> {
     pub to: SocketAddr,
-    /// As [`http::ask`] writes it.
+    /// As [`http::encode_request`] writes it.
     pub request: &'a [u8],
     pub connect_within: Ns,
     /// Pieces are handed on as they come, without a bound on their sum.
@@ -345,7 +345,7 @@
         let mut full = Vec::new();
         let lines =
             [("Rockpick-Answer", "pushed-back"), ("Retry-After", "1"), ("Rockpick-Retry-After-Ms", "250")];
-        http::answer(&mut full, 503, &lines, Some(b"too many connections\n"), false, false);
+        http::write_response(&mut full, 503, &lines, Some(b"too many connections\n"), false, false);
         Ok(Net {
             poll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
             socks: Slab::new(),
@@ -537,7 +537,7 @@
         let Some(client) = self.client(conn) else { return };
         let Serve::Work { keep, bare } = client.serve else { return };
         let keep = keep && !client.close;
-        http::answer(&mut client.out, status, lines, Some(body), keep, bare);
+        http::write_response(&mut client.out, status, lines, Some(body), keep, bare);
         client.close = !keep;
         client.serve = Serve::Head;
         client.until = by;
@@ -555,7 +555,7 @@
         let length = long.to_string();
         let mut lines = lines.to_vec();
         lines.push(("Content-Length", &length));
-        http::head(&mut client.out, status, &lines, !client.close);
+        http::write_head(&mut client.out, status, &lines, !client.close);
         client.file = (!bare && long > 0).then_some((file, long));
         client.serve = Serve::Head;
         client.until = by;
@@ -565,7 +565,7 @@
     /// Opens a stream as the answer; pieces follow by [`Net::stream`].
     pub fn open_stream(&mut self, conn: Id, lines: &[(&str, &str)]) {
         if let Some(client) = self.client(conn).filter(|c| matches!(c.serve, Serve::Work { .. })) {
-            http::answer(&mut client.out, 200, lines, None, true, false);
+            http::write_response(&mut client.out, 200, lines, None, true, false);
             client.serve = Serve::Stream;
             client.until = Ns::MAX;
             self.flush_client(conn);
@@ -957,7 +957,7 @@
             client.serve = Serve::Head;
             let lines = [("Rockpick-Answer", "not-taken"), ("Content-Type", "text/plain")];
             let body = format!("{}\n", refusal.why);
-            http::answer(
+            http::write_response(
                 &mut client.out,
                 refusal.status.max(400),
                 &lines,
--- a/net/tests/server.rs
+++ b/net/tests/server.rs
@@ -148,7 +148,7 @@
     let mut net = Net::new(1).unwrap();
     let mut events = Vec::new();
     let to = listener.local_addr().unwrap();
-    let request = http::ask("GET", "/", "a", &[], b"");
+    let request = http::encode_request("GET", "/", "a", &[], b"");
     net.call(
         &mut events,
         Call { to, request: &request, connect_within: SEC, stream: false, head_only: false },
@@ -182,7 +182,7 @@
     };
     let end = |to: SocketAddr| {
         let (mut net, mut events) = (Net::new(1).unwrap(), Vec::new());
-        let request = http::ask("GET", "/", "a", &[], b"");
+        let request = http::encode_request("GET", "/", "a", &[], b"");
         net.call(
             &mut events,
             Call { to, request: &request, connect_within: SEC, stream: false, head_only: false },
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -141,7 +141,7 @@
         let to = self.discovery.at;
         // A kept connection may be closing at the other end, and the question would be lost on it.
         self.net.close_idle(to);
-        let request = http::ask("GET", target, &to.to_string(), &[], b"");
+        let request = http::encode_request("GET", target, &to.to_string(), &[], b"");
         let call = Call { to, request: &request, connect_within: CONNECT, stream, head_only: false };
         let id = self.net.call(&mut self.made, call);
         let at = self.net.now() + SILENCE;
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -45,7 +45,7 @@
 pub fn call(to: SocketAddr, method: &str, target: &str, body: &str) -> Result<Response, String> {
     let mut net = Net::new(1).map_err(|err| err.to_string())?;
     let lines = [("Content-Type", "application/json")];
-    let request = http::ask(method, target, &to.to_string(), &lines, body.as_bytes());
+    let request = http::encode_request(method, target, &to.to_string(), &lines, body.as_bytes());
     let mut events = Vec::new();
     net.call(
         &mut events,
--- a/rehearse/src/watch.rs
+++ b/rehearse/src/watch.rs
@@ -12,7 +12,7 @@
     let say = |err: std::io::Error| err.to_string();
     let mut record = Record::open(Some(file)).map_err(say)?;
     let mut net = Net::new(1).map_err(say)?;
-    let request = http::ask("GET", "/watch", &controller.to_string(), &[], b"");
+    let request = http::encode_request("GET", "/watch", &controller.to_string(), &[], b"");
     let (mut events, mut line, mut call) = (Vec::new(), Vec::new(), None);
     while !stop.load(Ordering::Relaxed) {
         if call.is_none() {
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -74,7 +74,7 @@
     if rpc.tries > 1 {
         lines.push(("Rockpick-Repeat", "1"));
     }
-    let request = http::ask("POST", &format!("/rpc/{}", row.name), &to.to_string(), &lines, b"{}");
+    let request = http::encode_request("POST", &format!("/rpc/{}", row.name), &to.to_string(), &lines, b"{}");
     (id, request)
 }
 
@@ -293,7 +293,7 @@
         let to = self.clients.fronts[front];
         let age = (self.net.now() - sent) as f64 / MS as f64;
         let body = json!({ "machine": machine, "age_ms": age }).to_string();
-        let request = http::ask("POST", "/dispute", &to.to_string(), &[], body.as_bytes());
+        let request = http::encode_request("POST", "/dispute", &to.to_string(), &[], body.as_bytes());
         let call = Call { to, request: &request, connect_within: CONNECT, stream: false, head_only: false };
         self.net.call(&mut self.made, call);
     }
--- a/standin/src/faulty.rs
+++ b/standin/src/faulty.rs
@@ -52,7 +52,7 @@
                 match event {
                     Event::Woke { .. } => {
                         let target = format!("/watch?front={}&http={at}&notes={at}", self.name);
-                        let request = http::ask("GET", &target, "c", &[], b"");
+                        let request = http::encode_request("GET", &target, "c", &[], b"");
                         let to = self.controller;
                         let call = Call {
                             to,
@@ -158,7 +158,7 @@
         request.headers.iter().filter(|(n, _)| !skip.iter().any(|s| n.eq_ignore_ascii_case(s))).collect();
     lines.push(("Rockpick-Front", name));
     lines.push(("Rockpick-Pick", &nth));
-    let text = http::ask("POST", &request.target, "m", &lines, &request.body);
+    let text = http::encode_request("POST", &request.target, "m", &lines, &request.body);
     let call = Call { to, request: &text, connect_within: SEC / 4, stream: false, head_only: false };
     let id = net.call(made, call);
     calls.insert(id, (conn, request, pick > 0));
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -218,7 +218,7 @@
 
     fn ask(&mut self, method: &str, target: &str, body: &str) -> Id {
         let to = self.machine.controller;
-        let request = http::ask(method, target, &to.to_string(), &[], body.as_bytes());
+        let request = http::encode_request(method, target, &to.to_string(), &[], body.as_bytes());
         let call = Call { to, request: &request, connect_within: BEAT, stream: false, head_only: false };
         self.street.net.call(&mut self.made, call)
     }
