--- a/agent/src/hand.rs
+++ b/agent/src/hand.rs
@@ -212,7 +212,7 @@
             self.net.turn(&mut events, TICK).map_err(|err| err.to_string())?;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Ended { call, end } => self.ended(call, end),
+                    Event::CallEnded { call, end } => self.ended(call, end),
                     Event::Signal { .. } => {
                         if self.agent.take_down {
                             self.procs.values().for_each(|p| p.signal(Signal::KILL));
--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -57,7 +57,7 @@
             for event in events.drain(..) {
                 match event {
                     Event::Datagram { from, bytes } => peers.datagram(&mut net, from, &bytes),
-                    Event::Woke { .. } => peers.woke(&mut net),
+                    Event::Timer { .. } => peers.woke(&mut net),
                     _ => {}
                 }
             }
@@ -124,7 +124,7 @@
                     Event::Request { conn, .. } => {
                         net.answer(conn, 200, &[("Content-Type", "text/plain")], b"good")
                     }
-                    Event::Woke { .. } => {
+                    Event::Timer { .. } => {
                         let Some(to) = controller else { continue };
                         let body = format!(
                             "{{\"addr\":\"{at}\",\"place\":\"{name}\",\"build\":1,\"run\":1,\"age_ms\":3600000.0}}"
@@ -206,7 +206,7 @@
         net.turn(&mut events, wait).map_err(|err| say(err.to_string()))?;
         let now = net.clock();
         for event in events.drain(..) {
-            let Event::Ended { call, end } = event else { continue };
+            let Event::CallEnded { call, end } = event else { continue };
             let Some(at) = due.remove(&call) else { continue };
             match end {
                 End::Answer(r) if r.status == 200 => {
--- a/control/src/server.rs
+++ b/control/src/server.rs
@@ -91,7 +91,7 @@
                             }
                         }
                     }
-                    Event::Left { conn } => desk.unwatch(conn),
+                    Event::ClientClosed { conn } => desk.unwatch(conn),
                     Event::Signal { .. } => {
                         let last = desk.save(now);
                         let kept = writer.map_or(Ok(()), |writer| writer.close(last));
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -222,7 +222,7 @@
     fn event(&mut self, event: Event) {
         match event {
             Event::Request { conn, request } => self.request(conn, request),
-            Event::Left { conn } => {
+            Event::ClientClosed { conn } => {
                 if let Some(rpc) = self.wire.door.rpc(conn).filter(|rpc| !self.wire.door.finished(*rpc)) {
                     self.wire.tolls.left += 1;
                     self.wire.door.finish(rpc);
@@ -231,30 +231,30 @@
                     self.wire.sweep(rpc);
                 }
             }
-            Event::Ended { call, end } => self.ended(call, end),
-            Event::Piece { call, status, bytes } => {
+            Event::CallEnded { call, end } => self.ended(call, end),
+            Event::CallData { call, status, bytes } => {
                 if self.wire.watch == Some(call) && status == 200 {
                     self.piece(&bytes);
                 }
             }
-            Event::Woke { tag } if tag & MODULE != 0 => {
+            Event::Timer { tag } if tag & MODULE != 0 => {
                 let (life, tag) = ((tag & !MODULE) >> 8, tag & 0xff);
                 self.one(life, |front, wire| front.woke(wire, tag));
             }
-            Event::Woke { tag: LAPSE } => {
+            Event::Timer { tag: LAPSE } => {
                 self.wire.lapses.woke(self.wire.net.now());
                 while let Some(call) = self.wire.lapsed() {
                     self.lapsed(call);
                     self.settle();
                 }
             }
-            Event::Woke { tag: TICK } => self.tick(),
-            Event::Woke { tag: PEERS } => {
+            Event::Timer { tag: TICK } => self.tick(),
+            Event::Timer { tag: PEERS } => {
                 if let Some(peers) = &mut self.peers {
                     peers.woke(&mut self.wire.net);
                 }
             }
-            Event::Woke { .. } => {}
+            Event::Timer { .. } => {}
             Event::Datagram { from, bytes } if Seal::ours(&bytes) => {
                 if let Some(peers) = &mut self.peers {
                     peers.datagram(&mut self.wire.net, from, &bytes);
@@ -268,8 +268,8 @@
                     self.each(|front, wire| front.heard(wire, rank as usize, note));
                 }
             }
-            Event::Flushed { .. } => {}
-            Event::Came { .. } | Event::Bytes { .. } | Event::Gone { .. } => {
+            Event::StreamFlushed { .. } => {}
+            Event::StreamOpened { .. } | Event::StreamData { .. } | Event::StreamClosed { .. } => {
                 if let Some(shelf) = &mut self.shelf {
                     shelf.event(&mut self.wire.net, &event);
                 }
--- a/load/src/thread.rs
+++ b/load/src/thread.rs
@@ -98,13 +98,13 @@
             }
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Woke { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
-                    Event::Woke { tag } if tag & AGAIN != 0 => {
+                    Event::Timer { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
+                    Event::Timer { tag } if tag & AGAIN != 0 => {
                         if let Some(rpc) = self.waiting.remove(&(tag & !AGAIN)) {
                             self.send(rpc);
                         }
                     }
-                    Event::Ended { call, end } => self.ended(call, end),
+                    Event::CallEnded { call, end } => self.ended(call, end),
                     _ => {}
                 }
             }
--- a/net/src/net.rs
+++ b/net/src/net.rs
@@ -58,21 +58,21 @@
         request: Request,
     },
     /// The client closed its side while an answer was owed: nothing can be sent any more.
-    Left {
+    ClientClosed {
         conn: Id,
     },
     /// A call has ended; nothing more comes of it.
-    Ended {
+    CallEnded {
         call: Id,
         end: End,
     },
     /// A piece of a streamed answer.
-    Piece {
+    CallData {
         call: Id,
         status: u16,
         bytes: Vec<u8>,
     },
-    Woke {
+    Timer {
         tag: u64,
     },
     Datagram {
@@ -83,21 +83,21 @@
         number: i32,
     },
     /// A stream is there: dialled, or come to a listener of streams.
-    Came {
+    StreamOpened {
         conn: Id,
     },
-    Bytes {
+    StreamData {
         conn: Id,
         bytes: Vec<u8>,
     },
     /// A stream was closed by its peer, or could not be made; not told of those closed here. `unsent`: not all
     /// that was to be sent had been written.
-    Gone {
+    StreamClosed {
         conn: Id,
         unsent: bool,
     },
     /// What waited to be sent on a stream is written now.
-    Flushed {
+    StreamFlushed {
         conn: Id,
     },
 }
@@ -687,7 +687,7 @@
                 // An id that no socket has: the event is the call's only trace.
                 self.generation = self.generation.wrapping_add(1);
                 let id = u64::from(self.generation) << 32 | 0xffff_ffff;
-                events.push(Event::Ended { call: id, end: End::Unreachable });
+                events.push(Event::CallEnded { call: id, end: End::Unreachable });
                 id
             }
         }
@@ -749,7 +749,7 @@
         };
         self.drop_sock(id);
         if let Some(end) = end {
-            events.push(Event::Ended { call: id, end });
+            events.push(Event::CallEnded { call: id, end });
         }
     }
 
@@ -780,7 +780,7 @@
             if tag == INNER {
                 self.sweep_calls(events);
             } else {
-                events.push(Event::Woke { tag });
+                events.push(Event::Timer { tag });
             }
         }
         Ok(())
@@ -895,7 +895,7 @@
     fn hung_up(&mut self, events: &mut Vec<Event>, id: Id) {
         let Some(client) = self.client(id) else { return };
         if matches!(client.serve, Serve::Work { .. } | Serve::Stream) {
-            events.push(Event::Left { conn: id });
+            events.push(Event::ClientClosed { conn: id });
         } else if client.file.is_none() && client.sent < client.out.len() && !client.close {
             // Half-closed with an answer still on its way out: it is finished first.
             client.close = true;
@@ -1025,7 +1025,7 @@
             if state.1.closes() && !server.stream {
                 let response = std::mem::take(&mut state.0);
                 self.drop_sock(id);
-                return events.push(Event::Ended { call: id, end: End::Answer(response) });
+                return events.push(Event::CallEnded { call: id, end: End::Answer(response) });
             }
             return self.lost(events, id, "half an answer");
         }
@@ -1068,7 +1068,7 @@
         let Step::Body(state) = &mut server.step else { return };
         if server.stream && !state.0.body.is_empty() {
             let bytes = std::mem::take(&mut state.0.body);
-            events.push(Event::Piece { call: id, status: state.0.status, bytes });
+            events.push(Event::CallData { call: id, status: state.0.status, bytes });
         }
         if done {
             let response = std::mem::take(&mut state.0);
@@ -1077,7 +1077,7 @@
             let keep = response.keep && server.buf.is_empty() && server.sent == server.out.len();
             self.stray += u64::from(stray);
             self.park(id, keep);
-            events.push(Event::Ended { call: id, end: End::Answer(response) });
+            events.push(Event::CallEnded { call: id, end: End::Answer(response) });
         }
     }
 
--- a/net/src/streams.rs
+++ b/net/src/streams.rs
@@ -24,7 +24,7 @@
 const LAST_WORDS: Ns = 3 * SEC;
 
 impl Net {
-    /// Listens for streams; each that comes is told as [`Event::Came`].
+    /// Listens for streams; each that comes is told as [`Event::StreamOpened`].
     ///
     /// # Errors
     /// An address that can't be had.
@@ -42,7 +42,7 @@
         self.add(Sock::Streams(bound.listen()?), EventFlags::IN)
     }
 
-    /// Dials; [`Event::Came`] tells that it is there, [`Event::Gone`] that it is not within the time given.
+    /// Dials; [`Event::StreamOpened`] tells that it is there, [`Event::StreamClosed`] that it is not within the time given.
     ///
     /// # Errors
     /// Too many streams, no descriptor, an address that can't be reached at all.
@@ -213,7 +213,7 @@
             let stream = Stream::new(io, true, Ns::MAX);
             if let Ok(conn) = self.add(Sock::Stream(stream), EventFlags::IN | EventFlags::RDHUP) {
                 self.streams += 1;
-                events.push(Event::Came { conn });
+                events.push(Event::StreamOpened { conn });
             }
         }
     }
@@ -227,7 +227,7 @@
                 return self.stream_gone(events, id);
             }
             stream.up = true;
-            events.push(Event::Came { conn: id });
+            events.push(Event::StreamOpened { conn: id });
         }
         let waited = stream.sent < stream.out.len();
         if self.flush_stream(id).is_err() {
@@ -238,7 +238,7 @@
             if stream.closing {
                 return self.finish(id);
             }
-            events.push(Event::Flushed { conn: id });
+            events.push(Event::StreamFlushed { conn: id });
         }
         let over = flags.intersects(EventFlags::HUP | EventFlags::ERR | EventFlags::RDHUP);
         let Some(stream) = self.stream_of(id) else { return };
@@ -259,7 +259,7 @@
                         self.drop_sock(id);
                     }
                 }
-                Ok(n) => events.push(Event::Bytes { conn: id, bytes: scratch[..n].to_vec() }),
+                Ok(n) => events.push(Event::StreamData { conn: id, bytes: scratch[..n].to_vec() }),
                 Err(err) if would_block(&err) => {}
                 Err(_) => self.stream_gone(events, id),
             }
@@ -272,7 +272,7 @@
         let (unsent, closing) = (!stream.up || stream.sent < stream.out.len(), stream.closing);
         self.drop_sock(id);
         if !closing {
-            events.push(Event::Gone { conn: id, unsent });
+            events.push(Event::StreamClosed { conn: id, unsent });
         }
     }
 }
--- a/net/tests/server.rs
+++ b/net/tests/server.rs
@@ -27,8 +27,8 @@
                         let body = [request.method.as_bytes(), b" ", &request.body].concat();
                         net.answer(conn, 200, &[], &body);
                     }
-                    Event::Woke { tag } => net.answer(waiting[tag as usize - 1], 200, &[], b"slow"),
-                    Event::Left { .. } => {
+                    Event::Timer { tag } => net.answer(waiting[tag as usize - 1], 200, &[], b"slow"),
+                    Event::ClientClosed { .. } => {
                         count.fetch_add(1, Ordering::SeqCst);
                     }
                     _ => {}
@@ -162,8 +162,11 @@
     while events.len() < 2 {
         net.turn(&mut events, SEC).unwrap();
     }
-    assert!(matches!(&events[0], Event::Ended { end: End::Answer(r), .. } if r.body == b"hi"), "{events:?}");
-    assert!(matches!(events[1], Event::Woke { tag: 7 }));
+    assert!(
+        matches!(&events[0], Event::CallEnded { end: End::Answer(r), .. } if r.body == b"hi"),
+        "{events:?}"
+    );
+    assert!(matches!(events[1], Event::Timer { tag: 7 }));
 }
 
 #[test]
@@ -189,7 +192,7 @@
         );
         loop {
             for event in std::mem::take(&mut events) {
-                if let Event::Ended { end, .. } = event {
+                if let Event::CallEnded { end, .. } = event {
                     return format!("{end:?}").split(['(', ' ']).next().unwrap().to_string();
                 }
             }
--- a/net/tests/streams.rs
+++ b/net/tests/streams.rs
@@ -13,7 +13,7 @@
             loop {
                 net.turn(&mut events, 10 * MS).unwrap();
                 let came = events.drain(..).find_map(|event| match event {
-                    Event::Came { conn } => Some(conn),
+                    Event::StreamOpened { conn } => Some(conn),
                     _ => None,
                 });
                 if let Some(conn) = came {
--- a/node/src/clients.rs
+++ b/node/src/clients.rs
@@ -416,7 +416,7 @@
         let now = self.net.now();
         let Some(client) = self.clients.all.get_mut(&id).filter(|c| c.owed.is_empty()) else { return };
         if client.holds_whole() {
-            self.made.push(Event::Flushed { conn: id });
+            self.made.push(Event::StreamFlushed { conn: id });
         }
         let at = match (client.spoke, client.came.is_empty()) {
             (false, _) => client.since + SILENT,
@@ -485,7 +485,7 @@
             self.due(id, now + IDLE);
         }
         if more {
-            self.made.push(Event::Flushed { conn: id });
+            self.made.push(Event::StreamFlushed { conn: id });
         }
         room
     }
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -122,21 +122,25 @@
     /// that is up comes last: what this turn has read of a connection is no longer unread, and would go to nobody.
     pub fn rank(&self, event: &Event) -> u8 {
         match event {
-            Event::Piece { call, .. } | Event::Ended { call, .. } if self.discovery.owns(*call) => 0,
-            Event::Bytes { conn, .. } if self.desk.owns(*conn) => 0,
-            Event::Bytes { conn, .. } | Event::Gone { conn, .. } | Event::Came { conn }
+            Event::CallData { call, .. } | Event::CallEnded { call, .. } if self.discovery.owns(*call) => 0,
+            Event::StreamData { conn, .. } if self.desk.owns(*conn) => 0,
+            Event::StreamData { conn, .. }
+            | Event::StreamClosed { conn, .. }
+            | Event::StreamOpened { conn }
                 if self.desk.owns(*conn) || self.pool.owns(*conn) =>
             {
                 1
             }
-            Event::Bytes { conn, .. } | Event::Gone { conn, .. } | Event::Flushed { conn }
+            Event::StreamData { conn, .. }
+            | Event::StreamClosed { conn, .. }
+            | Event::StreamFlushed { conn }
                 if self.clients.owns(*conn) =>
             {
                 2
             }
-            Event::Came { .. } => 3,
-            Event::Bytes { .. } | Event::Gone { .. } | Event::Flushed { .. } => 4,
-            Event::Woke { tag: DUE } => 5,
+            Event::StreamOpened { .. } => 3,
+            Event::StreamData { .. } | Event::StreamClosed { .. } | Event::StreamFlushed { .. } => 4,
+            Event::Timer { tag: DUE } => 5,
             _ => 1,
         }
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -240,14 +240,14 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Came { conn } => {
+            Event::StreamOpened { conn } => {
                 if self.effects.desk.owns(conn) {
                     self.effects.desk_came(conn);
                 } else if !self.effects.pool.owns(conn) {
                     self.effects.client_came(conn);
                 }
             }
-            Event::Bytes { conn, bytes } => {
+            Event::StreamData { conn, bytes } => {
                 if self.effects.clients.owns(conn) {
                     self.effects.client_bytes(conn, &bytes);
                     self.read_client(conn);
@@ -257,8 +257,8 @@
                     self.effects.desk_bytes(conn, &bytes).into_iter().for_each(|told| self.tell(told));
                 }
             }
-            Event::Flushed { conn } => self.read_client(conn),
-            Event::Gone { conn, unsent } => {
+            Event::StreamFlushed { conn } => self.read_client(conn),
+            Event::StreamClosed { conn, unsent } => {
                 if self.effects.clients.owns(conn) {
                     self.effects.forget_client(conn);
                 } else if let Some((rpc, pick, how)) = self.effects.machine_gone(conn, unsent) {
@@ -267,15 +267,15 @@
                     self.effects.desk_over(conn, unsent).into_iter().for_each(|told| self.tell(told));
                 }
             }
-            Event::Piece { call, status, bytes } => {
+            Event::CallData { call, status, bytes } => {
                 self.effects.watch_piece(call, status, &bytes).into_iter().for_each(|told| self.tell(told));
             }
-            Event::Ended { call, end } => {
+            Event::CallEnded { call, end } => {
                 self.effects.discovery_over(call, Some(end)).into_iter().for_each(|told| self.tell(told));
             }
-            Event::Woke { tag } if tag & MODULE != 0 => self.front.woke(&mut self.effects, tag & !MODULE),
-            Event::Woke { tag: DUE } => self.dues(),
-            Event::Woke { tag: PEERS } => {
+            Event::Timer { tag } if tag & MODULE != 0 => self.front.woke(&mut self.effects, tag & !MODULE),
+            Event::Timer { tag: DUE } => self.dues(),
+            Event::Timer { tag: PEERS } => {
                 if let Some(peers) = &mut self.peers {
                     peers.woke(&mut self.effects.net);
                 }
@@ -285,14 +285,14 @@
                     peers.datagram(&mut self.effects.net, from, &bytes);
                 }
             }
-            Event::Woke { tag: TICK } => self.tick(),
-            Event::Woke { tag: DESK } => self.effects.follow_desk(),
-            Event::Woke { tag: STOP } => self.close_door(),
+            Event::Timer { tag: TICK } => self.tick(),
+            Event::Timer { tag: DESK } => self.effects.follow_desk(),
+            Event::Timer { tag: STOP } => self.close_door(),
             Event::Signal { number: SIGHUP } => {
                 self.again = READ_AGAIN.1;
                 self.reload();
             }
-            Event::Woke { tag: RELOAD } => self.reload(),
+            Event::Timer { tag: RELOAD } => self.reload(),
             Event::Signal { number } => self.stop(number),
             _ => {}
         }
--- a/node/src/tests.rs
+++ b/node/src/tests.rs
@@ -45,7 +45,7 @@
         while self.effects.net.streams() == 0 || id.is_none_or(|id| !self.welcomed(id, &mut events)) {
             self.effects.net.turn(&mut events, SEC).unwrap();
             for event in &events {
-                if let Event::Came { conn } = event {
+                if let Event::StreamOpened { conn } = event {
                     id = Some(*conn);
                     self.effects.client_came(*conn);
                 }
@@ -62,7 +62,7 @@
         let mut events = Vec::new();
         loop {
             self.effects.net.turn(&mut events, SEC).unwrap();
-            if let Some(Event::Came { conn }) = events.first() {
+            if let Some(Event::StreamOpened { conn }) = events.first() {
                 return (io, *conn);
             }
         }
@@ -75,7 +75,7 @@
 
     fn welcomed(&mut self, id: Id, events: &mut Vec<Event>) -> bool {
         events.drain(..).any(|event| match event {
-            Event::Bytes { conn, bytes } if conn == id => {
+            Event::StreamData { conn, bytes } if conn == id => {
                 self.effects.client_bytes(conn, &bytes);
                 self.effects.client_reads(conn, |_, _| true);
                 true
@@ -168,7 +168,7 @@
     let mut new = TcpStream::connect(place.at).unwrap();
     new.write_all(b"first words").unwrap();
     let mut events = Vec::new();
-    while !events.iter().any(|event| matches!(event, Event::Bytes { conn, .. } if *conn != id)) {
+    while !events.iter().any(|event| matches!(event, Event::StreamData { conn, .. } if *conn != id)) {
         place.effects.net.turn(&mut events, SEC).unwrap();
     }
     speaks(&mut place, &mut old, id);
@@ -177,8 +177,8 @@
     let order: Vec<(bool, bool)> = events
         .iter()
         .filter_map(|event| match event {
-            Event::Came { conn } => Some((*conn == id, false)),
-            Event::Bytes { conn, .. } => Some((*conn == id, true)),
+            Event::StreamOpened { conn } => Some((*conn == id, false)),
+            Event::StreamData { conn, .. } => Some((*conn == id, true)),
             _ => None,
         })
         .collect();
@@ -197,12 +197,12 @@
     let now = place.effects.net.clock();
     place.effects.due(id, now);
     let mut events = Vec::new();
-    while !events.iter().any(|event| matches!(event, Event::Woke { .. })) {
+    while !events.iter().any(|event| matches!(event, Event::Timer { .. })) {
         place.effects.net.turn(&mut events, SEC).unwrap();
     }
-    assert!(events.iter().any(|event| matches!(event, Event::Bytes { .. })), "{events:?}");
+    assert!(events.iter().any(|event| matches!(event, Event::StreamData { .. })), "{events:?}");
     events.sort_by_cached_key(|event| place.effects.rank(event));
-    assert!(matches!(events.last(), Some(Event::Woke { .. })), "{events:?}");
+    assert!(matches!(events.last(), Some(Event::Timer { .. })), "{events:?}");
 }
 
 /// Guards against a process that was held up, and does not say so.
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -53,7 +53,7 @@
     );
     while net.now() < 5 * SEC {
         for event in events.drain(..) {
-            if let Event::Ended { end, .. } = event {
+            if let Event::CallEnded { end, .. } = event {
                 return match end {
                     End::Answer(answer) => Ok(answer),
                     End::Unreachable | End::Unsent => Err(format!("{to}: no connection")),
--- a/rehearse/src/watch.rs
+++ b/rehearse/src/watch.rs
@@ -28,14 +28,14 @@
         net.turn(&mut events, 50 * MS).map_err(say)?;
         for event in events.drain(..) {
             match event {
-                Event::Piece { bytes, .. } => {
+                Event::CallData { bytes, .. } => {
                     line.extend_from_slice(&bytes);
                     while let Some(whole) = take_line(&mut line) {
                         let said: Value = serde_json::from_slice(&whole).unwrap_or(Value::Null);
                         record.put(json!({ "line": said }));
                     }
                 }
-                Event::Ended { .. } => {
+                Event::CallEnded { .. } => {
                     (call, line) = (None, Vec::new());
                     std::thread::sleep(std::time::Duration::from_millis(100));
                 }
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -161,15 +161,15 @@
             self.done |= self.net.now() >= ends;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Woke { tag: ARRIVE } => self.arrive(),
-                    Event::Woke { tag } if tag & DISPUTE != 0 => self.dispute(tag & !DISPUTE),
-                    Event::Woke { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
-                    Event::Woke { tag } if tag & AGAIN != 0 => {
+                    Event::Timer { tag: ARRIVE } => self.arrive(),
+                    Event::Timer { tag } if tag & DISPUTE != 0 => self.dispute(tag & !DISPUTE),
+                    Event::Timer { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
+                    Event::Timer { tag } if tag & AGAIN != 0 => {
                         if let Some(rpc) = self.waiting.remove(&(tag & !AGAIN)) {
                             self.send(rpc);
                         }
                     }
-                    Event::Ended { call, end } => self.ended(call, end),
+                    Event::CallEnded { call, end } => self.ended(call, end),
                     Event::Request { conn, request } => {
                         let said = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
                         match (request.path(), self.crowd.schedule.load.change(&said)) {
--- a/standin/src/directory.rs
+++ b/standin/src/directory.rs
@@ -250,9 +250,9 @@
             self.net.turn(&mut events, if busy { PUMP } else { SEC }).map_err(|err| err.to_string())?;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Came { conn } => self.came(conn),
-                    Event::Bytes { conn, bytes } => self.bytes(conn, &bytes),
-                    Event::Gone { conn, .. } => drop(self.peers.remove(&conn)),
+                    Event::StreamOpened { conn } => self.came(conn),
+                    Event::StreamData { conn, bytes } => self.bytes(conn, &bytes),
+                    Event::StreamClosed { conn, .. } => drop(self.peers.remove(&conn)),
                     Event::Request { conn, request } => self.control(conn, &request),
                     Event::Signal { .. } => return Ok(()),
                     _ => {}
--- a/standin/src/faulty.rs
+++ b/standin/src/faulty.rs
@@ -50,7 +50,7 @@
             net.turn(&mut events, SEC).map_err(say)?;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Woke { .. } => {
+                    Event::Timer { .. } => {
                         let target = format!("/watch?front={}&http={at}&notes={at}", self.name);
                         let request = http::encode_request("GET", &target, "c", &[], b"");
                         let to = self.controller;
@@ -63,7 +63,7 @@
                         };
                         watch = net.call(&mut made, call);
                     }
-                    Event::Piece { call, bytes, .. } if call == watch => {
+                    Event::CallData { call, bytes, .. } if call == watch => {
                         line.extend_from_slice(&bytes);
                         while let Some(whole) = take_line(&mut line) {
                             let said: Value = serde_json::from_slice(&whole).unwrap_or(Value::Null);
@@ -93,10 +93,10 @@
                         let to = pick(&machines, self.breaks, trial, &mut chance);
                         send(&mut net, &mut made, &mut calls, &self.name, to, conn, request, 0);
                     }
-                    Event::Ended { call, .. } if call == watch => {
+                    Event::CallEnded { call, .. } if call == watch => {
                         net.wake_at(net.now() + SEC / 2, 1);
                     }
-                    Event::Ended { call, end } => {
+                    Event::CallEnded { call, end } => {
                         let Some((conn, request, again)) = calls.remove(&call) else { continue };
                         match end {
                             End::Answer(r) if r.status < 500 => {
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -170,14 +170,14 @@
             for event in std::mem::take(&mut events) {
                 match event {
                     Event::Request { conn, request } => self.request(conn, request),
-                    Event::Left { conn } => self.shop.left(&mut self.street, conn),
-                    Event::Woke { tag: TAG_BEAT } => self.beat(at),
-                    Event::Woke { tag } if tag & HELD != 0 => self.shop.held_over(&mut self.street, tag),
-                    Event::Woke { tag } => {
+                    Event::ClientClosed { conn } => self.shop.left(&mut self.street, conn),
+                    Event::Timer { tag: TAG_BEAT } => self.beat(at),
+                    Event::Timer { tag } if tag & HELD != 0 => self.shop.held_over(&mut self.street, tag),
+                    Event::Timer { tag } => {
                         let now = self.street.net.now();
                         self.shop.done(now, &mut self.street, tag);
                     }
-                    Event::Ended { call, end } => {
+                    Event::CallEnded { call, end } => {
                         if self.beat.is_some_and(|(id, _)| id == call) {
                             self.beat = None;
                             if let End::Answer(r) = end {
@@ -284,7 +284,7 @@
             self.ask("POST", &target, &body.to_string());
             let by = self.street.net.now() + SEC / 4;
             let mut events = Vec::new();
-            while self.street.net.now() < by && !events.iter().any(|e| matches!(e, Event::Ended { .. })) {
+            while self.street.net.now() < by && !events.iter().any(|e| matches!(e, Event::CallEnded { .. })) {
                 if self.street.net.turn(&mut events, SEC / 20).is_err() {
                     break;
                 }
--- a/tenant/src/link.rs
+++ b/tenant/src/link.rs
@@ -114,9 +114,9 @@
     pub fn event(&mut self, net: &mut Net, keeper: &Keeper, event: &Event) -> bool {
         let ours = |conn: &Id| self.conn == Some(*conn);
         match event {
-            Event::Came { conn } if ours(conn) => self.came(net, keeper),
-            Event::Bytes { conn, bytes } if ours(conn) => self.bytes(net, keeper, bytes),
-            Event::Gone { conn, .. } if ours(conn) => {
+            Event::StreamOpened { conn } if ours(conn) => self.came(net, keeper),
+            Event::StreamData { conn, bytes } if ours(conn) => self.bytes(net, keeper, bytes),
+            Event::StreamClosed { conn, .. } if ours(conn) => {
                 self.conn = None;
                 self.failed(net, "the connection is gone");
             }
