--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -10,7 +10,7 @@
 use rockpick_control::release::MOST_BUILD;
 use rockpick_control::Charter;
 use rockpick_net::http::Request;
-use rockpick_net::{take_line, Bound, End, Event, Id, LogLimiter, Net, MS, SEC};
+use rockpick_net::{take_line, BoundListener, End, Event, Id, LogLimiter, Net, MS, SEC};
 use rockpick_peers::{Company, Peers, Seal};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -83,7 +83,7 @@
         Some(file) => saved::load(file)?,
         None => None,
     };
-    let bound = Bound::to(opening.listen).map_err(|err| format!("{}: {err}", opening.listen))?;
+    let bound = BoundListener::bind(opening.listen).map_err(|err| format!("{}: {err}", opening.listen))?;
     let at = bound.at;
     let (notes, notes_at) = net.datagrams(SocketAddr::new(at.ip(), 0)).map_err(say)?;
     let no_settings = kept.is_none();
--- a/net/src/net.rs
+++ b/net/src/net.rs
@@ -286,17 +286,17 @@
 }
 
 /// An address that is taken, and takes no connection yet: one that comes before it listens is refused, and goes elsewhere.
-pub struct Bound {
+pub struct BoundListener {
     socket: TcpListener,
     pub at: SocketAddr,
 }
 
-impl Bound {
+impl BoundListener {
     /// Takes an address; port 0 takes one from the system.
     ///
     /// # Errors
     /// An address that can't be had.
-    pub fn to(at: SocketAddr) -> io::Result<Bound> {
+    pub fn bind(at: SocketAddr) -> io::Result<BoundListener> {
         use rustix::net::{bind, socket_with, sockopt, AddressFamily, SocketFlags, SocketType};
         let family = if at.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
         let fd = socket_with(family, SocketType::STREAM, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC, None)?;
@@ -305,7 +305,7 @@
         bind(&fd, &at)?;
         let socket = TcpListener::from(fd);
         let at = socket.local_addr()?;
-        Ok(Bound { socket, at })
+        Ok(BoundListener { socket, at })
     }
 
     pub(crate) fn listen(self) -> io::Result<TcpListener> {
@@ -470,7 +470,7 @@
 
     /// Listens; port 0 takes one from the system. Returns the address taken.
     pub fn listen(&mut self, at: SocketAddr) -> io::Result<(Id, SocketAddr)> {
-        let bound = Bound::to(at)?;
+        let bound = BoundListener::bind(at)?;
         let taken = bound.at;
         Ok((self.listen_on(bound)?, taken))
     }
@@ -479,7 +479,7 @@
     ///
     /// # Errors
     /// A socket that can't listen, or be waited for.
-    pub fn listen_on(&mut self, bound: Bound) -> io::Result<Id> {
+    pub fn listen_on(&mut self, bound: BoundListener) -> io::Result<Id> {
         self.add(Sock::Listener(bound.listen()?), epoll::EventFlags::IN)
     }
 
--- a/net/src/streams.rs
+++ b/net/src/streams.rs
@@ -1,6 +1,6 @@
 //! Streams of bytes in both directions, for protocols other than HTTP: dialled, or taken by a listener of
 //! their own. What crosses them is the caller's; bounds, back-pressure and closing are here.
-use crate::net::{connecting, spare, would_block, Bound, Event, Id, Net, Sock, Stream};
+use crate::net::{connecting, spare, would_block, BoundListener, Event, Id, Net, Sock, Stream};
 use crate::net::{ACCEPTS, LINGER, MAX_BACKLOG};
 use crate::{Ns, SEC};
 use rustix::event::epoll::EventFlags;
@@ -29,7 +29,7 @@
     /// # Errors
     /// An address that can't be had.
     pub fn listen_streams(&mut self, at: SocketAddr) -> io::Result<(Id, SocketAddr)> {
-        let bound = Bound::to(at)?;
+        let bound = BoundListener::bind(at)?;
         let taken = bound.at;
         Ok((self.listen_streams_on(bound)?, taken))
     }
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// A socket that can't listen, or be waited for.
-    pub fn listen_streams_on(&mut self, bound: Bound) -> io::Result<Id> {
+    pub fn listen_streams_on(&mut self, bound: BoundListener) -> io::Result<Id> {
         self.add(Sock::Streams(bound.listen()?), EventFlags::IN)
     }
 
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -6,7 +6,7 @@
 use crate::lateness::Lateness;
 use crate::Startup;
 use rockpick::{Front, Ns, Outcome, Reply, Roll};
-use rockpick_net::{Bound, Event, Id, Net, MS, SEC};
+use rockpick_net::{BoundListener, Event, Id, Net, MS, SEC};
 use rockpick_peers::{Company, Peers};
 use rockpick_pg as pg;
 use rockpick_platform::{roster, statement};
@@ -36,7 +36,7 @@
     front: Front,
     pub at: SocketAddr,
     /// Its address while nobody can connect to it yet.
-    bound: Option<Bound>,
+    bound: Option<BoundListener>,
     listener: Option<Id>,
     /// When a stop began; when its door was closed; since when it owes nothing.
     stopping: Option<Ns>,
@@ -82,7 +82,8 @@
         }
         let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as i128);
         let wall = since_1970 - i128::from(net.clock());
-        let bound = Bound::to(startup.listen).map_err(|err| format!("{}: {err}", startup.listen))?;
+        let bound =
+            BoundListener::bind(startup.listen).map_err(|err| format!("{}: {err}", startup.listen))?;
         let (post, known, stood) = (startup.post.clone(), startup.known.clone(), startup.stood);
         let mut effects = Effects::new(net, startup, wall);
         let mut events = Vec::new();
