--- a/agent/src/hand.rs
+++ b/agent/src/hand.rs
@@ -4,7 +4,7 @@
 use crate::proc::{clock, Kept, Proc};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_net::{http, Call, End, Event, Id, Net, MS, SEC};
+use rockpick_net::{http, Call, CallEnd, Event, Id, Net, MS, SEC};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -268,7 +268,7 @@
         let late: Vec<Id> = self.calls.iter().filter(|(_, (_, by))| *by <= now).map(|(id, _)| *id).collect();
         for id in late {
             self.net.cancel(id);
-            self.ended(id, End::Unreachable);
+            self.ended(id, CallEnd::Unreachable);
         }
         for todo in self.mind.step(now) {
             self.carry_out(todo);
@@ -430,11 +430,11 @@
         self.beat_at = now + BEAT - (BEAT as f64 * self.chance.random_range(0.0..0.2)) as Ns;
     }
 
-    fn ended(&mut self, call: Id, end: End) {
+    fn ended(&mut self, call: Id, end: CallEnd) {
         let Some((what, _)) = self.calls.remove(&call) else { return };
         let now = self.net.now();
         match (what, end) {
-            (What::Beat, End::Answer(r)) if r.status == 200 => {
+            (What::Beat, CallEnd::Answer(r)) if r.status == 200 => {
                 self.beating = false;
                 self.heard = Some(now);
                 match serde_json::from_slice(&r.body) {
@@ -446,13 +446,13 @@
                 self.beating = false;
                 // Without a controller everything goes on as it is; the next beat waits a little longer.
                 self.beat_at = now + BEAT + (BEAT as f64 * self.chance.random_range(0.0..2.0)) as Ns;
-                if let End::Answer(r) = end {
+                if let CallEnd::Answer(r) = end {
                     tracing::warn!(event = "beat refused", status = r.status);
                 }
             }
             (What::Ready(build), end) => {
                 self.asking.remove(&build);
-                if matches!(end, End::Answer(r) if r.status == 200) {
+                if matches!(end, CallEnd::Answer(r) if r.status == 200) {
                     self.mind.ready(now, build);
                     if let Some(proc) = self.procs.get_mut(&build) {
                         proc.note_served();
@@ -460,7 +460,7 @@
                     self.beat_at = now;
                 }
             }
-            (What::Held(build), End::Answer(r)) => {
+            (What::Held(build), CallEnd::Answer(r)) => {
                 let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
                 let held = said["busy"].as_u64().unwrap_or(0) + said["queue"].as_u64().unwrap_or(0);
                 self.held.insert(build, held);
@@ -470,7 +470,7 @@
                 let Some(fetch) = &mut self.fetch else { return };
                 let build = fetch.build;
                 let went = match end {
-                    End::Answer(r) => fetch.given(r.status, &r.body),
+                    CallEnd::Answer(r) => fetch.given(r.status, &r.body),
                     _ => Err("the repository is not to be reached".into()),
                 };
                 if let Err(why) = went {
--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use hdrhistogram::Histogram;
 use rockpick_control::{Charter, Controller};
-use rockpick_net::{http, Call, End, Event, Net, Ns, MS, SEC};
+use rockpick_net::{http, Call, CallEnd, Event, Net, Ns, MS, SEC};
 use rockpick_peers::{Circle, Company, Peers};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -209,7 +209,7 @@
             let Event::CallEnded { call, end } = event else { continue };
             let Some(at) = due.remove(&call) else { continue };
             match end {
-                End::Answer(r) if r.status == 200 => {
+                CallEnd::Answer(r) if r.status == 200 => {
                     ok += 1;
                     // The first connections are made meanwhile: of a short load they would be a hundredth.
                     let took = (now - at).max(1) as u64;
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -10,7 +10,7 @@
 use rockpick_control::release::MOST_BUILD;
 use rockpick_control::Charter;
 use rockpick_net::http::Request;
-use rockpick_net::{take_line, BoundListener, End, Event, Id, LogLimiter, Net, MS, SEC};
+use rockpick_net::{take_line, BoundListener, CallEnd, Event, Id, LogLimiter, Net, MS, SEC};
 use rockpick_peers::{Company, Peers, Seal};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
@@ -404,25 +404,27 @@
         }
     }
 
-    fn ended(&mut self, call: Id, end: End) {
+    fn ended(&mut self, call: Id, end: CallEnd) {
         let Some(what) = self.wire.calls.remove(&call) else { return };
         match (what, end) {
             (What::Pick(rpc, pick), end) => {
                 let (outcome, response) = match end {
-                    End::Answer(r) if r.status == 503 && r.headers.get("rockpick-never-ran") == Some("1") => {
+                    CallEnd::Answer(r)
+                        if r.status == 503 && r.headers.get("rockpick-never-ran") == Some("1") =>
+                    {
                         (Outcome::Full, None)
                     }
-                    End::Answer(r) if r.status >= 500 => (Outcome::Error, None),
-                    End::Answer(r) => (Outcome::Ok, Some(r)),
-                    End::Unreachable | End::Unsent => (Outcome::Unreachable, None),
-                    End::Broken(_) => (Outcome::Broken, None),
+                    CallEnd::Answer(r) if r.status >= 500 => (Outcome::Error, None),
+                    CallEnd::Answer(r) => (Outcome::Ok, Some(r)),
+                    CallEnd::Unreachable | CallEnd::Unsent => (Outcome::Unreachable, None),
+                    CallEnd::Broken(_) => (Outcome::Broken, None),
                 };
                 self.pick_over(rpc, pick, outcome, response);
             }
             (What::Vote, end) => {
                 self.wire.voting = None;
                 let (reply, news) = match end {
-                    End::Answer(r) => {
+                    CallEnd::Answer(r) => {
                         let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
                         let counted = r.status == 200;
                         // Moot or over the rate is ordinary; a vote that is no vote, or nobody's, is not.
@@ -431,8 +433,8 @@
                         }
                         (if counted { Reply::Counted } else { Reply::Refused }, said.get("stage").cloned())
                     }
-                    End::Broken(_) => (Reply::TimedOut, None),
-                    End::Unreachable | End::Unsent => (Reply::Refused, None),
+                    CallEnd::Broken(_) => (Reply::TimedOut, None),
+                    CallEnd::Unreachable | CallEnd::Unsent => (Reply::Refused, None),
                 };
                 self.told(reply, news.filter(Value::is_object));
             }
@@ -442,7 +444,7 @@
                 tracing::warn!(event = "watch lost", why = why(&end));
                 self.each(|front, wire| front.members(wire, Roll::Failed, &[]));
             }
-            (What::Fetch, End::Answer(r)) if r.status == 200 => {
+            (What::Fetch, CallEnd::Answer(r)) if r.status == 200 => {
                 match serde_json::from_slice::<Value>(&r.body) {
                     Ok(line) => self.news(&line),
                     Err(err) => {
@@ -452,12 +454,12 @@
                 }
             }
             (What::Fetch, _) => self.each(|front, wire| front.members(wire, Roll::Failed, &[])),
-            (What::Settings, End::Answer(r)) if r.status == 200 => {
+            (What::Settings, CallEnd::Answer(r)) if r.status == 200 => {
                 self.asking = false;
                 self.settings(&r.body);
             }
             (What::Settings, _) => self.asking = false,
-            (What::Else, End::Answer(r)) if r.status >= 400 => {
+            (What::Else, CallEnd::Answer(r)) if r.status >= 400 => {
                 self.passed_over("counts", &String::from_utf8_lossy(&r.body));
             }
             // Probes, and counts that did not get there: they are samples, the next ones tell as much.
@@ -864,11 +866,11 @@
 }
 
 /// How a call ended, for the log.
-fn why(end: &End) -> String {
+fn why(end: &CallEnd) -> String {
     match end {
-        End::Answer(r) => format!("status {} {}", r.status, String::from_utf8_lossy(&r.body).trim_end()),
-        End::Unreachable | End::Unsent => "no connection".into(),
-        End::Broken(why) => (*why).into(),
+        CallEnd::Answer(r) => format!("status {} {}", r.status, String::from_utf8_lossy(&r.body).trim_end()),
+        CallEnd::Unreachable | CallEnd::Unsent => "no connection".into(),
+        CallEnd::Broken(why) => (*why).into(),
     }
 }
 
--- a/load/src/thread.rs
+++ b/load/src/thread.rs
@@ -1,6 +1,6 @@
 //! One thread: its own event loop and connections, its part of the schedule.
 use crate::{micros, second, Course, Result, Times};
-use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use rockpick_standin::client::{ask, end_line, heard, sent_line};
 use rockpick_standin::crowd::{Crowd, How, Next, Rpc, GRACE};
 use rockpick_standin::record::Record;
@@ -160,11 +160,11 @@
         self.after(t.rpc, How::GaveUp, None);
     }
 
-    fn ended(&mut self, call: Id, end: End) {
+    fn ended(&mut self, call: Id, end: CallEnd) {
         let Some(t) = self.tries.remove(&(call & (AGAIN - 1))) else { return };
         let now = self.net.now();
         let (how, wait) = match end {
-            End::Answer(r) => {
+            CallEnd::Answer(r) => {
                 let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
                 let (how, wait) = heard(&r, said["right"].as_bool().unwrap_or(true));
                 if let How::Ok { right } = how {
@@ -174,11 +174,11 @@
                 self.say(&t, "answer", r.headers.get("rockpick-answer").unwrap_or("none"));
                 (how, wait)
             }
-            End::Unreachable | End::Unsent => {
+            CallEnd::Unreachable | CallEnd::Unsent => {
                 self.say(&t, "not taken", "");
                 (How::Unreachable, None)
             }
-            End::Broken(_) => {
+            CallEnd::Broken(_) => {
                 self.say(&t, "broken", "");
                 (How::Broken, None)
             }
--- a/net/src/net.rs
+++ b/net/src/net.rs
@@ -64,7 +64,7 @@
     /// A call has ended; nothing more comes of it.
     CallEnded {
         call: Id,
-        end: End,
+        end: CallEnd,
     },
     /// A piece of a streamed answer.
     CallData {
@@ -104,7 +104,7 @@
 
 /// How a call ended.
 #[derive(Debug)]
-pub enum End {
+pub enum CallEnd {
     Answer(Response),
     /// No connection; provably never ran.
     Unreachable,
@@ -687,7 +687,7 @@
                 // An id that no socket has: the event is the call's only trace.
                 self.generation = self.generation.wrapping_add(1);
                 let id = u64::from(self.generation) << 32 | 0xffff_ffff;
-                events.push(Event::CallEnded { call: id, end: End::Unreachable });
+                events.push(Event::CallEnded { call: id, end: CallEnd::Unreachable });
                 id
             }
         }
@@ -743,9 +743,9 @@
         let Some(server) = self.server(id) else { return };
         let end = match server.step {
             Step::Idle => None,
-            Step::Connecting => Some(End::Unreachable),
-            _ if server.sent == 0 => Some(End::Unsent),
-            _ => Some(End::Broken(why)),
+            Step::Connecting => Some(CallEnd::Unreachable),
+            _ if server.sent == 0 => Some(CallEnd::Unsent),
+            _ => Some(CallEnd::Broken(why)),
         };
         self.drop_sock(id);
         if let Some(end) = end {
@@ -1025,7 +1025,7 @@
             if state.1.closes() && !server.stream {
                 let response = std::mem::take(&mut state.0);
                 self.drop_sock(id);
-                return events.push(Event::CallEnded { call: id, end: End::Answer(response) });
+                return events.push(Event::CallEnded { call: id, end: CallEnd::Answer(response) });
             }
             return self.lost(events, id, "half an answer");
         }
@@ -1077,7 +1077,7 @@
             let keep = response.keep && server.buf.is_empty() && server.sent == server.out.len();
             self.stray += u64::from(stray);
             self.park(id, keep);
-            events.push(Event::CallEnded { call: id, end: End::Answer(response) });
+            events.push(Event::CallEnded { call: id, end: CallEnd::Answer(response) });
         }
     }
 
--- a/net/tests/server.rs
+++ b/net/tests/server.rs
@@ -1,5 +1,5 @@
 //! The server side over real sockets: what each kind of odd or broken client gets.
-use rockpick_net::{http, Call, End, Event, Net, MS, SEC};
+use rockpick_net::{http, Call, CallEnd, Event, Net, MS, SEC};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -163,7 +163,7 @@
         net.turn(&mut events, SEC).unwrap();
     }
     assert!(
-        matches!(&events[0], Event::CallEnded { end: End::Answer(r), .. } if r.body == b"hi"),
+        matches!(&events[0], Event::CallEnded { end: CallEnd::Answer(r), .. } if r.body == b"hi"),
         "{events:?}"
     );
     assert!(matches!(events[1], Event::Timer { tag: 7 }));
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rockpick::{Member, Ns, Outcome, Reply, Roll, Standing, State, Verdict};
 use rockpick_net::http;
-use rockpick_net::{take_line, Call, End, Id, MS, SEC};
+use rockpick_net::{take_line, Call, CallEnd, Id, MS, SEC};
 use rockpick_platform::desk::{self, Line, Stood};
 use rockpick_platform::roster::{self, Telling};
 use serde_json::Value;
@@ -246,7 +246,7 @@
     }
 
     /// A call to discovery has ended, or its time is up.
-    pub fn discovery_over(&mut self, call: Id, end: Option<End>) -> Vec<Tell> {
+    pub fn discovery_over(&mut self, call: Id, end: Option<CallEnd>) -> Vec<Tell> {
         if self.discovery.fetch != Some(call) {
             let mute = self.discovery.watches.iter().any(|w| w.call == call && !w.spoke);
             self.discovery.mute |= mute && end.is_none();
@@ -255,7 +255,9 @@
         self.discovery.fetch = None;
         self.end_call(call);
         let told = match end {
-            Some(End::Answer(answer)) if answer.status == 200 => serde_json::from_slice(&answer.body).ok(),
+            Some(CallEnd::Answer(answer)) if answer.status == 200 => {
+                serde_json::from_slice(&answer.body).ok()
+            }
             _ => None,
         };
         let telling = told.as_ref().and_then(|t: &Value| roster::read(t, &mut self.startup.zones));
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -16,7 +16,7 @@
 pub use crew::{print, written};
 pub use day::Plan;
 use rockpick_net::http::{self, Response};
-use rockpick_net::{Call, End, Event, Net, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Net, MS, SEC};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -55,9 +55,9 @@
         for event in events.drain(..) {
             if let Event::CallEnded { end, .. } = event {
                 return match end {
-                    End::Answer(answer) => Ok(answer),
-                    End::Unreachable | End::Unsent => Err(format!("{to}: no connection")),
-                    End::Broken(why) => Err(format!("{to}: {why}")),
+                    CallEnd::Answer(answer) => Ok(answer),
+                    CallEnd::Unreachable | CallEnd::Unsent => Err(format!("{to}: no connection")),
+                    CallEnd::Broken(why) => Err(format!("{to}: {why}")),
                 };
             }
         }
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -8,7 +8,7 @@
 use rockpick_control::charter::{Repeats, Row};
 use rockpick_control::Charter;
 use rockpick_net::http::{self, Response};
-use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -251,15 +251,15 @@
         self.record.put(end_line(line, row, &t.rpc, self.clients.seed, front, took, late));
     }
 
-    fn ended(&mut self, call: Id, end: End) {
+    fn ended(&mut self, call: Id, end: CallEnd) {
         let Some(t) = self.tries.remove(&(call & (GIVE_UP - 1))) else { return };
         match end {
-            End::Answer(r) => self.answered(t, r),
-            End::Unreachable | End::Unsent => {
+            CallEnd::Answer(r) => self.answered(t, r),
+            CallEnd::Unreachable | CallEnd::Unsent => {
                 self.say(&t, json!({ "event": "not taken" }));
                 self.after(t.rpc, How::Unreachable, None);
             }
-            End::Broken(why) => {
+            CallEnd::Broken(why) => {
                 self.say(&t, json!({ "event": "broken", "why": why }));
                 self.after(t.rpc, How::Broken, None);
             }
--- a/standin/src/faulty.rs
+++ b/standin/src/faulty.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick_net::http::{self, Request};
-use rockpick_net::{take_line, Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{take_line, Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
                     Event::CallEnded { call, end } => {
                         let Some((conn, request, again)) = calls.remove(&call) else { continue };
                         match end {
-                            End::Answer(r) if r.status < 500 => {
+                            CallEnd::Answer(r) if r.status < 500 => {
                                 if self.breaks == 2 && !again && request.target == "/rpc/lodge" {
                                     // Once more, to be quite sure.
                                     let to = pick(&machines, 0, trial, &mut chance);
@@ -110,10 +110,10 @@
                                 let lines = [("Rockpick-Answer", "ok"), ("Rockpick-Build", &*build)];
                                 net.answer(conn, r.status, &lines, &r.body);
                             }
-                            End::Answer(r) if r.headers.get("rockpick-never-ran").is_some() => {
+                            CallEnd::Answer(r) if r.headers.get("rockpick-never-ran").is_some() => {
                                 net.answer(conn, 503, &[("Rockpick-Answer", "pushed-back")], b"");
                             }
-                            End::Unreachable | End::Unsent => {
+                            CallEnd::Unreachable | CallEnd::Unsent => {
                                 net.answer(conn, 503, &[("Rockpick-Answer", "pushed-back")], b"");
                             }
                             _ => net.answer(conn, 502, &[("Rockpick-Answer", "aborted")], b""),
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -3,7 +3,7 @@
 use crate::record::Record;
 use crate::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
 use rockpick_net::http::{self, Request};
-use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -180,7 +180,7 @@
                     Event::CallEnded { call, end } => {
                         if self.beat.is_some_and(|(id, _)| id == call) {
                             self.beat = None;
-                            if let End::Answer(r) = end {
+                            if let CallEnd::Answer(r) = end {
                                 if self.ordered(&r.body) {
                                     return Ok(());
                                 }
@@ -188,7 +188,7 @@
                         } else if self.settings == Some(call) {
                             self.settings = None;
                             match end {
-                                End::Answer(r) if r.status == 200 => {
+                                CallEnd::Answer(r) if r.status == 200 => {
                                     self.read_settings(&r.body);
                                     self.beat(at);
                                 }
