--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -15,7 +15,7 @@
 pub use net::{
     set_clock_skew, BoundListener, Call, CallEnd, Event, Id, Net, LINGER, MAX_BACKLOG, MAX_CALLS, MAX_IDLE,
 };
-pub use streams::{MAX_STREAMS, MOST_CLOSING};
+pub use streams::{MAX_CLOSING_STREAMS, MAX_STREAMS};
 pub use timers::{Ns, Timers};
 
 /// Takes a whole line, its end included, off the front of what has come of a stream.
--- a/net/src/net.rs
+++ b/net/src/net.rs
@@ -361,7 +361,7 @@
             streams: 0,
             closing: 0,
             most_streams: crate::MAX_STREAMS,
-            most_closing: crate::MOST_CLOSING,
+            most_closing: crate::MAX_CLOSING_STREAMS,
             refusal: Vec::new(),
             answered: Vec::new(),
             most_clients,
--- a/net/src/streams.rs
+++ b/net/src/streams.rs
@@ -17,7 +17,7 @@
 const MOST_DROPPED: usize = 512 * 1_024;
 /// Streams that are closing at once, unless told otherwise; one more is closed for good: a flood of them must not hold
 /// descriptors.
-pub const MOST_CLOSING: usize = 16;
+pub const MAX_CLOSING_STREAMS: usize = 16;
 /// What is read of a stream that is refused as it comes: first words, and no flood.
 const MOST_READ_OF_REFUSED: usize = 16 * 1_024;
 /// Last words on their way to a slow reader are waited for so long: after it few clients still wait for an answer.
@@ -95,7 +95,7 @@
 
     /// Closes a stream once all is sent and its peer has closed too, or after a bound of time and bytes; no
     /// event follows.
-    pub fn finish(&mut self, conn: Id) {
+    pub fn close_gracefully(&mut self, conn: Id) {
         let (now, many) = (self.now(), self.closing >= self.most_closing);
         let Some(stream) = self.stream_of(conn) else { return };
         let (again, over) = (stream.closing, stream.sent == stream.out.len());
@@ -129,17 +129,17 @@
     }
 
     /// Closing streams whose last words are not all out.
-    pub fn last_words(&self) -> usize {
+    pub fn unflushed_closing(&self) -> usize {
         self.ids_closing(false).count()
     }
 
     /// Has something come on a stream that was not read, and will be in the next turn?
-    pub fn unread(&mut self, conn: Id) -> bool {
-        self.stream_of(conn).is_some_and(|s| s.up && !s.paused) && !self.quiet(conn)
+    pub fn has_unread(&mut self, conn: Id) -> bool {
+        self.stream_of(conn).is_some_and(|s| s.up && !s.paused) && !self.nothing_unread(conn)
     }
 
     /// Is a stream open, with nothing come that was not read?
-    pub fn quiet(&mut self, conn: Id) -> bool {
+    pub fn nothing_unread(&mut self, conn: Id) -> bool {
         let Some(stream) = self.stream_of(conn) else { return false };
         stream.up && matches!(stream.io.peek(&mut [0]), Err(err) if would_block(&err))
     }
@@ -236,7 +236,7 @@
         let Some(stream) = self.stream_of(id) else { return };
         if waited && stream.out.is_empty() {
             if stream.closing {
-                return self.finish(id);
+                return self.close_gracefully(id);
             }
             events.push(Event::StreamFlushed { conn: id });
         }
--- a/net/tests/streams.rs
+++ b/net/tests/streams.rs
@@ -1,5 +1,5 @@
 //! Streams over real sockets: what becomes of last words.
-use rockpick_net::{Event, Net, MOST_CLOSING, MS};
+use rockpick_net::{Event, Net, MAX_CLOSING_STREAMS, MS};
 use std::io::Read;
 use std::net::TcpStream;
 
@@ -28,17 +28,17 @@
 #[test]
 fn last_words_on_their_way_come_before_streams_that_have_said_all() {
     let mut net = Net::new(0).unwrap();
-    let mut all = streams(&mut net, MOST_CLOSING + 1);
+    let mut all = streams(&mut net, MAX_CLOSING_STREAMS + 1);
     let (mut reader, slow) = all.pop().unwrap();
-    all.iter().for_each(|(_, conn)| net.finish(*conn));
+    all.iter().for_each(|(_, conn)| net.close_gracefully(*conn));
     // More than the system takes at once: some of it waits here.
     let mut many = 0;
     while net.backlog(slow) == Some(0) {
         assert!(net.send(slow, &vec![7; 1 << 20]));
         many += 1 << 20;
     }
-    net.finish(slow);
-    assert_eq!(net.last_words(), 1);
+    net.close_gracefully(slow);
+    assert_eq!(net.unflushed_closing(), 1);
     let read = std::thread::spawn(move || {
         let mut came = Vec::new();
         reader.read_to_end(&mut came).map(|_| came.len())
@@ -48,5 +48,5 @@
         net.turn(&mut events, 10 * MS).unwrap();
     }
     assert_eq!(read.join().unwrap().unwrap(), many);
-    assert_eq!(net.last_words(), 0);
+    assert_eq!(net.unflushed_closing(), 0);
 }
--- a/node/src/clients.rs
+++ b/node/src/clients.rs
@@ -187,7 +187,7 @@
         if self.clients.all.len() >= self.clients.most && !self.make_room() {
             self.clients.turned_away += 1;
             self.net.send(id, &too_many_connections());
-            return self.net.finish(id);
+            return self.net.close_gracefully(id);
         }
         let client = Client { since: now, ..Client::default() };
         self.clients.all.insert(id, client);
@@ -204,12 +204,12 @@
         let idle = |id: &Id| rested(id).is_some_and(|c| c.came.is_empty());
         let half = |id: &Id| rested(id).is_some_and(|c| !c.came.is_empty() && !c.holds_whole());
         let ids = || self.clients.quiet.iter().map(|(.., id)| *id);
-        if let Some(old) = ids().find(|id| idle(id) && net.quiet(*id)) {
+        if let Some(old) = ids().find(|id| idle(id) && net.nothing_unread(*id)) {
             self.clients.closed.for_room += 1;
             self.close_resting(old);
             return true;
         }
-        let found = ids().find(|id| half(id) && net.quiet(*id));
+        let found = ids().find(|id| half(id) && net.nothing_unread(*id));
         if let Some(old) = found {
             self.end_client(old, pg::NOT_NOW, "too many connections");
         }
@@ -242,7 +242,7 @@
             return self.net.pause(id, false);
         }
         self.forget_client(id);
-        self.net.finish(id);
+        self.net.close_gracefully(id);
     }
 
     /// Closes a connection on which nothing is owed and nothing is to be said. A request may come after the look for unread
@@ -284,7 +284,7 @@
     /// The time of a client's connection is up.
     pub fn client_due(&mut self, id: Id) {
         // What has come since this turn's bytes were read is heard first.
-        if self.net.unread(id) {
+        if self.net.has_unread(id) {
             return self.due(id, self.net.now() + SOON);
         }
         let Some(client) = self.clients.all.get(&id) else { return };
@@ -496,7 +496,7 @@
         let net = &mut self.net;
         let rests = |(id, c): (&Id, &Client)| {
             let none = c.owed.is_empty() && c.came.is_empty();
-            (none && (c.spoke || first_over) && !net.unread(*id)).then_some(*id)
+            (none && (c.spoke || first_over) && !net.has_unread(*id)).then_some(*id)
         };
         let rest: Vec<Id> = self.clients.all.iter().filter_map(rests).collect();
         self.clients.closed.in_stop += rest.len() as u64;
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -9,7 +9,7 @@
 
 /// Descriptors that are neither clients' nor machines': loop, listener, signals, standard streams, desk and discovery
 /// (two each at a reload, a vote, a fetch), the log, the file of a reload, and the spare; and streams that are closing.
-pub const RESERVE: usize = OURS + rockpick_net::MOST_CLOSING;
+pub const RESERVE: usize = OURS + rockpick_net::MAX_CLOSING_STREAMS;
 pub const OURS: usize = 28;
 /// A connection is used again so long after its answer, as a second copy of that may still come, and would be taken for the
 /// answer to the next query: 32 copies came 1.1 to 3.9 ms late in six small days of the operators' bench, so twice that. At
@@ -193,7 +193,8 @@
         };
         while let Some(id) = self.pool.rested(machine, now) {
             // Found closed, or holding bytes that nobody asked for: replaced, and no pick that ran.
-            let fit = self.net.quiet(id) && self.pool.conns.get(&id).is_some_and(|c| c.answer.clean());
+            let fit =
+                self.net.nothing_unread(id) && self.pool.conns.get(&id).is_some_and(|c| c.answer.clean());
             if fit && self.ask_machine(id, rpc, number) {
                 return;
             }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -489,7 +489,7 @@
         let now = self.effects.net.now();
         self.effects.close_clients(door_closed);
         let owes = self.effects.clients.count() > 0
-            || self.effects.net.last_words() > 0
+            || self.effects.net.unflushed_closing() > 0
             || !self.effects.made.is_empty();
         let longest = self.effects.startup.methods.iter().map(|(_, longest)| *longest).max().unwrap_or(0);
         if owes && now - began < longest.clamp(LEAST_STOP, MOST_STOP) + BEYOND {
--- a/node/src/tests.rs
+++ b/node/src/tests.rs
@@ -90,7 +90,7 @@
     let mut out = Vec::new();
     pg::put_query(&mut out, "");
     io.write_all(&out).unwrap();
-    while !place.effects.net.unread(id) {
+    while !place.effects.net.has_unread(id) {
         std::thread::yield_now();
     }
 }
