--- a/load/src/thread.rs
+++ b/load/src/thread.rs
@@ -67,7 +67,7 @@
     thread.work()?;
     let Thread { mut result, crowd, net, .. } = thread;
     result.tolls = crowd.tolls;
-    result.tolls.stray = net.stray;
+    result.tolls.stray = net.unexpected_data;
     Ok(result)
 }
 
--- a/net/src/net.rs
+++ b/net/src/net.rs
@@ -257,15 +257,15 @@
     pub(crate) streams: usize,
     pub(crate) closing: usize,
     /// Most streams; one more is not dialled, or closed as it comes.
-    pub most_streams: usize,
+    pub max_streams: usize,
     /// Most streams that are closing.
-    pub most_closing: usize,
+    pub max_closing: usize,
     /// What a stream that finds no room is told before it is closed.
-    pub refusal: Vec<u8>,
+    pub stream_refusal: Vec<u8>,
     /// Connections whose answer is out, and whose next request may be waiting.
     answered: Vec<Id>,
     /// Most client connections; one more is answered 503 at once.
-    pub most_clients: usize,
+    pub max_clients: usize,
     /// A head must be whole this long after its first byte, and a body after its head, else 408.
     pub head_time: Ns,
     pub body_time: Ns,
@@ -276,7 +276,7 @@
     pub(crate) scratch: Vec<u8>,
     pub refused: u64,
     /// Words that came after an answer, or with no call on the connection.
-    pub stray: u64,
+    pub unexpected_data: u64,
     /// Answer to a connection over the bound.
     full: Vec<u8>,
 }
@@ -341,7 +341,7 @@
 }
 
 impl Net {
-    pub fn new(most_clients: usize) -> io::Result<Net> {
+    pub fn new(max_clients: usize) -> io::Result<Net> {
         let mut full = Vec::new();
         let lines =
             [("Rockpick-Answer", "pushed-back"), ("Retry-After", "1"), ("Rockpick-Retry-After-Ms", "250")];
@@ -360,18 +360,18 @@
             lingering: 0,
             streams: 0,
             closing: 0,
-            most_streams: crate::MAX_STREAMS,
-            most_closing: crate::MAX_CLOSING_STREAMS,
-            refusal: Vec::new(),
+            max_streams: crate::MAX_STREAMS,
+            max_closing: crate::MAX_CLOSING_STREAMS,
+            stream_refusal: Vec::new(),
             answered: Vec::new(),
-            most_clients,
+            max_clients,
             head_time: HEAD_TIME,
             body_time: BODY_TIME,
             write_time: WRITE_TIME,
             spare: spare(),
             scratch: vec![0; READ],
             refused: 0,
-            stray: 0,
+            unexpected_data: 0,
             full,
         })
     }
@@ -594,7 +594,7 @@
     }
 
     /// Sends raw bytes in place of an answer, and closes after them when told (for broken peers).
-    pub fn raw(&mut self, conn: Id, bytes: &[u8], close: bool) {
+    pub fn send_raw(&mut self, conn: Id, bytes: &[u8], close: bool) {
         if let Some(client) = self.client(conn) {
             client.out.extend_from_slice(bytes);
             client.close = close;
@@ -840,7 +840,7 @@
             return;
         }
         let _ = io.set_nodelay(true);
-        let full = self.clients >= self.most_clients;
+        let full = self.clients >= self.max_clients;
         let client = Client {
             io,
             buf: Vec::new(),
@@ -1035,7 +1035,7 @@
     fn digest(&mut self, events: &mut Vec<Event>, id: Id) {
         let Some(server) = self.server(id) else { return };
         if matches!(server.step, Step::Idle) {
-            self.stray += 1;
+            self.unexpected_data += 1;
             return self.drop_sock(id);
         }
         let most = if server.stream { usize::MAX } else { http::MAX_BODY };
@@ -1075,7 +1075,7 @@
             // Words beyond the answer, or an answer before the request was whole: not a connection to keep.
             let stray = !server.buf.is_empty();
             let keep = response.keep && server.buf.is_empty() && server.sent == server.out.len();
-            self.stray += u64::from(stray);
+            self.unexpected_data += u64::from(stray);
             self.park(id, keep);
             events.push(Event::CallEnded { call: id, end: CallEnd::Answer(response) });
         }
--- a/net/src/streams.rs
+++ b/net/src/streams.rs
@@ -47,7 +47,7 @@
     /// # Errors
     /// Too many streams, no descriptor, an address that can't be reached at all.
     pub fn dial(&mut self, to: SocketAddr, within: Ns) -> io::Result<Id> {
-        if self.streams >= self.most_streams {
+        if self.streams >= self.max_streams {
             return Err(ErrorKind::OutOfMemory.into());
         }
         let io = connecting(&to)?;
@@ -96,7 +96,7 @@
     /// Closes a stream once all is sent and its peer has closed too, or after a bound of time and bytes; no
     /// event follows.
     pub fn close_gracefully(&mut self, conn: Id) {
-        let (now, many) = (self.now(), self.closing >= self.most_closing);
+        let (now, many) = (self.now(), self.closing >= self.max_closing);
         let Some(stream) = self.stream_of(conn) else { return };
         let (again, over) = (stream.closing, stream.sent == stream.out.len());
         if many && !again {
@@ -195,7 +195,7 @@
                     self.spare = None;
                     if let Some(Sock::Streams(l)) = self.get(listener).map(|s| &s.sock) {
                         if let Ok((io, _)) = l.accept() {
-                            refuse(io, &self.refusal);
+                            refuse(io, &self.stream_refusal);
                         }
                     }
                     self.refused += 1;
@@ -204,9 +204,9 @@
                 }
                 Err(_) => return,
             };
-            if self.streams >= self.most_streams || io.set_nonblocking(true).is_err() {
+            if self.streams >= self.max_streams || io.set_nonblocking(true).is_err() {
                 self.refused += 1;
-                refuse(io, &self.refusal);
+                refuse(io, &self.stream_refusal);
                 continue;
             }
             let _ = io.set_nodelay(true);
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -75,8 +75,8 @@
     /// An address that can't be had, no signals, a loop that fails.
     pub fn prepare(startup: Startup) -> Result<Node, String> {
         let mut net = Net::new(0).map_err(say)?;
-        net.most_streams = startup.sockets - crate::connection_pool::OURS / 2;
-        net.refusal = crate::clients::too_many_connections();
+        net.max_streams = startup.sockets - crate::connection_pool::OURS / 2;
+        net.stream_refusal = crate::clients::too_many_connections();
         for signal in [SIGHUP, SIGTERM, SIGINT] {
             net.on_signal(signal).map_err(say)?;
         }
@@ -480,7 +480,7 @@
         self.effects.net.close(listener);
         self.effects.made.append(&mut events);
         // Nobody comes any more for whom descriptors are to be kept.
-        self.effects.net.most_closing = self.effects.net.most_streams;
+        self.effects.net.max_closing = self.effects.net.max_streams;
     }
 
     /// In a stop: is everything answered, and on its way to whoever reads slowly?
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -183,9 +183,9 @@
                 }
             }
             if self.done && self.tries.is_empty() && self.waiting.is_empty() && self.disputes.is_empty() {
-                self.crowd.tolls.stray = self.net.stray;
+                self.crowd.tolls.stray = self.net.unexpected_data;
                 self.record.put(
-                    json!({ "event": "end", "stray": self.net.stray, "not_sent": self.crowd.tolls.not_sent }),
+                    json!({ "event": "end", "stray": self.net.unexpected_data, "not_sent": self.crowd.tolls.not_sent }),
                 );
                 return Ok((self.crowd.tolls, self.crowd.times));
             }
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -88,11 +88,11 @@
             Reply::Reset => self.net.close(conn),
             Reply::Half => {
                 let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{\"ha", body.len());
-                self.net.raw(conn, text.as_bytes(), true);
+                self.net.send_raw(conn, text.as_bytes(), true);
             }
             Reply::WrongLength => {
                 let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() + 7);
-                self.net.raw(conn, text.as_bytes(), true);
+                self.net.send_raw(conn, text.as_bytes(), true);
             }
         }
     }
@@ -337,7 +337,7 @@
         let json: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match Fault::read(&json) {
             Ok(fault) => {
-                self.street.net.most_clients = fault.connections.unwrap_or(MOST_CLIENTS);
+                self.street.net.max_clients = fault.connections.unwrap_or(MOST_CLIENTS);
                 self.shop.fault = fault;
                 self.street.net.answer(conn, 200, &[], b"{}\n");
             }
