--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -526,14 +526,14 @@
                 std::fs::create_dir_all(dir).map_err(|err| Bad2(format!("{}: {err}", dir.display())))?;
                 circle.file = Some(dir.join(format!("{name}.peers.rows")));
             }
-            let opening = rockpick_front::Opening {
+            let opening = rockpick_front::Options {
                 name,
                 listen: listen.listen,
                 controller: at.controller,
                 state,
                 seed,
                 profile,
-                most_clients: clients,
+                max_clients: clients,
                 notes_at,
                 peers: circle,
             };
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -8,7 +8,7 @@
 use rockpick_control::release::{Release, Running};
 use rockpick_control::roster::{Beat, Order, Roster};
 use rockpick_control::Charter;
-use rockpick_front::fresh;
+use rockpick_front::restart;
 use rockpick_ldap::message::{Attribute, Entry as Record};
 use rockpick_ldap::News;
 use rockpick_net::{MS, SEC};
@@ -760,7 +760,7 @@
     fn take(&mut self, front: u32, attempt: u64) {
         let Some(t) = self.tries.get(&attempt) else { return };
         let margin = self.charter.guard.answer_margin_ms as Ns * MS;
-        let in_time = fresh::in_time(t.told - self.now, margin);
+        let in_time = restart::can_answer_in_time(t.told - self.now, margin);
         let seat = &mut self.seats[front as usize];
         if seat.life != t.life || seat.front.is_none() {
             return self.answered(attempt, How::Unreachable, -1);
@@ -898,7 +898,7 @@
         seat.standing = news.or(seat.standing);
         let mut held = news;
         if let Some(news) = news {
-            let (may, again) = fresh::standing(news, seat.born, now, window);
+            let (may, again) = restart::limit_cap(news, seat.born, now, window);
             held = Some(may);
             if let Some(at) = again.filter(|_| !seat.again) {
                 seat.again = true;
--- a/front/src/hall.rs
+++ b/front/src/hall.rs
@@ -2,7 +2,7 @@
 use crate::saved::{self, Saved};
 use crate::shelf::Shelf;
 use crate::wire::{back_lines, read_note, wait_lines, What, Wire, LAPSE, LOG_LINES, MODULE, PEERS, TICK};
-use crate::{fresh, Opening};
+use crate::{restart, Options};
 use rockpick::{Front, Member, Ns, Outcome, Reply, Roll, Standing, State};
 use rockpick_control::charter::{plain, Repeats, Wrong, MOST_WEIGHT, MOST_ZONES};
 use rockpick_control::desk::{phase_of, phase_word, state_of, MOST_ROWS};
@@ -69,9 +69,9 @@
 ///
 /// # Errors
 /// An address that can't be listened on, a snapshot that makes no sense.
-pub fn run(opening: Opening, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
+pub fn run(opening: Options, ready: impl FnOnce(SocketAddr)) -> Result<(), String> {
     let say = |err: std::io::Error| err.to_string();
-    let mut net = Net::new(opening.most_clients).map_err(say)?;
+    let mut net = Net::new(opening.max_clients).map_err(say)?;
     for signal in [SIGTERM, SIGINT] {
         net.on_signal(signal).map_err(say)?;
     }
@@ -371,7 +371,7 @@
             Some(Ok(ms)) if ms.is_finite() && ms > 0.0 => ((ms * MS as f64) as Ns).min(whole),
             Some(_) => return self.not_taken(conn, 400, "Rockpick-Time-Left-Ms: a number above 0 is wanted"),
         };
-        if !fresh::in_time(left, self.wire.charter.guard.answer_margin_ms as Ns * MS) {
+        if !restart::can_answer_in_time(left, self.wire.charter.guard.answer_margin_ms as Ns * MS) {
             return self.not_taken(conn, 503, "too little time is left to answer");
         }
         if row.repeat == Repeats::Tokened && request.headers.get("idempotency-key").is_none_or(str::is_empty)
@@ -587,7 +587,7 @@
                 tracing::info!(event = "told", build, stage, phase = phase_word(news.phase), cap = news.cap);
                 self.dirty = true;
             }
-            let (may, again) = fresh::standing(news, self.born, now, window);
+            let (may, again) = restart::limit_cap(news, self.born, now, window);
             if again.is_some() && self.again.is_none() {
                 self.wire.net.wake_at(self.born + window, TICK);
             }
--- a/front/src/lib.rs
+++ b/front/src/lib.rs
@@ -1,8 +1,8 @@
 //! The running front. It reports every event of the interface to the decision module and carries out what
-//! the module says ([`wire`]); it decides nothing itself. What a restarted front may do is in [`fresh`].
-pub mod fresh;
+//! the module says ([`wire`]); it decides nothing itself. What a restarted front may do is in [`restart`].
 mod hall;
 mod lapses;
+pub mod restart;
 mod saved;
 mod shelf;
 mod wire;
@@ -13,7 +13,7 @@
 
 /// What a front is given on its command line.
 #[derive(Clone)]
-pub struct Opening {
+pub struct Options {
     pub name: String,
     pub listen: SocketAddr,
     pub controller: SocketAddr,
@@ -21,7 +21,7 @@
     pub seed: u64,
     /// Measure the time spent in the module (a clock reading before and after each call).
     pub profile: bool,
-    pub most_clients: usize,
+    pub max_clients: usize,
     /// Where other fronts are told to send notes, if not to the socket's own address.
     pub notes_at: Option<SocketAddr>,
     /// The other fronts that it keeps company with; none: it knows of nobody.
--- a/front/src/fresh.rs
+++ b/front/src/restart.rs
@@ -14,10 +14,10 @@
 /// is pushed back untaken: a pick for it would end after its client has given up, and so would the answer.
 ///
 /// ```
-/// assert!(rockpick_front::fresh::in_time(60_000_000, 40_000_000));
-/// assert!(!rockpick_front::fresh::in_time(44_000_000, 40_000_000));
+/// assert!(rockpick_front::restart::can_answer_in_time(60_000_000, 40_000_000));
+/// assert!(!rockpick_front::restart::can_answer_in_time(44_000_000, 40_000_000));
 /// ```
-pub fn in_time(left: Ns, margin: Ns) -> bool {
+pub fn can_answer_in_time(left: Ns, margin: Ns) -> bool {
     left > margin + PICK
 }
 
@@ -26,11 +26,11 @@
 /// ```
 /// use rockpick::{Phase, Standing};
 /// let news = Standing { build: 2, stage: 0, phase: Phase::OnTrial, cap: 0.14, since: 0 };
-/// let (held, again) = rockpick_front::fresh::standing(news, 1_000, 2_000, 5_000);
+/// let (held, again) = rockpick_front::restart::limit_cap(news, 1_000, 2_000, 5_000);
 /// assert_eq!((held.cap, again), (0.0, Some(6_000)));
-/// assert_eq!(rockpick_front::fresh::standing(news, 1_000, 6_000, 5_000).0.cap, 0.14);
+/// assert_eq!(rockpick_front::restart::limit_cap(news, 1_000, 6_000, 5_000).0.cap, 0.14);
 /// ```
-pub fn standing(news: Standing, born: Ns, now: Ns, window: Ns) -> (Standing, Option<Ns>) {
+pub fn limit_cap(news: Standing, born: Ns, now: Ns, window: Ns) -> (Standing, Option<Ns>) {
     if now - born >= window || news.phase != Phase::OnTrial {
         return (news, None);
     }
--- a/front/src/wire.rs
+++ b/front/src/wire.rs
@@ -1,7 +1,7 @@
 //! What the module's actions do: picks become HTTP requests, answers go to clients, votes to the controller,
 //! notes out as datagrams. It decides nothing.
 use crate::lapses::Lapses;
-use crate::Opening;
+use crate::Options;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick::{Ctl, Ns, Outcome, Standing, Verdict};
@@ -117,7 +117,7 @@
 pub struct Wire {
     pub net: Net,
     pub door: Door,
-    pub opening: Opening,
+    pub opening: Options,
     pub charter: Charter,
     pub life: u64,
     /// The life whose call is being made.
@@ -161,7 +161,7 @@
 
 impl Wire {
     pub fn new(
-        opening: Opening, charter: Charter, net: Net, notes: Id, at: SocketAddr, notes_at: SocketAddr,
+        opening: Options, charter: Charter, net: Net, notes: Id, at: SocketAddr, notes_at: SocketAddr,
     ) -> Wire {
         let notes_real = notes_at;
         let notes_at = opening.notes_at.unwrap_or(notes_at).to_string();
