--- a/front/src/lib.rs
+++ b/front/src/lib.rs
@@ -1,17 +1,18 @@
-//! The running front. It reports every event of the interface to the decision module and carries out what
-//! the module says ([`wire`]); it decides nothing itself. What a restarted front may do is in [`restart`].
-mod hall;
-mod lapses;
+//! The front as a process. It reports every event of the interface to the decision module and carries out the
+//! module's actions (`effects`); it decides nothing itself. The rules for a restarted front are in
+//! [`restart`].
+mod call_timeouts;
+mod effects;
 pub mod restart;
-mod saved;
-mod shelf;
-mod wire;
+mod server;
+mod snapshot;
+mod tenants;
 
-pub use hall::run;
+pub use server::run;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// What a front is given on its command line.
+/// The command line options of a front.
 #[derive(Clone)]
 pub struct Options {
     pub name: String,
@@ -19,11 +20,11 @@
     pub controller: SocketAddr,
     pub state: Option<PathBuf>,
     pub seed: u64,
-    /// Measure the time spent in the module (a clock reading before and after each call).
+    /// Measure the time spent in the module, by reading the clock before and after each call.
     pub profile: bool,
     pub max_clients: usize,
-    /// Where other fronts are told to send notes, if not to the socket's own address.
+    /// The address to which other fronts are told to send notes, if not the address of the socket.
     pub notes_at: Option<SocketAddr>,
-    /// The other fronts that it keeps company with; none: it knows of nobody.
+    /// How to reach the other fronts for the peer exchange; `None` disables it.
     pub peers: Option<rockpick_peers::Circle>,
 }
