--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -763,7 +763,7 @@
             peers.tell_all(&mut front);
         }
         self.instances.push_back((self.effects.newest_instance, front));
-        tracing::info!(event = "settings", version, instance = self.effects.newest_instance);
+        tracing::info!(event = "settings", version, life = self.effects.newest_instance);
         // The new instance starts with the known stage and roster; the watch that it has just asked for
         // brings the rest.
         if let Some(stage) = self.stage.clone() {
