--- a/files/src/lib.rs
+++ b/files/src/lib.rs
@@ -1,13 +1,14 @@
-//! The one layer through which all that must outlive a process is written and read. As it stands it is the system's files.
-//! Where a storm asks for it ([`inject_faults_from`], a hidden option), it lies as disks do: what is not synced is held back as if in a
-//! page cache that a power cut takes, syncs that say they succeed keep nothing, calls fail, take long, or bring other bytes.
+//! The layer through which all persistent files are written and read. Normally it passes calls on to the file
+//! system. For fault tests ([`inject_faults_from`], a hidden option) it simulates failing disks: writes that
+//! are not synced are held back, as if in a page cache that a power cut loses, syncs report success without
+//! effect, calls fail or take long, and reads return altered bytes.
 use std::fs;
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// How disks lie, by the names that a storm's plan gives.
+/// The names of the injected faults, as used in the plans of fault tests.
 pub const FAULT_NAMES: [&str; 9] = [
     "sync-lies",
     "sync-fails",
@@ -20,106 +21,107 @@
     "slow",
 ];
 
-/// A call that hangs, for so long.
-const HANGS: Duration = Duration::from_secs(5);
+/// How long a slow call takes.
+const SLOW_CALL: Duration = Duration::from_secs(5);
 
-static LIE: OnceLock<PathBuf> = OnceLock::new();
+static FAULT_FILE: OnceLock<PathBuf> = OnceLock::new();
 
-/// From now on this file's text is how the disk lies; none, or nothing in it: it does not. Said once, at start.
+/// Sets the file whose text names the current fault; an empty or missing file means none. Called once, at
+/// start.
 pub fn inject_faults_from(file: PathBuf) {
-    let _ = LIE.set(file);
+    let _ = FAULT_FILE.set(file);
 }
 
-/// The lie that is on now, looked at once a call; one that is slow has taken its time by then.
-fn lie() -> Option<String> {
-    let text = fs::read_to_string(LIE.get()?).ok()?;
+/// The current fault, read once per call. A slow call sleeps here.
+fn current_fault() -> Option<String> {
+    let text = fs::read_to_string(FAULT_FILE.get()?).ok()?;
     let name = text.trim();
     if name == "slow" {
-        std::thread::sleep(HANGS);
+        std::thread::sleep(SLOW_CALL);
     }
     Some(name.to_string())
 }
 
-fn fails(kind: io::ErrorKind) -> io::Error {
-    io::Error::new(kind, "the disk says so")
+fn fault_error(kind: io::ErrorKind) -> io::Error {
+    io::Error::new(kind, "injected disk fault")
 }
 
-/// A new file, or one written anew.
+/// A file that is created or truncated for writing.
 pub struct File {
-    real: fs::File,
-    /// Not synced yet, where the layer may lie: gone with the process.
-    held: Vec<u8>,
+    inner: fs::File,
+    /// Data that is not synced yet, if faults may be injected; lost with the process.
+    unsynced: Vec<u8>,
 }
 
 impl File {
     /// # Errors
-    /// Those of the file system.
+    /// Errors of the file system.
     pub fn create(path: &Path) -> io::Result<File> {
-        Ok(File { real: fs::File::create(path)?, held: Vec::new() })
+        Ok(File { inner: fs::File::create(path)?, unsynced: Vec::new() })
     }
 
     /// # Errors
-    /// Those of the file system; a part may have been written then.
+    /// Errors of the file system; part of the data may have been written.
     pub fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if LIE.get().is_none() {
-            return self.real.write_all(bytes);
+        if FAULT_FILE.get().is_none() {
+            return self.inner.write_all(bytes);
         }
         let half = &bytes[..bytes.len() / 2];
-        match lie().as_deref() {
-            Some("write-fails") => return Err(fails(io::ErrorKind::Other)),
+        match current_fault().as_deref() {
+            Some("write-fails") => return Err(fault_error(io::ErrorKind::Other)),
             Some("no-space") => {
-                self.held.extend_from_slice(half);
-                return Err(fails(io::ErrorKind::StorageFull));
+                self.unsynced.extend_from_slice(half);
+                return Err(fault_error(io::ErrorKind::StorageFull));
             }
-            Some("write-short") => self.held.extend_from_slice(half),
-            _ => self.held.extend_from_slice(bytes),
+            Some("write-short") => self.unsynced.extend_from_slice(half),
+            _ => self.unsynced.extend_from_slice(bytes),
         }
         Ok(())
     }
 
     /// # Errors
-    /// Those of the file system. What was written since the last sync that succeeded is not to be relied on from then on.
+    /// Errors of the file system. Data written since the last successful sync can no longer be relied on.
     pub fn sync(&mut self) -> io::Result<()> {
-        if LIE.get().is_some() {
-            let lie = lie();
-            if lie.as_deref() == Some("sync-lies") {
+        if FAULT_FILE.get().is_some() {
+            let fault = current_fault();
+            if fault.as_deref() == Some("sync-lies") {
                 return Ok(());
             }
-            let held = std::mem::take(&mut self.held);
-            if lie.as_deref() == Some("sync-fails") {
-                return Err(fails(io::ErrorKind::Other));
+            let unsynced = std::mem::take(&mut self.unsynced);
+            if fault.as_deref() == Some("sync-fails") {
+                return Err(fault_error(io::ErrorKind::Other));
             }
-            self.real.write_all(&held)?;
+            self.inner.write_all(&unsynced)?;
         }
-        self.real.sync_all()
+        self.inner.sync_all()
     }
 }
 
 /// # Errors
-/// Those of the file system; both files then stand as they were.
+/// Errors of the file system; both files are then unchanged.
 pub fn rename(from: &Path, to: &Path) -> io::Result<()> {
-    if lie().as_deref() == Some("rename-fails") {
-        return Err(fails(io::ErrorKind::Other));
+    if current_fault().as_deref() == Some("rename-fails") {
+        return Err(fault_error(io::ErrorKind::Other));
     }
     fs::rename(from, to)
 }
 
 /// # Errors
-/// Those of the file system; a rename may be lost by a power cut then.
-pub fn sync_folder(dir: &Path) -> io::Result<()> {
-    if lie().as_deref() == Some("sync-lies") {
+/// Errors of the file system; a power cut may then undo a rename.
+pub fn sync_dir(dir: &Path) -> io::Result<()> {
+    if current_fault().as_deref() == Some("sync-lies") {
         return Ok(());
     }
     fs::File::open(dir)?.sync_all()
 }
 
 /// # Errors
-/// Those of the file system, also that there is no such file.
+/// Errors of the file system, including that the file does not exist.
 pub fn read(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = fs::read(path)?;
-    match lie().as_deref() {
-        Some("read-fails") => return Err(fails(io::ErrorKind::Other)),
-        // One bit, in the middle of what is there.
+    match current_fault().as_deref() {
+        Some("read-fails") => return Err(fault_error(io::ErrorKind::Other)),
+        // Flips one bit in the middle of the data.
         Some("read-flips") if !bytes.is_empty() => {
             let at = bytes.len() / 2;
             bytes[at] ^= 0x10;
@@ -129,27 +131,28 @@
     Ok(bytes)
 }
 
-/// Replaces a file as a whole, so that a reader finds the old text or the new one, also after a power cut: writes beside it,
-/// syncs, renames over it, syncs the folder. The file stays open for what is to be written behind.
+/// Replaces a file atomically, so that a reader finds the old or the new content, also after a power cut:
+/// writes a temporary file beside it, syncs it, renames it over the old file and syncs the directory. The
+/// returned file is open for appending.
 ///
 /// # Errors
-/// Those of the file system; the old file then stands as it was.
+/// Errors of the file system; the old file is then unchanged.
 pub fn replace(path: &Path, bytes: &[u8]) -> io::Result<File> {
-    let beside = path.with_extension("new");
-    let mut file = File::create(&beside)?;
+    let temporary = path.with_extension("new");
+    let mut file = File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync()?;
-    rename(&beside, path)?;
+    rename(&temporary, path)?;
     if let Some(dir) = path.parent().filter(|dir| !dir.as_os_str().is_empty()) {
-        sync_folder(dir)?;
+        sync_dir(dir)?;
     }
     Ok(file)
 }
 
-/// A file's bytes; none when there is no such file.
+/// Reads a file; returns `None` if it does not exist.
 ///
 /// # Errors
-/// Those of the file system.
+/// Errors of the file system.
 pub fn load(path: &Path) -> io::Result<Option<Vec<u8>>> {
     match read(path) {
         Ok(bytes) => Ok(Some(bytes)),
