--- a/cli/tests/front.rs
+++ b/cli/tests/front.rs
@@ -1,4 +1,4 @@
-//! The running front against scripted peers: the failures that its rules are for.
+//! Tests of the front process against scripted controllers and machines, for the failures that its rules cover.
 mod peers;
 
 use peers::*;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_rpc_is_passed_on_whole_and_its_answer_says_who_gave_it() {
+fn an_rpc_is_forwarded_whole_and_its_answer_names_the_machine() {
     let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Answers));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
@@ -31,7 +31,7 @@
     }
     let got = machine.got.recv_timeout(PATIENCE).unwrap();
     assert_eq!((line_of(&got, "x-own"), line_of(&got, "idempotency-key")), ("kept".into(), "k1".into()));
-    assert_eq!(line_of(&got, "x-gone"), "", "named by Connection: it ends here");
+    assert_eq!(line_of(&got, "x-gone"), "", "a header named by Connection is not forwarded");
     assert!(line_of(&got, "rockpick-time-left-ms").parse::<u32>().unwrap() <= 3_000);
     for (method, lines, wanted) in [
         ("save", "", 400),
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_aborted_and_what_never_ran_is_pushed_back_or_goes_on() {
+fn rpcs_that_may_have_run_are_aborted_and_others_pushed_back_or_retried() {
     for (does, method, wanted, answer) in [
         (Does::Half, "lodge", 502, "aborted"),
         (Does::WrongLength, "lodge", 502, "aborted"),
@@ -61,13 +61,13 @@
         teller.roster("whole", &[("m", machine.at, 1, "up")]);
         let front = front(teller.at, &[]);
         listed(&front, 1);
-        let began = Instant::now();
+        let started = Instant::now();
         let (status, said) = rpc(front.at, method, "Rockpick-Time-Left-Ms: 500\r\n");
         assert!(status == wanted && said.contains(&format!("Rockpick-Answer: {answer}")), "{method}: {said}");
-        assert!(began.elapsed() < Duration::from_millis(500), "before the deadline");
+        assert!(started.elapsed() < Duration::from_millis(500), "before the deadline");
         assert_eq!(machine.got.try_iter().count(), 1);
     }
-    // A second machine takes what the first provably never ran, or what may run again.
+    // A second machine gets RPCs that the first provably never ran, and idempotent ones.
     for does in [Does::Half, Does::Full] {
         let (teller, bad, good) =
             (Teller::begin(charter()), Scripted::begin(does), Scripted::begin(Does::Answers));
@@ -78,13 +78,14 @@
         let method = if does == Does::Full { "lodge" } else { "lookup" };
         let said: Vec<u16> = (0..8).map(|_| rpc(front.at, method, "").0).collect();
         assert_eq!(said, [200; 8]);
-        assert!(bad.got.try_iter().count() > 0, "the bad one was tried");
+        assert!(bad.got.try_iter().count() > 0, "the failing machine was tried");
     }
 }
 
-/// A kill between a machine's effect and the client's answer: no second effect, ever.
+/// Guards against a second effect: the front is killed after a machine has run an RPC and before the client has its
+/// answer.
 #[test]
-fn a_front_killed_in_mid_effect_does_not_send_it_again() {
+fn a_front_killed_during_an_rpc_does_not_send_it_again() {
     let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Never));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
@@ -97,9 +98,9 @@
     let client = std::thread::spawn(move || rpc(at, "lodge", ""));
     machine.got.recv_timeout(PATIENCE).unwrap();
     one.child.kill().unwrap();
-    assert_eq!(client.join().unwrap().0, 0, "the client hears nothing, and must not send it again");
+    assert_eq!(client.join().unwrap().0, 0, "the client gets no answer, and must not send the RPC again");
     drop(one);
-    // Back from its snapshot, with no controller to be found; it serves at once, and nothing was sent again.
+    // Restarted from its snapshot without a controller, the front serves at once and has sent nothing again.
     let nobody = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let two = front(nobody, &["--state", &state]);
     assert_eq!(get(two.at, "/status")["machines"], 1);
@@ -110,7 +111,7 @@
     let _ = std::fs::remove_dir_all(state);
 }
 
-/// The window's count is lost with the process: the cap must hold all the same.
+/// Guards against exceeding the cap after a restart, which loses the count of the window.
 #[test]
 fn a_front_restarted_in_mid_window_keeps_within_the_cap() {
     let mut charter = charter();
@@ -133,13 +134,17 @@
     for _ in 0..3 {
         one.child.kill().unwrap();
         one = front(teller.at, &["--state", &state]);
-        let began = Instant::now();
-        let mut again = 0;
-        while began.elapsed() < Duration::from_millis(500) {
-            again += u32::from(rpc(one.at, "lookup", "").0 == 200);
+        let started = Instant::now();
+        let mut served = 0;
+        while started.elapsed() < Duration::from_millis(500) {
+            served += u32::from(rpc(one.at, "lookup", "").0 == 200);
         }
-        assert!(again > 0, "it serves meanwhile");
-        assert_eq!(new.got.try_iter().count(), 0, "nothing goes to the trial until a window has passed");
+        assert!(served > 0, "the front serves during the window");
+        assert_eq!(
+            new.got.try_iter().count(),
+            0,
+            "a pick went to the build on trial before a window had passed"
+        );
     }
     until("the trial gets picks again", || {
         rpc(one.at, "lookup", "");
@@ -148,16 +153,16 @@
     let _ = std::fs::remove_dir_all(state);
 }
 
-/// A machine whose connections hang while its drain is told: nothing reaches it after the grace.
+/// Guards against picks after the drain grace: connections to a machine hang while its drain is announced.
 #[test]
-fn a_drain_told_while_a_pick_is_being_connected_holds() {
+fn a_drain_announced_while_a_pick_connects_is_kept() {
     use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
     let full = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
     bind(&full, &std::net::SocketAddr::from(([127, 0, 0, 1], 0))).unwrap();
     listen(&full, 0).unwrap();
     let full = TcpListener::from(full);
     let at = full.local_addr().unwrap();
-    // One connection fills the queue of none; further ones hang.
+    // One connection fills the accept queue; further ones hang.
     let filler = TcpStream::connect(at).unwrap();
     let mut charter = charter();
     charter.methods.iter_mut().for_each(|m| m.deadline_ms = 8_000);
@@ -172,11 +177,11 @@
             std::thread::spawn(move || rpc(at, "lodge", "").0)
         })
         .collect();
-    // The watch, and a pick that hangs.
+    // Two calls are open: the watch, and a pick that hangs.
     until("a pick that hangs", || get(front.at, "/status")["calls"].as_u64() >= Some(2));
     teller.roster("changes", &[("good", good.at, 1, "up"), ("hangs", at, 1, "draining")]);
-    // Past the grace the machine takes connections again: those that hung until now would come through at the
-    // system's next try, three seconds after the first.
+    // After the grace the machine accepts connections again: hanging ones would succeed with the next SYN retry,
+    // three seconds after the first.
     let told = Instant::now();
     until("the grace is over", || told.elapsed() > Duration::from_millis(1_100));
     drop(filler);
@@ -191,22 +196,19 @@
     }
     for client in clients {
         let status = client.join().unwrap();
-        assert!(
-            status == 200 || status == 503,
-            "a connection that never was proves that nothing ran: {status}"
-        );
+        assert!(status == 200 || status == 503, "without a connection nothing can have run: {status}");
     }
 }
 
-/// The controller falls silent and comes back with a later stage.
+/// The controller becomes silent and returns with a later stage.
 #[test]
-fn a_silent_controller_is_left_and_a_later_stage_is_taken_from_it_on_return() {
+fn a_silent_watch_is_dropped_and_a_later_stage_applied_on_return() {
     let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Answers));
     teller.stage(2, 0, "on-trial", 0.1);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(teller.at, &[]);
     listed(&front, 1);
-    // Nothing more is told on this watch: the front drops it and asks again, and goes on serving.
+    // The watch stays silent: the front drops it, opens another one and keeps serving.
     let first = teller.watches.load(std::sync::atomic::Ordering::SeqCst);
     teller.anew();
     until("a second watch", || {
@@ -218,7 +220,7 @@
 }
 
 #[test]
-fn sigterm_takes_nothing_new_answers_all_that_is_open_and_leaves() {
+fn sigterm_stops_listening_answers_open_rpcs_and_exits() {
     let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Never));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
@@ -228,14 +230,14 @@
     let open = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 800\r\n"));
     machine.got.recv_timeout(PATIENCE).unwrap();
     signal(&front, Signal::TERM);
-    until("the door is closed", || TcpStream::connect(at).is_err());
+    until("the listener is closed", || TcpStream::connect(at).is_err());
     let (status, said) = open.join().unwrap();
     assert!(status == 504 && said.contains("aborted"), "{said}");
     assert!(front.child.wait().unwrap().success());
 }
 
 #[test]
-fn out_of_descriptors_it_refuses_in_words_and_recovers() {
+fn without_descriptors_the_front_answers_503_and_recovers() {
     let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Answers));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
@@ -251,19 +253,19 @@
         let n = io.read(&mut buf).unwrap_or(0);
         refused += u32::from(buf[..n].starts_with(b"HTTP/1.1 503 "));
     }
-    assert!(refused > 0, "some were refused in words");
-    // Those that got in are still answered: pushed back for want of a connection to the machine, or ok.
+    assert!(refused > 0, "some connections got a 503 response");
+    // Accepted connections are still answered: ok, or pushed back without a connection to the machine.
     let _ = held[0].write_all(b"POST /rpc/lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
     held[0].set_read_timeout(Some(PATIENCE)).unwrap();
     let mut buf = [0; 12];
     held[0].read_exact(&mut buf).unwrap();
     assert!(buf.starts_with(b"HTTP/1.1 "));
     drop(held);
-    until("it serves again", || rpc(front.at, "lookup", "").0 == 200);
+    until("the front serves again", || rpc(front.at, "lookup", "").0 == 200);
 }
 
 #[test]
-fn a_client_that_hangs_up_frees_its_rpc() {
+fn a_client_that_disconnects_frees_its_rpc() {
     let (teller, machine) = (Teller::begin(charter()), Scripted::begin(Does::Never));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
@@ -273,7 +275,7 @@
     io.write_all(b"POST /rpc/lodge HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").unwrap();
     machine.got.recv_timeout(PATIENCE).unwrap();
     drop(io);
-    until("it has left", || get(front.at, "/status")["left"] == 1);
+    until("the disconnect is counted", || get(front.at, "/status")["left"] == 1);
     assert_eq!(machine.got.try_iter().count(), 0);
-    until("its slot is free once the pick's time is over", || get(front.at, "/status")["open"] == 0);
+    until("its slot is free after the pick has timed out", || get(front.at, "/status")["open"] == 0);
 }
