--- a/front/src/effects.rs
+++ b/front/src/effects.rs
@@ -131,6 +131,7 @@
     /// Ends of picks that came up while the module was running; they are delivered to it next.
     pub pending_ends: Vec<(usize, usize, Outcome, Ns)>,
     pub pending_events: Vec<Event>,
+    /// The addresses for notes to other fronts, by rank.
     pub peers: BTreeMap<u32, SocketAddr>,
     pub notes_socket: Id,
     pub address: String,
@@ -201,13 +202,13 @@
 
     /// Takes an RPC: assigns a slot, and returns it with the deadline for the module, which is the client's
     /// less the answer margin.
-    pub fn open_rpc(&mut self, conn: Id, method: usize, left: Ns, request: Request) -> (usize, Ns) {
+    pub fn open_rpc(&mut self, conn: Id, method: usize, time_left: Ns, request: Request) -> (usize, Ns) {
         self.counters.taken += 1;
         let rpc = self.door.open(conn);
         if self.open.len() <= rpc {
             self.open.resize_with(rpc + 1, || None);
         }
-        let client_deadline = self.net.now() + left;
+        let client_deadline = self.net.now() + time_left;
         let margin = self.charter.guard.answer_margin_ms as Ns * MS;
         let instance = self.newest_instance;
         self.open[rpc] = Some(OpenRpc {
@@ -251,13 +252,13 @@
     /// The next call that has timed out. After the last one the timer for the next timeout is set.
     pub fn next_timed_out(&mut self) -> Option<Id> {
         let calls = &self.calls;
-        let over = self.timeouts.pop_expired(self.net.now(), |c| calls.contains_key(&c));
-        if over.is_none() {
+        let expired = self.timeouts.pop_expired(self.net.now(), |c| calls.contains_key(&c));
+        if expired.is_none() {
             if let Some(at) = self.timeouts.next_timer() {
                 self.net.wake_at(at, CALL_TIMEOUT);
             }
         }
-        over
+        expired
     }
 
     /// Handles the end of a pick: forwards the first ok answer and returns what the module must be told.
@@ -312,8 +313,8 @@
     /// Frees the slot of an RPC once it is answered and no pick is outstanding.
     pub fn release(&mut self, rpc: usize) {
         if self.door.sweep(rpc) {
-            let over = self.open[rpc].take().and_then(|o| Some((o.tenant?, o.served?)));
-            self.finished_tenant_rpcs.extend(over);
+            let finished = self.open[rpc].take().and_then(|o| Some((o.tenant?, o.served?)));
+            self.finished_tenant_rpcs.extend(finished);
         }
     }
 
@@ -325,12 +326,15 @@
 
     /// The number of RPCs without an answer, and of outstanding picks by build.
     pub fn in_flight(&self) -> (usize, BTreeMap<u32, usize>) {
-        let mut out = BTreeMap::new();
+        let mut by_build = BTreeMap::new();
         let open = || self.open.iter().flatten();
         for pick in open().flat_map(|o| &o.picks).filter(|p| p.outstanding) {
-            *out.entry(pick.build).or_default() += 1;
+            *by_build.entry(pick.build).or_default() += 1;
         }
-        (self.open.iter().zip(0..).filter(|(o, rpc)| o.is_some() && !self.door.finished(*rpc)).count(), out)
+        (
+            self.open.iter().zip(0..).filter(|(o, rpc)| o.is_some() && !self.door.finished(*rpc)).count(),
+            by_build,
+        )
     }
 
     /// Whether an instance has no open RPC.
@@ -363,7 +367,7 @@
             let none = if time_out > 0 { Outcome::Unreachable } else { Outcome::Void };
             return self.pending_ends.push((rpc, number, none, 0));
         };
-        let (left, number_text) = ((time_out / MS).to_string(), number.to_string());
+        let (time_left, number_text) = ((time_out / MS).to_string(), number.to_string());
         let mut headers: Vec<(&str, &str)> = forwarded_headers(&open.request.headers)
             .filter(|(n, _)| {
                 !n.eq_ignore_ascii_case("rockpick-time-left-ms")
@@ -371,7 +375,7 @@
                     && !n.eq_ignore_ascii_case("rockpick-front")
             })
             .collect();
-        headers.push(("Rockpick-Time-Left-Ms", &left));
+        headers.push(("Rockpick-Time-Left-Ms", &time_left));
         headers.push(("Rockpick-Pick", &number_text));
         headers.push(("Rockpick-Front", &self.options.name));
         let request =
@@ -416,10 +420,10 @@
     }
 
     fn pick(&mut self, rpc: usize, machine: usize, time_out: Ns) {
-        let began = self.options.profile.then(|| self.net.clock());
+        let started = self.options.profile.then(|| self.net.clock());
         self.send_pick(rpc, machine, time_out);
-        if let Some(began) = began {
-            self.actions_time += self.net.clock() - began;
+        if let Some(started) = started {
+            self.actions_time += self.net.clock() - started;
         }
     }
     fn cancel(&mut self, rpc: usize, pick: u32) {
--- a/front/src/restart.rs
+++ b/front/src/restart.rs
@@ -28,14 +28,14 @@
 ///
 /// ```
 /// use rockpick::{Phase, Standing};
-/// let news = Standing { build: 2, stage: 0, phase: Phase::OnTrial, cap: 0.14, since: 0 };
-/// let (limited, due) = rockpick_front::restart::limit_cap(news, 1_000, 2_000, 5_000);
+/// let standing = Standing { build: 2, stage: 0, phase: Phase::OnTrial, cap: 0.14, since: 0 };
+/// let (limited, due) = rockpick_front::restart::limit_cap(standing, 1_000, 2_000, 5_000);
 /// assert_eq!((limited.cap, due), (0.0, Some(6_000)));
-/// assert_eq!(rockpick_front::restart::limit_cap(news, 1_000, 6_000, 5_000).0.cap, 0.14);
+/// assert_eq!(rockpick_front::restart::limit_cap(standing, 1_000, 6_000, 5_000).0.cap, 0.14);
 /// ```
-pub fn limit_cap(news: Standing, started: Ns, now: Ns, window: Ns) -> (Standing, Option<Ns>) {
-    if now - started >= window || news.phase != Phase::OnTrial {
-        return (news, None);
+pub fn limit_cap(standing: Standing, started: Ns, now: Ns, window: Ns) -> (Standing, Option<Ns>) {
+    if now - started >= window || standing.phase != Phase::OnTrial {
+        return (standing, None);
     }
-    (Standing { cap: 0.0, ..news }, Some(started + window))
+    (Standing { cap: 0.0, ..standing }, Some(started + window))
 }
--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -140,10 +140,10 @@
     effects: &mut Effects, instance: u64, front: &mut Front, call: impl FnOnce(&mut Front, &mut Effects),
 ) {
     effects.current_instance = instance;
-    let began = effects.options.profile.then(|| effects.net.clock());
+    let started = effects.options.profile.then(|| effects.net.clock());
     call(front, effects);
-    if let Some(began) = began {
-        effects.module_time += effects.net.clock() - began;
+    if let Some(started) = started {
+        effects.module_time += effects.net.clock() - started;
     }
 }
 
@@ -377,13 +377,13 @@
             return self.reject(conn, 404, "no such method");
         };
         let row = &self.effects.charter.methods[method];
-        let whole = row.deadline_ms as Ns * MS;
-        let left = match request.headers.get("rockpick-time-left-ms").map(str::parse::<f64>) {
-            None => whole,
-            Some(Ok(ms)) if ms.is_finite() && ms > 0.0 => ((ms * MS as f64) as Ns).min(whole),
+        let deadline = row.deadline_ms as Ns * MS;
+        let time_left = match request.headers.get("rockpick-time-left-ms").map(str::parse::<f64>) {
+            None => deadline,
+            Some(Ok(ms)) if ms.is_finite() && ms > 0.0 => ((ms * MS as f64) as Ns).min(deadline),
             Some(_) => return self.reject(conn, 400, "Rockpick-Time-Left-Ms: a number above 0 is wanted"),
         };
-        if !restart::can_answer_in_time(left, self.effects.charter.guard.answer_margin_ms as Ns * MS) {
+        if !restart::can_answer_in_time(time_left, self.effects.charter.guard.answer_margin_ms as Ns * MS) {
             return self.reject(conn, 503, "too little time is left to answer");
         }
         if row.repeat == Repeats::Tokened && request.headers.get("idempotency-key").is_none_or(str::is_empty)
@@ -397,12 +397,12 @@
             Some(Ok(tenant)) => Some(tenant),
             Some(Err(wait)) => return self.push_back(conn, wait, "more than this tenant may take"),
         };
-        let (rpc, by) = self.effects.open_rpc(conn, method, left, request);
+        let (rpc, module_deadline) = self.effects.open_rpc(conn, method, time_left, request);
         if let Some(open) = self.effects.open[rpc].as_mut() {
             open.tenant = tenant;
         }
         let instance = self.effects.newest_instance;
-        self.for_instance(instance, |front, effects| front.taken(effects, rpc, method, key, by));
+        self.for_instance(instance, |front, effects| front.taken(effects, rpc, method, key, module_deadline));
         self.deliver_pending();
         self.effects.release(rpc);
     }
@@ -592,26 +592,33 @@
     }
 
     fn apply_stage(&mut self, reply: Reply, stage: Option<Value>) {
-        let news = stage.as_ref().and_then(|s| self.parse_stage(s));
-        if let (Some(stage), None) = (&stage, &news) {
+        let standing = stage.as_ref().and_then(|s| self.parse_stage(s));
+        if let (Some(stage), None) = (&stage, &standing) {
             self.log_skipped("stage", &stage.to_string());
         }
         let (now, window) = (self.effects.net.now(), self.effects.charter.rollout.window_ms as Ns * MS);
         let mut limited_stage = None;
-        if let Some(news) = news {
-            let news = match &mut self.peers {
-                Some(peers) => peers.stands(news),
-                None => news,
+        if let Some(standing) = standing {
+            let standing = match &mut self.peers {
+                Some(peers) => peers.stands(standing),
+                None => standing,
             };
-            let before = self.effects.standing.replace(news);
-            let changed =
-                before.is_none_or(|b| (b.build, b.stage, b.phase) != (news.build, news.stage, news.phase));
+            let previous = self.effects.standing.replace(standing);
+            let changed = previous.is_none_or(|b| {
+                (b.build, b.stage, b.phase) != (standing.build, standing.stage, standing.phase)
+            });
             if changed {
-                let (build, stage) = (news.build, news.stage);
-                tracing::info!(event = "told", build, stage, phase = phase_word(news.phase), cap = news.cap);
+                let (build, stage) = (standing.build, standing.stage);
+                tracing::info!(
+                    event = "told",
+                    build,
+                    stage,
+                    phase = phase_word(standing.phase),
+                    cap = standing.cap
+                );
                 self.dirty = true;
             }
-            let (limited, due) = restart::limit_cap(news, self.instance_started, now, window);
+            let (limited, due) = restart::limit_cap(standing, self.instance_started, now, window);
             if due.is_some() && self.stage_due.is_none() {
                 self.effects.net.wake_at(self.instance_started + window, TICK);
             }
@@ -665,8 +672,8 @@
             (entry.roster_entry, entry.received_at) = (line.clone(), now);
             let started = entry.started;
             // Connections to a process that has ended must not carry picks.
-            let over = member.state == State::Gone || former != (member.addr, member.run);
-            if let Some(addr) = former.0.filter(|_| over) {
+            let ended = member.state == State::Gone || former != (member.addr, member.run);
+            if let Some(addr) = former.0.filter(|_| ended) {
                 self.effects.net.close_idle(addr);
             }
             entries.push(Member {
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -21,14 +21,14 @@
 /// Removes a complete line, including its line feed, from the front of the received data.
 ///
 /// ```
-/// let mut came = b"one\ntw".to_vec();
-/// assert_eq!(rockpick_net::take_line(&mut came).as_deref(), Some(&b"one\n"[..]));
-/// assert_eq!((rockpick_net::take_line(&mut came), came), (None, b"tw".to_vec()));
+/// let mut buf = b"one\ntw".to_vec();
+/// assert_eq!(rockpick_net::take_line(&mut buf).as_deref(), Some(&b"one\n"[..]));
+/// assert_eq!((rockpick_net::take_line(&mut buf), buf), (None, b"tw".to_vec()));
 /// ```
-pub fn take_line(came: &mut Vec<u8>) -> Option<Vec<u8>> {
-    let end = came.iter().position(|b| *b == b'\n')?;
-    let rest = came.split_off(end + 1);
-    Some(std::mem::replace(came, rest))
+pub fn take_line(buf: &mut Vec<u8>) -> Option<Vec<u8>> {
+    let end = buf.iter().position(|b| *b == b'\n')?;
+    let rest = buf.split_off(end + 1);
+    Some(std::mem::replace(buf, rest))
 }
 
 pub const MS: Ns = 1_000_000;
