--- a/front/src/effects.rs
+++ b/front/src/effects.rs
@@ -7,7 +7,7 @@
 use rockpick::{Ctl, Ns, Outcome, Standing, Verdict};
 use rockpick_control::desk::verdict_word;
 use rockpick_control::Charter;
-use rockpick_door::Door;
+use rockpick_id_table::IdTable;
 use rockpick_net::http::{self, Headers, Request, Response};
 use rockpick_net::{Call, Event, Id, LogLimiter, Net, MS, SEC};
 use serde_json::{json, Value};
@@ -117,7 +117,7 @@
 
 pub struct Effects {
     pub net: Net,
-    pub door: Door,
+    pub door: IdTable,
     pub options: Options,
     pub charter: Charter,
     pub newest_instance: u64,
@@ -171,7 +171,7 @@
         Effects {
             notes_addr,
             net,
-            door: Door::default(),
+            door: IdTable::default(),
             rng: StdRng::seed_from_u64(options.seed),
             options,
             charter,
@@ -343,7 +343,7 @@
     }
 }
 
-fn forget(machines: &mut [Machine], door: &mut Door, now: Ns, longer: Ns) {
+fn forget(machines: &mut [Machine], door: &mut IdTable, now: Ns, longer: Ns) {
     for (machine, entry) in machines.iter_mut().enumerate() {
         if entry.outstanding == 0 && entry.gone.is_some_and(|since| now - since >= longer) {
             door.forget(machine);
@@ -566,7 +566,7 @@
     /// must keep its number.
     #[test]
     fn gone_machines_without_outstanding_picks_are_forgotten() {
-        let (mut machines, mut door): (Vec<Machine>, Door) = (Vec::new(), Door::default());
+        let (mut machines, mut door): (Vec<Machine>, IdTable) = (Vec::new(), IdTable::default());
         for i in 0..100_000 {
             let machine = door.machine(&format!("m{i}"));
             machines.resize_with(machines.len().max(machine + 1), Machine::default);
--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -678,7 +678,7 @@
             }
             entries.push(Member {
                 machine,
-                tag: rockpick_door::tag(member.name),
+                tag: rockpick_id_table::tag(member.name),
                 zone: member.zone,
                 cell: member.cell,
                 build: member.build,
@@ -958,5 +958,5 @@
 
 /// Converts a key for the module: numbers as they are, other text by its hash.
 fn parse_key(text: &str) -> u64 {
-    text.parse().unwrap_or_else(|_| rockpick_door::key_hash(text))
+    text.parse().unwrap_or_else(|_| rockpick_id_table::key_hash(text))
 }
