--- a/front/src/effects.rs
+++ b/front/src/effects.rs
@@ -117,7 +117,7 @@
 
 pub struct Effects {
     pub net: Net,
-    pub door: IdTable,
+    pub ids: IdTable,
     pub options: Options,
     pub charter: Charter,
     pub newest_instance: u64,
@@ -171,7 +171,7 @@
         Effects {
             notes_addr,
             net,
-            door: IdTable::default(),
+            ids: IdTable::default(),
             rng: StdRng::seed_from_u64(options.seed),
             options,
             charter,
@@ -204,7 +204,7 @@
     /// less the answer margin.
     pub fn open_rpc(&mut self, conn: Id, method: usize, time_left: Ns, request: Request) -> (usize, Ns) {
         self.counters.taken += 1;
-        let rpc = self.door.open(conn);
+        let rpc = self.ids.open(conn);
         if self.open.len() <= rpc {
             self.open.resize_with(rpc + 1, || None);
         }
@@ -273,7 +273,7 @@
             (now - p.sent, p.machine, p.build, open.method, open.instance);
         open.pick_timed_out |= outcome == Outcome::TimedOut;
         let picks = open.picks.len();
-        self.door.came_back(rpc);
+        self.ids.came_back(rpc);
         self.machines[machine].outstanding = self.machines[machine].outstanding.saturating_sub(1);
         // Skips picks of former settings, whose method numbers differ, and all picks if counts are not sent.
         let r = &self.charter.rollout;
@@ -284,7 +284,7 @@
             let bad = u32::from(outcome != Outcome::Ok);
             *count = [count[0].saturating_add(1), count[1].saturating_add(bad)];
         }
-        if let Some(response) = response.filter(|_| outcome == Outcome::Ok && !self.door.finished(rpc)) {
+        if let Some(response) = response.filter(|_| outcome == Outcome::Ok && !self.ids.finished(rpc)) {
             self.counters.ok += 1;
             open.served = Some(true);
             let (build, picks) = (build.to_string(), picks.to_string());
@@ -293,7 +293,7 @@
                 forwarded_headers(&response.headers).filter(|(n, _)| !own(n)).collect();
             headers.push(("Rockpick-Answer", "ok"));
             headers.push(("Rockpick-Build", &build));
-            headers.push(("Rockpick-Machine", self.door.name(machine)));
+            headers.push(("Rockpick-Machine", self.ids.name(machine)));
             headers.push(("Rockpick-Picks", &picks));
             let (conn, client_deadline) = (open.conn, open.client_deadline);
             respond(
@@ -305,14 +305,14 @@
                 &headers,
                 &response.body,
             );
-            self.door.finish(rpc);
+            self.ids.finish(rpc);
         }
-        Some((instance, took, self.door.finished(rpc)))
+        Some((instance, took, self.ids.finished(rpc)))
     }
 
     /// Frees the slot of an RPC once it is answered and no pick is outstanding.
     pub fn release(&mut self, rpc: usize) {
-        if self.door.sweep(rpc) {
+        if self.ids.sweep(rpc) {
             let finished = self.open[rpc].take().and_then(|o| Some((o.tenant?, o.served?)));
             self.finished_tenant_rpcs.extend(finished);
         }
@@ -321,7 +321,7 @@
     /// Forgets machines that have been gone for at least `longer` and have no outstanding pick; their numbers
     /// are reused.
     pub fn forget(&mut self, longer: Ns) {
-        forget(&mut self.machines, &mut self.door, self.net.now(), longer);
+        forget(&mut self.machines, &mut self.ids, self.net.now(), longer);
     }
 
     /// The number of RPCs without an answer, and of outstanding picks by build.
@@ -332,7 +332,7 @@
             *by_build.entry(pick.build).or_default() += 1;
         }
         (
-            self.open.iter().zip(0..).filter(|(o, rpc)| o.is_some() && !self.door.finished(*rpc)).count(),
+            self.open.iter().zip(0..).filter(|(o, rpc)| o.is_some() && !self.ids.finished(*rpc)).count(),
             by_build,
         )
     }
@@ -343,10 +343,10 @@
     }
 }
 
-fn forget(machines: &mut [Machine], door: &mut IdTable, now: Ns, longer: Ns) {
+fn forget(machines: &mut [Machine], ids: &mut IdTable, now: Ns, longer: Ns) {
     for (machine, entry) in machines.iter_mut().enumerate() {
         if entry.outstanding == 0 && entry.gone.is_some_and(|since| now - since >= longer) {
-            door.forget(machine);
+            ids.forget(machine);
             *entry = Machine::default();
         }
     }
@@ -357,12 +357,12 @@
         let Some(open) = self.open.get_mut(rpc).and_then(Option::as_mut) else { return };
         let entry = &mut self.machines[machine];
         let number = open.picks.len();
-        self.door.sent(rpc);
+        self.ids.sent(rpc);
         entry.outstanding += 1;
         self.counters.picks += 1;
         let now = self.net.now();
         let mut pick = Pick { call: 0, machine, build: entry.build, sent: now, outstanding: true };
-        let Some(to) = entry.addr.filter(|_| time_out > 0 && !self.door.finished(rpc)) else {
+        let Some(to) = entry.addr.filter(|_| time_out > 0 && !self.ids.finished(rpc)) else {
             open.picks.push(pick);
             let none = if time_out > 0 { Outcome::Unreachable } else { Outcome::Void };
             return self.pending_ends.push((rpc, number, none, 0));
@@ -437,7 +437,7 @@
     }
 
     fn push_back(&mut self, rpc: usize, wait: Ns) {
-        let done = self.door.finished(rpc);
+        let done = self.ids.finished(rpc);
         let Some(open) = self.open[rpc].as_mut().filter(|_| !done) else { return };
         open.served = Some(false);
         let [seconds, ms] = retry_after_values(wait);
@@ -452,11 +452,11 @@
             &headers,
             b"pushed back\n",
         );
-        self.door.finish(rpc);
+        self.ids.finish(rpc);
     }
 
     fn abort(&mut self, rpc: usize) {
-        let Some(open) = self.open[rpc].as_ref().filter(|_| !self.door.finished(rpc)) else { return };
+        let Some(open) = self.open[rpc].as_ref().filter(|_| !self.ids.finished(rpc)) else { return };
         let status = if open.pick_timed_out { 504 } else { 502 };
         self.counters.aborted += 1;
         let headers = [("Rockpick-Answer", "aborted")];
@@ -469,7 +469,7 @@
             &headers,
             b"aborted\n",
         );
-        self.door.finish(rpc);
+        self.ids.finish(rpc);
     }
 
     fn wake_at(&mut self, at: Ns, tag: u64) {
@@ -566,9 +566,9 @@
     /// must keep its number.
     #[test]
     fn gone_machines_without_outstanding_picks_are_forgotten() {
-        let (mut machines, mut door): (Vec<Machine>, IdTable) = (Vec::new(), IdTable::default());
+        let (mut machines, mut ids): (Vec<Machine>, IdTable) = (Vec::new(), IdTable::default());
         for i in 0..100_000 {
-            let machine = door.machine(&format!("m{i}"));
+            let machine = ids.machine(&format!("m{i}"));
             machines.resize_with(machines.len().max(machine + 1), Machine::default);
             assert_eq!(
                 machines[machine].outstanding, 0,
@@ -576,9 +576,9 @@
             );
             machines[machine] =
                 Machine { gone: Some(i * SEC), outstanding: u32::from(i == 7), ..Machine::default() };
-            forget(&mut machines, &mut door, i * SEC, 60 * SEC);
+            forget(&mut machines, &mut ids, i * SEC, 60 * SEC);
         }
-        assert!(door.machines() <= 61 && machines.len() <= 62, "{} names", door.machines());
-        assert_eq!(door.name(door.known("m7").unwrap()), "m7");
+        assert!(ids.machines() <= 61 && machines.len() <= 62, "{} names", ids.machines());
+        assert_eq!(ids.name(ids.known("m7").unwrap()), "m7");
     }
 }
--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -233,10 +233,9 @@
         match event {
             Event::Request { conn, request } => self.handle_request(conn, request),
             Event::ClientClosed { conn } => {
-                if let Some(rpc) = self.effects.door.rpc(conn).filter(|rpc| !self.effects.door.finished(*rpc))
-                {
+                if let Some(rpc) = self.effects.ids.rpc(conn).filter(|rpc| !self.effects.ids.finished(*rpc)) {
                     self.effects.counters.left += 1;
-                    self.effects.door.finish(rpc);
+                    self.effects.ids.finish(rpc);
                     let instance = self.effects.open[rpc].as_ref().map_or(0, |o| o.instance);
                     self.for_instance(instance, |front, _| front.left(rpc));
                     self.effects.release(rpc);
@@ -370,7 +369,7 @@
         if self.shutdown_deadline.is_some() || self.instances.is_empty() {
             return self.reject(conn, 503, "not taking RPCs now");
         }
-        if self.effects.door.in_use() >= MAX_OPEN_RPCS {
+        if self.effects.ids.in_use() >= MAX_OPEN_RPCS {
             return self.reject(conn, 503, "too many RPCs are open");
         }
         let Some(method) = self.effects.charter.method(name) else {
@@ -638,7 +637,7 @@
         let now = self.effects.net.now();
         let mut entries = Vec::with_capacity(lines.len());
         // Must come before all machines are marked as gone below, including those that this roster names.
-        if self.effects.door.machines() + lines.len() > MAX_MACHINES {
+        if self.effects.ids.machines() + lines.len() > MAX_MACHINES {
             self.effects.forget(0);
         }
         if roll != Roll::Changes {
@@ -652,11 +651,11 @@
                     continue;
                 }
             };
-            let known = self.effects.door.known(member.name).is_some();
-            if !known && (member.state == State::Gone || self.effects.door.machines() >= MAX_MACHINES) {
+            let known = self.effects.ids.known(member.name).is_some();
+            if !known && (member.state == State::Gone || self.effects.ids.machines() >= MAX_MACHINES) {
                 continue;
             }
-            let machine = self.effects.door.machine(member.name);
+            let machine = self.effects.ids.machine(member.name);
             if self.effects.machines.len() <= machine {
                 self.effects.machines.resize_with(machine + 1, Default::default);
             }
@@ -885,7 +884,7 @@
         let (Some(name), Some(age)) = (name, age) else {
             return (400, json!({ "error": "machine and age_ms are wanted" }));
         };
-        let Some(machine) = self.effects.door.known(name) else {
+        let Some(machine) = self.effects.ids.known(name) else {
             return (404, json!({ "error": "machine: not known" }));
         };
         let sent = self.effects.net.now() - (age * MS as f64) as Ns;
@@ -905,7 +904,7 @@
             self.effects.machines.iter().filter(|p| p.gone.is_none() && p.roster_entry.is_object()).count();
         json!({ "name": self.effects.options.name, "settings_version": self.settings_version, "stage": stage,
             "machines": listed, "watching": self.effects.watch_call.is_some(), "heard_ms_ago": (now - self.watch_heard_at) / MS,
-            "open": self.effects.door.in_use(), "clients": clients, "calls": calls, "taken": t.taken, "ok": t.ok,
+            "open": self.effects.ids.in_use(), "clients": clients, "calls": calls, "taken": t.taken, "ok": t.ok,
             "pushed_back": t.pushed_back, "aborted": t.aborted, "left": t.left, "late": t.late, "picks": t.picks,
             "not_taken": t.not_taken, "refused_connections": self.effects.net.refused,
             "peers": self.effects.peers.len(), "notes": self.effects.notes_addr.to_string(), "directory": self.tenants.as_ref().map(|s| s.status(now)), "module_ms": (self.effects.module_time - self.effects.actions_time) / MS, "up_ms": now / MS })
