--- a/agent/src/runtime.rs
+++ b/agent/src/runtime.rs
@@ -4,7 +4,7 @@
 use crate::process::{boot_time, Process, ProcessRecord};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_net::{http, Call, End, Event, Id, Net, MS, SEC};
+use rockpick_net::{http, Call, CallEnd, Event, Id, Net, MS, SEC};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -216,7 +216,7 @@
             self.net.turn(&mut events, TICK_INTERVAL).map_err(|err| err.to_string())?;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Ended { call, end } => self.call_ended(call, end),
+                    Event::CallEnded { call, end } => self.call_ended(call, end),
                     Event::Signal { .. } => {
                         if self.agent.take_down {
                             self.procs.values().for_each(|p| p.signal(Signal::KILL));
@@ -273,7 +273,7 @@
             self.calls.iter().filter(|(_, (_, deadline))| *deadline <= now).map(|(id, _)| *id).collect();
         for id in timed_out {
             self.net.cancel(id);
-            self.call_ended(id, End::Unreachable);
+            self.call_ended(id, CallEnd::Unreachable);
         }
         for action in self.lifecycle.step(now) {
             self.execute(action);
@@ -296,7 +296,7 @@
     ) {
         let lines = [("Content-Type", "application/json"), ("Range", range)];
         let lines = if range.is_empty() { &lines[..1] } else { &lines[..] };
-        let request = http::ask(what.0, what.1, &to.to_string(), lines, body.as_bytes());
+        let request = http::encode_request(what.0, what.1, &to.to_string(), lines, body.as_bytes());
         let call = Call { to, request: &request, connect_within: within, stream: false, head_only: false };
         let id = self.net.call(&mut self.immediate_events, call);
         self.calls.insert(id, (why, self.net.now() + within));
@@ -453,11 +453,11 @@
             now + HEARTBEAT_INTERVAL - (HEARTBEAT_INTERVAL as f64 * self.rng.random_range(0.0..0.2)) as Ns;
     }
 
-    fn call_ended(&mut self, call: Id, end: End) {
+    fn call_ended(&mut self, call: Id, end: CallEnd) {
         let Some((what, _)) = self.calls.remove(&call) else { return };
         let now = self.net.now();
         match (what, end) {
-            (Purpose::Heartbeat, End::Answer(r)) if r.status == 200 => {
+            (Purpose::Heartbeat, CallEnd::Answer(r)) if r.status == 200 => {
                 self.heartbeat_pending = false;
                 self.last_answer = Some(now);
                 match serde_json::from_slice(&r.body) {
@@ -471,13 +471,13 @@
                 self.next_heartbeat = now
                     + HEARTBEAT_INTERVAL
                     + (HEARTBEAT_INTERVAL as f64 * self.rng.random_range(0.0..2.0)) as Ns;
-                if let End::Answer(r) = end {
+                if let CallEnd::Answer(r) = end {
                     tracing::warn!(event = "heartbeat refused", status = r.status);
                 }
             }
             (Purpose::Ready(build), end) => {
                 self.probing.remove(&build);
-                if matches!(end, End::Answer(r) if r.status == 200) {
+                if matches!(end, CallEnd::Answer(r) if r.status == 200) {
                     self.lifecycle.ready(now, build);
                     if let Some(proc) = self.procs.get_mut(&build) {
                         proc.record_served();
@@ -485,7 +485,7 @@
                     self.next_heartbeat = now;
                 }
             }
-            (Purpose::OpenRpcs(build), End::Answer(r)) => {
+            (Purpose::OpenRpcs(build), CallEnd::Answer(r)) => {
                 let response: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
                 let open = response["busy"].as_u64().unwrap_or(0) + response["queue"].as_u64().unwrap_or(0);
                 self.open_rpcs.insert(build, open);
@@ -495,7 +495,7 @@
                 let Some(fetch) = &mut self.fetch else { return };
                 let build = fetch.build;
                 let result = match end {
-                    End::Answer(r) => fetch.receive(r.status, &r.body),
+                    CallEnd::Answer(r) => fetch.receive(r.status, &r.body),
                     _ => Err("the repository can't be reached".into()),
                 };
                 if let Err(why) = result {
--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use hdrhistogram::Histogram;
 use rockpick_control::{Controller, Settings};
-use rockpick_net::{http, Call, End, Event, Net, Ns, MS, SEC};
+use rockpick_net::{http, Call, CallEnd, Event, Net, Ns, MS, SEC};
 use rockpick_peers::{Config, PeerService, Peers};
 use serde_json::Value;
 use std::io::{BufRead, BufReader};
@@ -57,7 +57,7 @@
             for event in events.drain(..) {
                 match event {
                     Event::Datagram { from, bytes } => peers.handle_datagram(&mut net, from, &bytes),
-                    Event::Woke { .. } => peers.handle_timer(&mut net),
+                    Event::Timer { .. } => peers.handle_timer(&mut net),
                     _ => {}
                 }
             }
@@ -124,13 +124,13 @@
                     Event::Request { conn, .. } => {
                         net.answer(conn, 200, &[("Content-Type", "text/plain")], b"good")
                     }
-                    Event::Woke { .. } => {
+                    Event::Timer { .. } => {
                         let Some(to) = controller else { continue };
                         let body = format!(
                             "{{\"addr\":\"{at}\",\"place\":\"{name}\",\"build\":1,\"run\":1,\"age_ms\":3600000.0}}"
                         );
                         let target = format!("/machines/{name}");
-                        let request = http::ask("POST", &target, "c", &[], body.as_bytes());
+                        let request = http::encode_request("POST", &target, "c", &[], body.as_bytes());
                         let call = Call {
                             to,
                             request: &request,
@@ -173,8 +173,10 @@
     let many = rate.map_or(0, |_| (lasts / SPAN) as usize + 1);
     let mut spans: Vec<Histogram<u64>> = (0..many).map(|_| times.clone()).collect();
     let lines = [("Rockpick-Key", "7")];
-    let requests: Vec<Vec<u8>> =
-        to.iter().map(|at| http::ask("POST", "/rpc/lookup", &at.to_string(), &lines, b"hello")).collect();
+    let requests: Vec<Vec<u8>> = to
+        .iter()
+        .map(|at| http::encode_request("POST", "/rpc/lookup", &at.to_string(), &lines, b"hello"))
+        .collect();
     let (mut events, mut made) = (Vec::new(), Vec::new());
     let mut due: std::collections::HashMap<u64, Ns> = std::collections::HashMap::new();
     let (mut nth, mut ok, mut failed) = (0usize, 0u64, 0u64);
@@ -204,10 +206,10 @@
         net.turn(&mut events, wait).map_err(|err| say(err.to_string()))?;
         let now = net.clock();
         for event in events.drain(..) {
-            let Event::Ended { call, end } = event else { continue };
+            let Event::CallEnded { call, end } = event else { continue };
             let Some(at) = due.remove(&call) else { continue };
             match end {
-                End::Answer(r) if r.status == 200 => {
+                CallEnd::Answer(r) if r.status == 200 => {
                     ok += 1;
                     // The first connections are made meanwhile: of a short load they would be a hundredth.
                     let took = (now - at).max(1) as u64;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -478,9 +478,9 @@
         Log::Text => made.with_ansi(false).init(),
     }
     if let Some(file) = cli.disk_lies {
-        rockpick_files::lie_by(file);
+        rockpick_files::inject_faults_from(file);
     }
-    rockpick_net::skew(cli.clock_ppm.unwrap_or(0));
+    rockpick_net::set_clock_skew(cli.clock_ppm.unwrap_or(0));
     let end = act(cli.what).and_then(|code| match rockpick_rehearse::out_lost() {
         None => Ok(code),
         Some(why) => Err(Bad2(format!("standard output: {why}"))),
@@ -531,14 +531,14 @@
                 std::fs::create_dir_all(dir).map_err(|err| Bad2(format!("{}: {err}", dir.display())))?;
                 circle.row_log = Some(dir.join(format!("{name}.peers.rows")));
             }
-            let opening = rockpick_front::Opening {
+            let opening = rockpick_front::Options {
                 name,
                 listen: listen.listen,
                 controller: at.controller,
                 state,
                 seed,
                 profile,
-                most_clients: clients,
+                max_clients: clients,
                 notes_at,
                 peers: circle,
             };
--- a/control/src/repo_files.rs
+++ b/control/src/repo_files.rs
@@ -53,7 +53,7 @@
         Ok(meta) if meta.is_file() => meta.len(),
         _ => return error(404, "no such file"),
     };
-    let requested_range = request.lines.get("range");
+    let requested_range = request.headers.get("range");
     let (status, from, to) = match requested_range.map(|r| range(r, length)) {
         None => (200, 0, length),
         Some(Some((from, last))) => (206, from, last + 1),
--- a/control/src/server.rs
+++ b/control/src/server.rs
@@ -94,7 +94,7 @@
                             }
                         }
                     }
-                    Event::Left { conn } => api.unwatch(conn),
+                    Event::ClientClosed { conn } => api.unwatch(conn),
                     Event::Signal { .. } => {
                         let last = api.snapshot(now);
                         let stored = writer.map_or(Ok(()), |writer| writer.close(last));
--- a/load/src/thread.rs
+++ b/load/src/thread.rs
@@ -1,6 +1,6 @@
 //! One thread: its own event loop and connections, its part of the schedule.
 use crate::{micros, second, Course, Result, Times};
-use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use rockpick_standin::client::{ask, end_line, heard, sent_line};
 use rockpick_standin::crowd::{Crowd, How, Next, Rpc, GRACE};
 use rockpick_standin::record::Record;
@@ -67,7 +67,7 @@
     thread.work()?;
     let Thread { mut result, crowd, net, .. } = thread;
     result.tolls = crowd.tolls;
-    result.tolls.stray = net.stray;
+    result.tolls.stray = net.unexpected_data;
     Ok(result)
 }
 
@@ -98,13 +98,13 @@
             }
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Woke { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
-                    Event::Woke { tag } if tag & AGAIN != 0 => {
+                    Event::Timer { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
+                    Event::Timer { tag } if tag & AGAIN != 0 => {
                         if let Some(rpc) = self.waiting.remove(&(tag & !AGAIN)) {
                             self.send(rpc);
                         }
                     }
-                    Event::Ended { call, end } => self.ended(call, end),
+                    Event::CallEnded { call, end } => self.ended(call, end),
                     _ => {}
                 }
             }
@@ -160,25 +160,25 @@
         self.after(t.rpc, How::GaveUp, None);
     }
 
-    fn ended(&mut self, call: Id, end: End) {
+    fn ended(&mut self, call: Id, end: CallEnd) {
         let Some(t) = self.tries.remove(&(call & (AGAIN - 1))) else { return };
         let now = self.net.now();
         let (how, wait) = match end {
-            End::Answer(r) => {
+            CallEnd::Answer(r) => {
                 let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
                 let (how, wait) = heard(&r, said["right"].as_bool().unwrap_or(true));
                 if let How::Ok { right } = how {
-                    let build = r.lines.get("rockpick-build").and_then(|b| b.parse().ok());
+                    let build = r.headers.get("rockpick-build").and_then(|b| b.parse().ok());
                     self.ok(now, &t, right, build);
                 }
-                self.say(&t, "answer", r.lines.get("rockpick-answer").unwrap_or("none"));
+                self.say(&t, "answer", r.headers.get("rockpick-answer").unwrap_or("none"));
                 (how, wait)
             }
-            End::Unreachable | End::Unsent => {
+            CallEnd::Unreachable | CallEnd::Unsent => {
                 self.say(&t, "not taken", "");
                 (How::Unreachable, None)
             }
-            End::Broken(_) => {
+            CallEnd::Broken(_) => {
                 self.say(&t, "broken", "");
                 (How::Broken, None)
             }
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -1,32 +1,34 @@
-//! One thread's sockets: epoll, timers, HTTP/1.1 on both sides, datagrams, signals. It reports what
-//! happened as [`Event`]s and does as it is told; what to do is the caller's.
+//! The sockets of one thread: epoll, timers, HTTP/1.1 client and server, datagrams, signals. It reports what
+//! happens as [`Event`]s and carries out commands; decisions are up to the caller.
 //!
-//! Bounds, and the answer when one is met, stand beside their constants here and in [`http`].
-mod dues;
+//! Limits, and what happens when they are reached, are documented at their constants here and in [`http`].
+mod deadline_queue;
 pub mod http;
+mod log_limiter;
 mod net;
-mod often;
-pub mod secure;
 mod streams;
 mod timers;
+pub mod tls;
 
-pub use dues::Dues;
-pub use net::{skew, Bound, Call, End, Event, Id, Net, LINGER, MAX_BACKLOG, MAX_CALLS, MAX_IDLE};
-pub use often::Often;
-pub use streams::{MAX_STREAMS, MOST_CLOSING};
+pub use deadline_queue::DeadlineQueue;
+pub use log_limiter::LogLimiter;
+pub use net::{
+    set_clock_skew, BoundListener, Call, CallEnd, Event, Id, Net, LINGER, MAX_BACKLOG, MAX_CALLS, MAX_IDLE,
+};
+pub use streams::{MAX_CLOSING_STREAMS, MAX_STREAMS};
 pub use timers::{Ns, Timers};
 
-/// Takes a whole line, its end included, off the front of what has come of a stream.
+/// Removes a complete line, including its line feed, from the front of the received data.
 ///
 /// ```
-/// let mut came = b"one\ntw".to_vec();
-/// assert_eq!(rockpick_net::take_line(&mut came).as_deref(), Some(&b"one\n"[..]));
-/// assert_eq!((rockpick_net::take_line(&mut came), came), (None, b"tw".to_vec()));
+/// let mut buf = b"one\ntw".to_vec();
+/// assert_eq!(rockpick_net::take_line(&mut buf).as_deref(), Some(&b"one\n"[..]));
+/// assert_eq!((rockpick_net::take_line(&mut buf), buf), (None, b"tw".to_vec()));
 /// ```
-pub fn take_line(came: &mut Vec<u8>) -> Option<Vec<u8>> {
-    let end = came.iter().position(|b| *b == b'\n')?;
-    let rest = came.split_off(end + 1);
-    Some(std::mem::replace(came, rest))
+pub fn take_line(buf: &mut Vec<u8>) -> Option<Vec<u8>> {
+    let end = buf.iter().position(|b| *b == b'\n')?;
+    let rest = buf.split_off(end + 1);
+    Some(std::mem::replace(buf, rest))
 }
 
 pub const MS: Ns = 1_000_000;
--- a/node/src/clients.rs
+++ b/node/src/clients.rs
@@ -186,7 +186,7 @@
         if self.clients.all.len() >= self.clients.max && !self.evict_one() {
             self.clients.refused += 1;
             self.net.send(id, &too_many_connections());
-            return self.net.finish(id);
+            return self.net.close_gracefully(id);
         }
         let client = Client { since: now, ..Client::default() };
         self.clients.all.insert(id, client);
@@ -205,12 +205,12 @@
         let partial =
             |id: &Id| evictable(id).is_some_and(|c| !c.buffer.is_empty() && !c.has_complete_command());
         let ids = || self.clients.evictable.iter().map(|(.., id)| *id);
-        if let Some(old) = ids().find(|id| idle(id) && net.quiet(*id)) {
+        if let Some(old) = ids().find(|id| idle(id) && net.nothing_unread(*id)) {
             self.clients.closed.for_room += 1;
             self.close_idle(old);
             return true;
         }
-        let found = ids().find(|id| partial(id) && net.quiet(*id));
+        let found = ids().find(|id| partial(id) && net.nothing_unread(*id));
         if let Some(old) = found {
             self.close_with_error(old, pg::CANNOT_CONNECT_NOW, "too many connections");
         }
@@ -243,7 +243,7 @@
             return self.net.pause(id, false);
         }
         self.forget_client(id);
-        self.net.finish(id);
+        self.net.close_gracefully(id);
     }
 
     /// Closes a connection on which no reply is outstanding. A request may still arrive after the check for unread
@@ -287,7 +287,7 @@
     /// Handles the expiry of a client's connection.
     pub fn client_timed_out(&mut self, id: Id) {
         // Bytes that arrived since this turn read from the connection are handled first.
-        if self.net.unread(id) {
+        if self.net.has_unread(id) {
             return self.set_deadline(id, self.net.now() + UNREAD_DELAY);
         }
         let Some(client) = self.clients.all.get(&id) else { return };
@@ -420,7 +420,7 @@
         let now = self.net.now();
         let Some(client) = self.clients.all.get_mut(&id).filter(|c| c.replies.is_empty()) else { return };
         if client.has_complete_command() {
-            self.queued_events.push(Event::Flushed { conn: id });
+            self.queued_events.push(Event::StreamFlushed { conn: id });
         }
         let at = match (client.sent_command, client.buffer.is_empty()) {
             (false, _) => client.since + FIRST_COMMAND_TIMEOUT,
@@ -489,7 +489,7 @@
             self.set_deadline(id, now + IDLE_TIMEOUT);
         }
         if more {
-            self.queued_events.push(Event::Flushed { conn: id });
+            self.queued_events.push(Event::StreamFlushed { conn: id });
         }
         room
     }
@@ -500,7 +500,7 @@
         let net = &mut self.net;
         let idle_id = |(id, c): (&Id, &Client)| {
             let idle = c.replies.is_empty() && c.buffer.is_empty();
-            (idle && (c.sent_command || grace_over) && !net.unread(*id)).then_some(*id)
+            (idle && (c.sent_command || grace_over) && !net.has_unread(*id)).then_some(*id)
         };
         let idle: Vec<Id> = self.clients.all.iter().filter_map(idle_id).collect();
         self.clients.closed.in_stop += idle.len() as u64;
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -10,7 +10,7 @@
 /// Descriptors that are used neither for clients nor for machines: event loop, listener, signals, standard streams,
 /// rollout API and discovery (two each during a reload, a vote, a fetch), log, configuration file, and a spare; and
 /// streams that are closing.
-pub const RESERVED_DESCRIPTORS: usize = OWN_DESCRIPTORS + rockpick_net::MOST_CLOSING;
+pub const RESERVED_DESCRIPTORS: usize = OWN_DESCRIPTORS + rockpick_net::MAX_CLOSING_STREAMS;
 pub const OWN_DESCRIPTORS: usize = 28;
 /// How long after its answer a connection is not used again: a duplicate of the answer may still arrive and would be
 /// taken for the answer to the next query. In six small days of the operators' benchmark 32 duplicates arrived 1.1 to
@@ -197,8 +197,8 @@
         };
         while let Some(id) = self.pool.take_reusable(machine, now) {
             // A connection that is closed or has unexpected bytes is replaced; the pick has not run.
-            let usable =
-                self.net.quiet(id) && self.pool.conns.get(&id).is_some_and(|c| c.reader.is_reusable());
+            let usable = self.net.nothing_unread(id)
+                && self.pool.conns.get(&id).is_some_and(|c| c.reader.is_reusable());
             if usable && self.send_statement(id, rpc, number) {
                 return;
             }
@@ -309,7 +309,7 @@
             conn.reader.push(bytes);
             if let ConnState::Idle(since) = conn.state {
                 let late_us = (now - since) / 1_000;
-                if let Some(left_out) = self.log_limit.may(now) {
+                if let Some(left_out) = self.log_limit.allow(now) {
                     tracing::warn!(
                         event = "unexpected data on an idle machine connection",
                         late_us,
@@ -386,7 +386,7 @@
                     let pick = conn.pick.take();
                     let (tag, len) = conn.reader.header().unwrap_or_default();
                     self.pool.malformed += 1;
-                    if let Some(left_out) = self.log_limit.may(now) {
+                    if let Some(left_out) = self.log_limit.allow(now) {
                         tracing::warn!(event = "malformed answer from a machine", why = error.0, tag = %char::from(tag), long = len, step = ?state, asked = pick.is_some(), left_out);
                     }
                     ends.extend(pick.map(|(rpc, n)| (rpc, n, PickEvent::Ended(how, None))));
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -4,7 +4,7 @@
 use rand::Rng;
 use rockpick::{Member, Ns, Outcome, Reply, RolloutStatus, RosterUpdate, State, Verdict};
 use rockpick_net::http;
-use rockpick_net::{take_line, Call, End, Id, MS, SEC};
+use rockpick_net::{take_line, Call, CallEnd, Id, MS, SEC};
 use rockpick_platform::rollout_api::{self, BuildStatus, Line};
 use rockpick_platform::roster::{self, RosterMessage};
 use serde_json::Value;
@@ -151,7 +151,7 @@
         let to = self.discovery.addr;
         // A kept connection may just be closed by the server, and the request would be lost on it.
         self.net.close_idle(to);
-        let request = http::ask("GET", target, &to.to_string(), &[], b"");
+        let request = http::encode_request("GET", target, &to.to_string(), &[], b"");
         let call = Call { to, request: &request, connect_within: CONNECT_TIMEOUT, stream, head_only: false };
         let id = self.net.call(&mut self.queued_events, call);
         let at = self.net.now() + LINK_TIMEOUT;
@@ -237,7 +237,7 @@
             }
         }
         if malformed {
-            if let Some(left_out) = self.log_limit.may(now) {
+            if let Some(left_out) = self.log_limit.allow(now) {
                 tracing::warn!(event = "malformed data on the discovery watch", status, left_out);
             }
             events.extend(self.end_watch(call));
@@ -259,7 +259,7 @@
     }
 
     /// Handles the end of a call to discovery; `end` is `None` if it timed out.
-    pub fn discovery_ended(&mut self, call: Id, end: Option<End>) -> Vec<ModuleEvent> {
+    pub fn discovery_ended(&mut self, call: Id, end: Option<CallEnd>) -> Vec<ModuleEvent> {
         if self.discovery.fetch != Some(call) {
             let silent = self.discovery.watches.iter().any(|w| w.call == call && !w.has_data);
             self.discovery.last_watch_silent |= silent && end.is_none();
@@ -268,7 +268,9 @@
         self.discovery.fetch = None;
         self.end_call(call);
         let json = match end {
-            Some(End::Answer(answer)) if answer.status == 200 => serde_json::from_slice(&answer.body).ok(),
+            Some(CallEnd::Answer(answer)) if answer.status == 200 => {
+                serde_json::from_slice(&answer.body).ok()
+            }
             _ => None,
         };
         let update = json.as_ref().and_then(|t: &Value| roster::parse_update(t, &mut self.config.zones));
@@ -283,7 +285,7 @@
         let newest = at + 1 == self.discovery.watches.len();
         let watch = self.discovery.watches.remove(at);
         let after_ms = (self.net.now() - watch.requested_at) / MS;
-        if let Some(left_out) = self.log_limit.may(self.net.now()) {
+        if let Some(left_out) = self.log_limit.allow(self.net.now()) {
             tracing::info!(event = "watch over", served = watch.active, after_ms, left_out);
         }
         self.end_call(call);
@@ -465,7 +467,7 @@
             }
         }
         if malformed || self.rollout_api.subscriptions[at].buffer.len() >= rollout_api::MAX_LINE_LEN {
-            if let Some(left_out) = self.log_limit.may(now) {
+            if let Some(left_out) = self.log_limit.allow(now) {
                 tracing::warn!(event = "malformed data from the rollout API", left_out);
             }
             self.rollout_api_closed(conn, false);
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -7,7 +7,7 @@
 use rand::SeedableRng;
 use rockpick::{Actions, Ns, Outcome, Verdict};
 use rockpick_id_table::IdTable;
-use rockpick_net::{Dues, Event, Id, Net, Often, MS};
+use rockpick_net::{DeadlineQueue, Event, Id, LogLimiter, Net, MS};
 use rockpick_pg as pg;
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Range;
@@ -75,7 +75,7 @@
     pub pool: Pool,
     pub discovery: Discovery,
     pub rollout_api: RolloutApi,
-    pub deadlines: Dues,
+    pub deadlines: DeadlineQueue,
     /// Picks that ended while the module was processing an event; reported to it afterwards.
     pub pending_ends: VecDeque<(usize, usize, Outcome)>,
     /// Open RPCs whose client has disconnected; reported to the module afterwards.
@@ -83,7 +83,7 @@
     pub queued_events: Vec<Event>,
     pub rng: StdRng,
     pub counters: Counters,
-    pub log_limit: Often,
+    pub log_limit: LogLimiter,
     /// Keys that a build has answered here for the first time, to be sent to the peers.
     pub bound_keys: Vec<(u64, u32)>,
     /// Unix time, in nanoseconds, at the origin of the event loop's clock.
@@ -102,12 +102,12 @@
             ids: IdTable::default(),
             config,
             open: Vec::new(),
-            deadlines: Dues::default(),
+            deadlines: DeadlineQueue::default(),
             pending_ends: VecDeque::new(),
             disconnected: VecDeque::new(),
             queued_events: Vec::new(),
             counters: Counters::default(),
-            log_limit: Often::new(LOG_LINES_PER_SECOND),
+            log_limit: LogLimiter::new(LOG_LINES_PER_SECOND),
             bound_keys: Vec::new(),
             wall_offset,
         }
@@ -120,21 +120,25 @@
     /// from a connection no longer counts as unread, and would be lost if the connection were closed first.
     pub fn event_priority(&self, event: &Event) -> u8 {
         match event {
-            Event::Piece { call, .. } | Event::Ended { call, .. } if self.discovery.owns(*call) => 0,
-            Event::Bytes { conn, .. } if self.rollout_api.owns(*conn) => 0,
-            Event::Bytes { conn, .. } | Event::Gone { conn, .. } | Event::Came { conn }
+            Event::CallData { call, .. } | Event::CallEnded { call, .. } if self.discovery.owns(*call) => 0,
+            Event::StreamData { conn, .. } if self.rollout_api.owns(*conn) => 0,
+            Event::StreamData { conn, .. }
+            | Event::StreamClosed { conn, .. }
+            | Event::StreamOpened { conn }
                 if self.rollout_api.owns(*conn) || self.pool.owns(*conn) =>
             {
                 1
             }
-            Event::Bytes { conn, .. } | Event::Gone { conn, .. } | Event::Flushed { conn }
+            Event::StreamData { conn, .. }
+            | Event::StreamClosed { conn, .. }
+            | Event::StreamFlushed { conn }
                 if self.clients.owns(*conn) =>
             {
                 2
             }
-            Event::Came { .. } => 3,
-            Event::Bytes { .. } | Event::Gone { .. } | Event::Flushed { .. } => 4,
-            Event::Woke { tag: DEADLINE_TIMER } => 5,
+            Event::StreamOpened { .. } => 3,
+            Event::StreamData { .. } | Event::StreamClosed { .. } | Event::StreamFlushed { .. } => 4,
+            Event::Timer { tag: DEADLINE_TIMER } => 5,
             _ => 1,
         }
     }
@@ -181,7 +185,7 @@
         let Some(open) = self.open[rpc].as_ref().filter(|_| !self.ids.finished(rpc)) else { return false };
         let late_by = self.net.clock() - open.client_deadline;
         if late_by >= LATE_LOG_THRESHOLD {
-            if let Some(left_out) = self.log_limit.may(self.net.now()) {
+            if let Some(left_out) = self.log_limit.allow(self.net.now()) {
                 let id = format!("{:016x}", open.id);
                 let (late_ms, picks) = (late_by / MS, open.picks.len());
                 tracing::warn!(event = "late answer", id, late_ms, picks, left_out);
--- a/node/src/lateness.rs
+++ b/node/src/lateness.rs
@@ -1,7 +1,7 @@
 //! Measures how far the event loop lags: long turns and late timers. These log lines alone show whether a late answer
 //! was caused by a process that was held up.
 use rockpick::Ns;
-use rockpick_net::{Often, MS};
+use rockpick_net::{LogLimiter, MS};
 
 /// A turn or delay of at least this much is logged; deadlines leave 20 ms for it.
 const LOG_THRESHOLD: Ns = 50 * MS;
@@ -17,12 +17,12 @@
 
 pub struct Lateness {
     worst: WorstDelays,
-    log_limit: Often,
+    log_limit: LogLimiter,
 }
 
 impl Default for Lateness {
     fn default() -> Lateness {
-        Lateness { worst: WorstDelays::default(), log_limit: Often::new(LOG_LINES_PER_SECOND) }
+        Lateness { worst: WorstDelays::default(), log_limit: LogLimiter::new(LOG_LINES_PER_SECOND) }
     }
 }
 
@@ -34,7 +34,7 @@
         if lasted < LOG_THRESHOLD {
             return;
         }
-        if let Some(left_out) = self.log_limit.may(ended) {
+        if let Some(left_out) = self.log_limit.allow(ended) {
             tracing::warn!(event = "long turn", lasted_ms = lasted / MS, events, left_out);
         }
     }
@@ -45,7 +45,7 @@
         if late < LOG_THRESHOLD {
             return;
         }
-        if let Some(left_out) = self.log_limit.may(now) {
+        if let Some(left_out) = self.log_limit.allow(now) {
             tracing::warn!(event = "late timer", late_ms = late / MS, left_out);
         }
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -9,7 +9,7 @@
 use crate::lateness::Lateness;
 use crate::Config;
 use rockpick::{Front, Ns, Outcome, Reply, RosterUpdate};
-use rockpick_net::{Bound, Event, Id, Net, MS, SEC};
+use rockpick_net::{BoundListener, Event, Id, Net, MS, SEC};
 use rockpick_peers::{PeerService, Peers};
 use rockpick_pg as pg;
 use rockpick_platform::{roster, statement};
@@ -42,7 +42,7 @@
     front: Front,
     pub at: SocketAddr,
     /// The bound socket until `listen` is called; no client can connect to it.
-    bound: Option<Bound>,
+    bound: Option<BoundListener>,
     listener: Option<Id>,
     /// Start of the shutdown, time at which the listener was closed, and time since which no work is left.
     stopping: Option<Ns>,
@@ -80,14 +80,14 @@
     /// An address that can't be bound, signal handlers that can't be installed, or a failure of the event loop.
     pub fn prepare(config: Config) -> Result<Node, String> {
         let mut net = Net::new(0).map_err(error_text)?;
-        net.most_streams = config.sockets - crate::connection_pool::OWN_DESCRIPTORS / 2;
-        net.refusal = crate::clients::too_many_connections();
+        net.max_streams = config.sockets - crate::connection_pool::OWN_DESCRIPTORS / 2;
+        net.stream_refusal = crate::clients::too_many_connections();
         for signal in [SIGHUP, SIGTERM, SIGINT] {
             net.on_signal(signal).map_err(error_text)?;
         }
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as i128);
         let wall_offset = unix_time - i128::from(net.clock());
-        let bound = Bound::to(config.listen).map_err(|err| format!("{}: {err}", config.listen))?;
+        let bound = BoundListener::bind(config.listen).map_err(|err| format!("{}: {err}", config.listen))?;
         let (post, roster_json, initial_status) =
             (config.post.clone(), config.initial_roster.clone(), config.initial_status);
         let mut effects = Effects::new(net, config, wall_offset);
@@ -249,14 +249,14 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Came { conn } => {
+            Event::StreamOpened { conn } => {
                 if self.effects.rollout_api.owns(conn) {
                     self.effects.rollout_api_connected(conn);
                 } else if !self.effects.pool.owns(conn) {
                     self.effects.client_connected(conn);
                 }
             }
-            Event::Bytes { conn, bytes } => {
+            Event::StreamData { conn, bytes } => {
                 if self.effects.clients.owns(conn) {
                     self.effects.client_bytes(conn, &bytes);
                     self.read_client(conn);
@@ -269,8 +269,8 @@
                         .for_each(|event| self.deliver(event));
                 }
             }
-            Event::Flushed { conn } => self.read_client(conn),
-            Event::Gone { conn, unsent } => {
+            Event::StreamFlushed { conn } => self.read_client(conn),
+            Event::StreamClosed { conn, unsent } => {
                 if self.effects.clients.owns(conn) {
                     self.effects.forget_client(conn);
                 } else if let Some((rpc, pick, how)) = self.effects.machine_closed(conn, unsent) {
@@ -282,23 +282,23 @@
                         .for_each(|event| self.deliver(event));
                 }
             }
-            Event::Piece { call, status, bytes } => {
+            Event::CallData { call, status, bytes } => {
                 self.effects
                     .watch_bytes(call, status, &bytes)
                     .into_iter()
                     .for_each(|event| self.deliver(event));
             }
-            Event::Ended { call, end } => {
+            Event::CallEnded { call, end } => {
                 self.effects
                     .discovery_ended(call, Some(end))
                     .into_iter()
                     .for_each(|event| self.deliver(event));
             }
-            Event::Woke { tag } if tag & MODULE_TIMER != 0 => {
+            Event::Timer { tag } if tag & MODULE_TIMER != 0 => {
                 self.front.timer_fired(&mut self.effects, tag & !MODULE_TIMER)
             }
-            Event::Woke { tag: DEADLINE_TIMER } => self.expire_deadlines(),
-            Event::Woke { tag: PEERS_TIMER } => {
+            Event::Timer { tag: DEADLINE_TIMER } => self.expire_deadlines(),
+            Event::Timer { tag: PEERS_TIMER } => {
                 if let Some(peers) = &mut self.peers {
                     peers.handle_timer(&mut self.effects.net);
                 }
@@ -308,14 +308,14 @@
                     peers.handle_datagram(&mut self.effects.net, from, &bytes);
                 }
             }
-            Event::Woke { tag: TICK_TIMER } => self.tick(),
-            Event::Woke { tag: ROLLOUT_API_TIMER } => self.effects.subscribe(),
-            Event::Woke { tag: STOP_TIMER } => self.close_listener(),
+            Event::Timer { tag: TICK_TIMER } => self.tick(),
+            Event::Timer { tag: ROLLOUT_API_TIMER } => self.effects.subscribe(),
+            Event::Timer { tag: STOP_TIMER } => self.close_listener(),
             Event::Signal { number: SIGHUP } => {
                 self.reload_retries = RELOAD_RETRY.1;
                 self.reload();
             }
-            Event::Woke { tag: RELOAD_TIMER } => self.reload(),
+            Event::Timer { tag: RELOAD_TIMER } => self.reload(),
             Event::Signal { number } => self.begin_shutdown(number),
             _ => {}
         }
@@ -323,7 +323,7 @@
 
     fn expire_deadlines(&mut self) {
         let now = self.effects.net.now();
-        while let Some(id) = self.effects.deadlines.over(now) {
+        while let Some(id) = self.effects.deadlines.pop_expired(now) {
             if self.effects.clients.owns(id) {
                 self.effects.client_timed_out(id);
             } else if self.effects.pool.owns(id) {
@@ -337,7 +337,7 @@
             }
             self.process_pending();
         }
-        if let Some(at) = self.effects.deadlines.woke(now) {
+        if let Some(at) = self.effects.deadlines.timer_fired(now) {
             self.effects.net.wake_at(at, DEADLINE_TIMER);
         }
     }
@@ -515,7 +515,7 @@
         self.effects.net.close(listener);
         self.effects.queued_events.append(&mut events);
         // No more connections are accepted, so no descriptors need to be reserved for them.
-        self.effects.net.most_closing = self.effects.net.most_streams;
+        self.effects.net.max_closing = self.effects.net.max_streams;
     }
 
     /// Whether a shutdown is complete: everything is answered, and slow readers have received it.
@@ -524,7 +524,7 @@
         let now = self.effects.net.now();
         self.effects.close_idle_clients(listener_closed);
         let unfinished = self.effects.clients.count() > 0
-            || self.effects.net.last_words() > 0
+            || self.effects.net.unflushed_closing() > 0
             || !self.effects.queued_events.is_empty();
         let longest = self.effects.config.methods.iter().map(|(_, longest)| *longest).max().unwrap_or(0);
         if unfinished && now - began < longest.clamp(MIN_SHUTDOWN, MAX_SHUTDOWN) + SHUTDOWN_MARGIN {
--- a/node/src/tests.rs
+++ b/node/src/tests.rs
@@ -45,7 +45,7 @@
         while self.effects.net.streams() == 0 || id.is_none_or(|id| !self.reads_startup(id, &mut events)) {
             self.effects.net.turn(&mut events, SEC).unwrap();
             for event in &events {
-                if let Event::Came { conn } = event {
+                if let Event::StreamOpened { conn } = event {
                     id = Some(*conn);
                     self.effects.client_connected(*conn);
                 }
@@ -62,7 +62,7 @@
         let mut events = Vec::new();
         loop {
             self.effects.net.turn(&mut events, SEC).unwrap();
-            if let Some(Event::Came { conn }) = events.first() {
+            if let Some(Event::StreamOpened { conn }) = events.first() {
                 return (io, *conn);
             }
         }
@@ -75,7 +75,7 @@
 
     fn reads_startup(&mut self, id: Id, events: &mut Vec<Event>) -> bool {
         events.drain(..).any(|event| match event {
-            Event::Bytes { conn, bytes } if conn == id => {
+            Event::StreamData { conn, bytes } if conn == id => {
                 self.effects.client_bytes(conn, &bytes);
                 self.effects.read_commands(conn, |_, _| true);
                 true
@@ -90,7 +90,7 @@
     let mut out = Vec::new();
     pg::put_query(&mut out, "");
     io.write_all(&out).unwrap();
-    while !harness.effects.net.unread(id) {
+    while !harness.effects.net.has_unread(id) {
         std::thread::yield_now();
     }
 }
@@ -169,7 +169,7 @@
     let mut new = TcpStream::connect(harness.at).unwrap();
     new.write_all(b"first bytes").unwrap();
     let mut events = Vec::new();
-    while !events.iter().any(|event| matches!(event, Event::Bytes { conn, .. } if *conn != id)) {
+    while !events.iter().any(|event| matches!(event, Event::StreamData { conn, .. } if *conn != id)) {
         harness.effects.net.turn(&mut events, SEC).unwrap();
     }
     send_unread_query(&mut harness, &mut old, id);
@@ -178,8 +178,8 @@
     let order: Vec<(bool, bool)> = events
         .iter()
         .filter_map(|event| match event {
-            Event::Came { conn } => Some((*conn == id, false)),
-            Event::Bytes { conn, .. } => Some((*conn == id, true)),
+            Event::StreamOpened { conn } => Some((*conn == id, false)),
+            Event::StreamData { conn, .. } => Some((*conn == id, true)),
             _ => None,
         })
         .collect();
@@ -198,12 +198,12 @@
     let now = harness.effects.net.clock();
     harness.effects.set_deadline(id, now);
     let mut events = Vec::new();
-    while !events.iter().any(|event| matches!(event, Event::Woke { .. })) {
+    while !events.iter().any(|event| matches!(event, Event::Timer { .. })) {
         harness.effects.net.turn(&mut events, SEC).unwrap();
     }
-    assert!(events.iter().any(|event| matches!(event, Event::Bytes { .. })), "{events:?}");
+    assert!(events.iter().any(|event| matches!(event, Event::StreamData { .. })), "{events:?}");
     events.sort_by_cached_key(|event| harness.effects.event_priority(event));
-    assert!(matches!(events.last(), Some(Event::Woke { .. })), "{events:?}");
+    assert!(matches!(events.last(), Some(Event::Timer { .. })), "{events:?}");
 }
 
 /// Guards against a process that is held up without reporting it.
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rockpick::{Front, RolloutStatus};
 use rockpick_membership::{self as membership, Change, Membership, Ns, Record, Status, MS, SEC};
-use rockpick_net::{Id, Net, Often};
+use rockpick_net::{Id, LogLimiter, Net};
 use rockpick_replication::{self as replication, Build, Key, Notice, Peer, Phase, Replica, Row, Table};
 use row_log::RowLog;
 use serde_json::{json, Value};
@@ -139,7 +139,7 @@
     tag: u64,
     listen: SocketAddr,
     changes: Vec<(Ns, Change)>,
-    log_limit: Often,
+    log_limit: LogLimiter,
     /// Datagrams received and sent with their bytes, and those rejected.
     received: (u64, u64),
     sent: (u64, u64),
@@ -187,7 +187,7 @@
             tag,
             listen,
             changes: Vec::new(),
-            log_limit: Often::new(LOG_LINES_PER_SECOND),
+            log_limit: LogLimiter::new(LOG_LINES_PER_SECOND),
             received: (0, 0),
             sent: (0, 0),
             rejected: 0,
@@ -263,7 +263,7 @@
                 Notice::Complete(table) => tracing::info!(event = "table complete", table = ?table),
                 Notice::Conflict(key) => {
                     self.conflicts += 1;
-                    if let Some(left_out) = self.log_limit.may(now) {
+                    if let Some(left_out) = self.log_limit.allow(now) {
                         tracing::warn!(event = "replicas conflict", key = ?key, left_out);
                     }
                 }
@@ -297,7 +297,7 @@
 
     fn record_change(&mut self, now: Ns, change: Change) {
         let (what, record) = change_name(&change);
-        if let Some(left_out) = self.log_limit.may(now) {
+        if let Some(left_out) = self.log_limit.allow(now) {
             tracing::info!(event = "peer", what, name = record.name, at = %record.address, turn = record.incarnation, left_out);
         }
         if self.changes.len() >= MAX_CHANGES {
@@ -375,7 +375,7 @@
             Ok(_) => self.rejected += 1,
             Err(reason) => {
                 self.rejected += 1;
-                if let Some(left_out) = self.log_limit.may(net.now()) {
+                if let Some(left_out) = self.log_limit.allow(net.now()) {
                     tracing::warn!(event = "datagram rejected", from = %from, why = ?reason, left_out);
                 }
             }
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -16,7 +16,7 @@
 pub use crew::{print, written};
 pub use day::Plan;
 use rockpick_net::http::{self, Response};
-use rockpick_net::{Call, End, Event, Net, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Net, MS, SEC};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -45,7 +45,7 @@
 pub fn call(to: SocketAddr, method: &str, target: &str, body: &str) -> Result<Response, String> {
     let mut net = Net::new(1).map_err(|err| err.to_string())?;
     let lines = [("Content-Type", "application/json")];
-    let request = http::ask(method, target, &to.to_string(), &lines, body.as_bytes());
+    let request = http::encode_request(method, target, &to.to_string(), &lines, body.as_bytes());
     let mut events = Vec::new();
     net.call(
         &mut events,
@@ -53,11 +53,11 @@
     );
     while net.now() < 5 * SEC {
         for event in events.drain(..) {
-            if let Event::Ended { end, .. } = event {
+            if let Event::CallEnded { end, .. } = event {
                 return match end {
-                    End::Answer(answer) => Ok(answer),
-                    End::Unreachable | End::Unsent => Err(format!("{to}: no connection")),
-                    End::Broken(why) => Err(format!("{to}: {why}")),
+                    CallEnd::Answer(answer) => Ok(answer),
+                    CallEnd::Unreachable | CallEnd::Unsent => Err(format!("{to}: no connection")),
+                    CallEnd::Broken(why) => Err(format!("{to}: {why}")),
                 };
             }
         }
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -8,7 +8,7 @@
 use rockpick_control::settings::{MethodSettings, RepeatKind};
 use rockpick_control::Settings;
 use rockpick_net::http::{self, Response};
-use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
     if rpc.tries > 1 {
         lines.push(("Rockpick-Repeat", "1"));
     }
-    let request = http::ask("POST", &format!("/rpc/{}", row.name), &to.to_string(), &lines, b"{}");
+    let request = http::encode_request("POST", &format!("/rpc/{}", row.name), &to.to_string(), &lines, b"{}");
     (id, request)
 }
 
@@ -101,13 +101,13 @@
 
 /// What an answer says, and when to return if it tells that.
 pub fn heard(r: &Response, right: bool) -> (How, Option<Ns>) {
-    let how = match r.lines.get("rockpick-answer") {
+    let how = match r.headers.get("rockpick-answer") {
         Some("ok") => How::Ok { right },
         Some("pushed-back") => How::PushedBack,
         Some("aborted") => How::Aborted,
         _ => How::NotTaken,
     };
-    let wait = r.lines.get("rockpick-retry-after-ms").and_then(|v| v.parse::<i64>().ok());
+    let wait = r.headers.get("rockpick-retry-after-ms").and_then(|v| v.parse::<i64>().ok());
     // An hour at most: nothing waits longer.
     (how, wait.map(|ms| ms.clamp(0, 3_600_000) * MS))
 }
@@ -161,15 +161,15 @@
             self.done |= self.net.now() >= ends;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Woke { tag: ARRIVE } => self.arrive(),
-                    Event::Woke { tag } if tag & DISPUTE != 0 => self.dispute(tag & !DISPUTE),
-                    Event::Woke { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
-                    Event::Woke { tag } if tag & AGAIN != 0 => {
+                    Event::Timer { tag: ARRIVE } => self.arrive(),
+                    Event::Timer { tag } if tag & DISPUTE != 0 => self.dispute(tag & !DISPUTE),
+                    Event::Timer { tag } if tag & GIVE_UP != 0 => self.give_up(tag & !GIVE_UP),
+                    Event::Timer { tag } if tag & AGAIN != 0 => {
                         if let Some(rpc) = self.waiting.remove(&(tag & !AGAIN)) {
                             self.send(rpc);
                         }
                     }
-                    Event::Ended { call, end } => self.ended(call, end),
+                    Event::CallEnded { call, end } => self.ended(call, end),
                     Event::Request { conn, request } => {
                         let said = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
                         match (request.path(), self.crowd.schedule.load.change(&said)) {
@@ -183,9 +183,9 @@
                 }
             }
             if self.done && self.tries.is_empty() && self.waiting.is_empty() && self.disputes.is_empty() {
-                self.crowd.tolls.stray = self.net.stray;
+                self.crowd.tolls.stray = self.net.unexpected_data;
                 self.record.put(
-                    json!({ "event": "end", "stray": self.net.stray, "not_sent": self.crowd.tolls.not_sent }),
+                    json!({ "event": "end", "stray": self.net.unexpected_data, "not_sent": self.crowd.tolls.not_sent }),
                 );
                 return Ok((self.crowd.tolls, self.crowd.times));
             }
@@ -251,15 +251,15 @@
         self.record.put(end_line(line, row, &t.rpc, self.clients.seed, front, took, late));
     }
 
-    fn ended(&mut self, call: Id, end: End) {
+    fn ended(&mut self, call: Id, end: CallEnd) {
         let Some(t) = self.tries.remove(&(call & (GIVE_UP - 1))) else { return };
         match end {
-            End::Answer(r) => self.answered(t, r),
-            End::Unreachable | End::Unsent => {
+            CallEnd::Answer(r) => self.answered(t, r),
+            CallEnd::Unreachable | CallEnd::Unsent => {
                 self.say(&t, json!({ "event": "not taken" }));
                 self.after(t.rpc, How::Unreachable, None);
             }
-            End::Broken(why) => {
+            CallEnd::Broken(why) => {
                 self.say(&t, json!({ "event": "broken", "why": why }));
                 self.after(t.rpc, How::Broken, None);
             }
@@ -268,9 +268,9 @@
 
     fn answered(&mut self, t: Try, r: Response) {
         let now = self.net.now();
-        let answer = r.lines.get("rockpick-answer").unwrap_or("none").to_string();
+        let answer = r.headers.get("rockpick-answer").unwrap_or("none").to_string();
         let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
-        let build = r.lines.get("rockpick-build").unwrap_or("").to_string();
+        let build = r.headers.get("rockpick-build").unwrap_or("").to_string();
         let right = said["right"].as_bool().unwrap_or(true);
         self.say(
             &t,
@@ -293,7 +293,7 @@
         let to = self.clients.fronts[front];
         let age = (self.net.now() - sent) as f64 / MS as f64;
         let body = json!({ "machine": machine, "age_ms": age }).to_string();
-        let request = http::ask("POST", "/dispute", &to.to_string(), &[], body.as_bytes());
+        let request = http::encode_request("POST", "/dispute", &to.to_string(), &[], body.as_bytes());
         let call = Call { to, request: &request, connect_within: CONNECT, stream: false, head_only: false };
         self.net.call(&mut self.made, call);
     }
--- a/standin/src/faulty.rs
+++ b/standin/src/faulty.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick_net::http::{self, Request};
-use rockpick_net::{take_line, Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{take_line, Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -50,9 +50,9 @@
             net.turn(&mut events, SEC).map_err(say)?;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::Woke { .. } => {
+                    Event::Timer { .. } => {
                         let target = format!("/watch?front={}&http={at}&notes={at}", self.name);
-                        let request = http::ask("GET", &target, "c", &[], b"");
+                        let request = http::encode_request("GET", &target, "c", &[], b"");
                         let to = self.controller;
                         let call = Call {
                             to,
@@ -63,7 +63,7 @@
                         };
                         watch = net.call(&mut made, call);
                     }
-                    Event::Piece { call, bytes, .. } if call == watch => {
+                    Event::CallData { call, bytes, .. } if call == watch => {
                         line.extend_from_slice(&bytes);
                         while let Some(whole) = take_line(&mut line) {
                             let said: Value = serde_json::from_slice(&whole).unwrap_or(Value::Null);
@@ -93,27 +93,27 @@
                         let to = pick(&machines, self.breaks, trial, &mut chance);
                         send(&mut net, &mut made, &mut calls, &self.name, to, conn, request, 0);
                     }
-                    Event::Ended { call, .. } if call == watch => {
+                    Event::CallEnded { call, .. } if call == watch => {
                         net.wake_at(net.now() + SEC / 2, 1);
                     }
-                    Event::Ended { call, end } => {
+                    Event::CallEnded { call, end } => {
                         let Some((conn, request, again)) = calls.remove(&call) else { continue };
                         match end {
-                            End::Answer(r) if r.status < 500 => {
+                            CallEnd::Answer(r) if r.status < 500 => {
                                 if self.breaks == 2 && !again && request.target == "/rpc/lodge" {
                                     // Once more, to be quite sure.
                                     let to = pick(&machines, 0, trial, &mut chance);
                                     send(&mut net, &mut made, &mut calls, &self.name, to, conn, request, 1);
                                     continue;
                                 }
-                                let build = r.lines.get("standin-build").unwrap_or("").to_string();
+                                let build = r.headers.get("standin-build").unwrap_or("").to_string();
                                 let lines = [("Rockpick-Answer", "ok"), ("Rockpick-Build", &*build)];
                                 net.answer(conn, r.status, &lines, &r.body);
                             }
-                            End::Answer(r) if r.lines.get("rockpick-never-ran").is_some() => {
+                            CallEnd::Answer(r) if r.headers.get("rockpick-never-ran").is_some() => {
                                 net.answer(conn, 503, &[("Rockpick-Answer", "pushed-back")], b"");
                             }
-                            End::Unreachable | End::Unsent => {
+                            CallEnd::Unreachable | CallEnd::Unsent => {
                                 net.answer(conn, 503, &[("Rockpick-Answer", "pushed-back")], b"");
                             }
                             _ => net.answer(conn, 502, &[("Rockpick-Answer", "aborted")], b""),
@@ -155,10 +155,10 @@
     let nth = pick.to_string();
     let skip = ["host", "content-length"];
     let mut lines: Vec<(&str, &str)> =
-        request.lines.iter().filter(|(n, _)| !skip.iter().any(|s| n.eq_ignore_ascii_case(s))).collect();
+        request.headers.iter().filter(|(n, _)| !skip.iter().any(|s| n.eq_ignore_ascii_case(s))).collect();
     lines.push(("Rockpick-Front", name));
     lines.push(("Rockpick-Pick", &nth));
-    let text = http::ask("POST", &request.target, "m", &lines, &request.body);
+    let text = http::encode_request("POST", &request.target, "m", &lines, &request.body);
     let call = Call { to, request: &text, connect_within: SEC / 4, stream: false, head_only: false };
     let id = net.call(made, call);
     calls.insert(id, (conn, request, pick > 0));
--- a/standin/src/machine.rs
+++ b/standin/src/machine.rs
@@ -3,7 +3,7 @@
 use crate::record::Record;
 use crate::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
 use rockpick_net::http::{self, Request};
-use rockpick_net::{Call, End, Event, Id, Net, Ns, MS, SEC};
+use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -88,11 +88,11 @@
             Reply::Reset => self.net.close(conn),
             Reply::Half => {
                 let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{\"ha", body.len());
-                self.net.raw(conn, text.as_bytes(), true);
+                self.net.send_raw(conn, text.as_bytes(), true);
             }
             Reply::WrongLength => {
                 let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len() + 7);
-                self.net.raw(conn, text.as_bytes(), true);
+                self.net.send_raw(conn, text.as_bytes(), true);
             }
         }
     }
@@ -170,17 +170,17 @@
             for event in std::mem::take(&mut events) {
                 match event {
                     Event::Request { conn, request } => self.request(conn, request),
-                    Event::Left { conn } => self.shop.left(&mut self.street, conn),
-                    Event::Woke { tag: TAG_BEAT } => self.beat(at),
-                    Event::Woke { tag } if tag & HELD != 0 => self.shop.held_over(&mut self.street, tag),
-                    Event::Woke { tag } => {
+                    Event::ClientClosed { conn } => self.shop.left(&mut self.street, conn),
+                    Event::Timer { tag: TAG_BEAT } => self.beat(at),
+                    Event::Timer { tag } if tag & HELD != 0 => self.shop.held_over(&mut self.street, tag),
+                    Event::Timer { tag } => {
                         let now = self.street.net.now();
                         self.shop.done(now, &mut self.street, tag);
                     }
-                    Event::Ended { call, end } => {
+                    Event::CallEnded { call, end } => {
                         if self.beat.is_some_and(|(id, _)| id == call) {
                             self.beat = None;
-                            if let End::Answer(r) = end {
+                            if let CallEnd::Answer(r) = end {
                                 if self.ordered(&r.body) {
                                     return Ok(());
                                 }
@@ -188,7 +188,7 @@
                         } else if self.settings == Some(call) {
                             self.settings = None;
                             match end {
-                                End::Answer(r) if r.status == 200 => {
+                                CallEnd::Answer(r) if r.status == 200 => {
                                     self.read_settings(&r.body);
                                     self.beat(at);
                                 }
@@ -218,7 +218,7 @@
 
     fn ask(&mut self, method: &str, target: &str, body: &str) -> Id {
         let to = self.machine.controller;
-        let request = http::ask(method, target, &to.to_string(), &[], body.as_bytes());
+        let request = http::encode_request(method, target, &to.to_string(), &[], body.as_bytes());
         let call = Call { to, request: &request, connect_within: BEAT, stream: false, head_only: false };
         self.street.net.call(&mut self.made, call)
     }
@@ -284,7 +284,7 @@
             self.ask("POST", &target, &body.to_string());
             let by = self.street.net.now() + SEC / 4;
             let mut events = Vec::new();
-            while self.street.net.now() < by && !events.iter().any(|e| matches!(e, Event::Ended { .. })) {
+            while self.street.net.now() < by && !events.iter().any(|e| matches!(e, Event::CallEnded { .. })) {
                 if self.street.net.turn(&mut events, SEC / 20).is_err() {
                     break;
                 }
@@ -312,7 +312,7 @@
         let Some(method) = path.strip_prefix("/rpc/").filter(|_| request.method == "POST") else {
             return self.street.net.answer(conn, 404, &[], b"POST /rpc/METHOD is known\n");
         };
-        let line = |name: &str| request.lines.get(name).unwrap_or("").to_string();
+        let line = |name: &str| request.headers.get(name).unwrap_or("").to_string();
         let left = line("rockpick-time-left-ms").parse::<f64>().unwrap_or(60_000.0).clamp(0.0, 1e9);
         let work = line("standin-work-ms").parse::<f64>().map_or(WORK, |ms| ms.clamp(0.0, 60_000.0) / 1e3);
         let tag = Tag {
@@ -337,7 +337,7 @@
         let json: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match Fault::read(&json) {
             Ok(fault) => {
-                self.street.net.most_clients = fault.connections.unwrap_or(MOST_CLIENTS);
+                self.street.net.max_clients = fault.connections.unwrap_or(MOST_CLIENTS);
                 self.shop.fault = fault;
                 self.street.net.answer(conn, 200, &[], b"{}\n");
             }
