--- a/src/logic.rs
+++ b/src/logic.rs
@@ -407,9 +407,9 @@
         }
         // A slow or lossy link, or an overloaded zone, shows in the latency of the zone long before it
         // shows in that of a single machine.
-        let slow = |zone: u32| self.zone_slowness.get(zone as usize).copied().unwrap_or(1.0).max(0.5);
+        let slowness = |zone: u32| self.zone_slowness.get(zone as usize).copied().unwrap_or(1.0).max(0.5);
         if m.member.zone != self.config.zone {
-            let ratio = (slow(m.member.zone) / slow(self.config.zone)).max(1.2) - 0.2;
+            let ratio = (slowness(m.member.zone) / slowness(self.config.zone)).max(1.2) - 0.2;
             cost *= (1.0 + 25.0 * self.config.cross_zone_price) * ratio * ratio;
         }
         // The few fronts with a small share that may already pick a cold machine make up for those that may
@@ -426,9 +426,9 @@
     /// not heard; where changes are pushed, from the start on.
     fn trusts_roster(&self, now: Ns) -> bool {
         let SafetyLimits { told_within, drain_grace, .. } = self.config.limits;
-        let told = if self.config.ask_roster { told_within - MAX_RESTART } else { 0 };
-        let serves = told.saturating_add(drain_grace) - MAX_SEND_DELAY;
-        self.roster_heard || told_within == 0 || now - self.started < serves
+        let informed_after = if self.config.ask_roster { told_within - MAX_RESTART } else { 0 };
+        let trusted_for = informed_after.saturating_add(drain_grace) - MAX_SEND_DELAY;
+        self.roster_heard || told_within == 0 || now - self.started < trusted_for
     }
 
     fn best_machine(&mut self, now: Ns, fits: impl Fn(&Member) -> bool) -> Option<usize> {
@@ -616,12 +616,15 @@
     /// The best machine of an earlier build, or of a build on trial within its cap if a newer one is
     /// already listed.
     fn best_earlier(&mut self, rpc: usize, now: Ns, fits: impl Fn(&Member) -> bool) -> Option<usize> {
-        let (method, least) = (self.rpcs[rpc].method, self.bound_build(self.rpcs[rpc].key));
-        let (newest, told) = (self.newest_build, self.rollout.map_or(0, |t| t.build));
-        let most = if self.cap_has_room(told, method, now) { told + 1 } else { told };
-        let stays = (!self.watching).then(|| self.surviving_build());
-        let known = |build: u32| build >= told || stays.is_none_or(|stays| stays == Some(build));
-        self.best_machine(now, |m| (least..newest.min(most)).contains(&m.build) && known(m.build) && fits(m))
+        let (method, min_build) = (self.rpcs[rpc].method, self.bound_build(self.rpcs[rpc].key));
+        let (newest, announced) = (self.newest_build, self.rollout.map_or(0, |t| t.build));
+        let end = if self.cap_has_room(announced, method, now) { announced + 1 } else { announced };
+        let surviving = (!self.watching).then(|| self.surviving_build());
+        let certain =
+            |build: u32| build >= announced || surviving.is_none_or(|surviving| surviving == Some(build));
+        self.best_machine(now, |m| {
+            (min_build..newest.min(end)).contains(&m.build) && certain(m.build) && fits(m)
+        })
     }
 
     /// The earlier build that certainly stays while drains cannot be heard: the one released last. A front
@@ -631,9 +634,9 @@
         let before = self.rollout.map_or(0, |t| t.build).saturating_sub(1);
         let earlier = self.up().map(|m| m.member.build).filter(|b| *b <= before && *b != self.last_withdrawn);
         let listed: BTreeSet<u32> = earlier.collect();
-        let alone =
+        let only =
             listed.first().filter(|b| listed.len() == 1 && [**b, self.last_withdrawn].contains(&before));
-        Some(self.last_released).filter(|build| *build > 0).or(alone.copied())
+        Some(self.last_released).filter(|build| *build > 0).or(only.copied())
     }
 
     fn send_pick(&mut self, actions: &mut dyn Actions, rpc: usize, machine: Option<usize>) {
@@ -964,7 +967,10 @@
         // After a release only every fourth interval: this reveals a build that fails only under full load.
         if self.config.permissions.notes && (trial || now / INTERVAL % 4 == i64::from(rank % 4)) {
             let note = tally.encode(status.build);
-            receivers.iter().filter(|h| **h != rank).for_each(|h| actions.send_note(Some(*h), &note));
+            receivers
+                .iter()
+                .filter(|receiver| **receiver != rank)
+                .for_each(|receiver| actions.send_note(Some(*receiver), &note));
         }
         // Older notes are out of date.
         self.peer_notes.retain(|_, n| n.1 == status.build && now - n.0 < 6 * INTERVAL);
@@ -1010,12 +1016,12 @@
         let odds =
             k / (n * std::f64::consts::E) * 1e-3f64.powf(1.0 / k) / (self.mean_latency.len() + 1) as f64;
         let ours = self.machines.iter().filter(|m| self.side(m.member.build) == 0);
-        let erred =
+        let saw_error =
             sum_counts(ours.flat_map(|m| m.counts.recent(now, EVIDENCE_INTERVALS)).map(|c| &c[ALL]))[1] > 0;
         // The platform also counts time-outs caused by congestion or a bad network, so an error seen by
         // this front is required as well.
         let seen = [0, 1].map(|side| self.platform_totals(now, side, EVIDENCE_INTERVALS));
-        if let Some(why) = large_gap(seen, 0.003).filter(|_| trial && erred) {
+        if let Some(why) = large_gap(seen, 0.003).filter(|_| trial && saw_error) {
             return Some(format!("tallied, {why}"));
         }
         for (source, [new, old]) in ["own", "pooled"].into_iter().zip(counts) {
