--- a/emu/src/lib.rs
+++ b/emu/src/lib.rs
@@ -1,12 +1,12 @@
-//! A fleet in virtual time. Around the unchanged decision module, release and roster state machines, stand-in
-//! machines, clients and checker there are only a clock and a wire of its own: discrete events in a heap, one
-//! thread a run, deterministic from a seed.
+//! A discrete-event emulator of a fleet. The decision module, the release and roster state machines, the stand-in
+//! machines, the clients and the checker are the ones used on sockets; only the clock and the network are replaced.
+//! Events are kept in a heap; a run uses one thread and is deterministic for a seed.
 pub mod experiment;
 pub mod fit;
+mod front_node;
 pub mod line;
 pub mod parts;
 pub mod report;
-mod seat;
 pub mod study;
 pub mod world;
 
