--- a/emu/src/experiment.rs
+++ b/emu/src/experiment.rs
@@ -1,9 +1,9 @@
-//! Emulated days as results: settings and plans varied by path, a day played and summed up, and the interval
-//! of a mean.
+//! Emulated days as experiment results: changes to settings and plans by path, running and summarizing a day,
+//! and the confidence interval of a mean.
 //!
-//! The interval is the percentile bootstrap of the mean difference (Efron, 1979) over pairs: days differ far more
-//! from each other than choices do, so only pairs compare like with like, and differences of service are skewed
-//! (a jam tips or doesn't), which rules a normal interval out.
+//! The interval is the percentile bootstrap of the mean difference (Efron, 1979) over pairs. Days
+//! differ far more from each other than choices do, so results are compared in pairs of the same seed. Differences
+//! of service are skewed (congestion collapses or doesn't), which rules out a normal interval.
 use crate::line::Line;
 use crate::world::{Day, Wires, World};
 use rand::rngs::StdRng;
@@ -17,54 +17,54 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Resamples of a bootstrap: enough for the 0.1% quantile that the strictest look asks for.
+/// Bootstrap resamples: enough for the 0.1% quantile that the strictest interim analysis needs.
 const RESAMPLES: usize = 10_000;
-/// Changes that begin so are of the day, not of the settings: `plan.rate=200`.
-const PLAN: &str = "plan.";
+/// Prefix of changes to the plan rather than the settings: `plan.rate=200`.
+const PLAN_PREFIX: &str = "plan.";
 
-/// Sets fields of a charter by path: `rollout.dwell_ms=3000`; those of the plan are passed over.
+/// Sets fields of the settings by path: `rollout.dwell_ms=3000`. Changes to the plan are skipped.
 ///
 /// # Errors
-/// Names the path or the field that can't be had.
-pub fn vary(charter: &Settings, changes: &[String]) -> Result<Settings, String> {
-    let mut json = serde_json::to_value(charter).map_err(|err| err.to_string())?;
-    set(&mut json, changes.iter().filter(|c| !c.starts_with(PLAN)))?;
+/// A change without `=`, an unknown path, or settings that are invalid after the changes.
+pub fn vary(settings: &Settings, changes: &[String]) -> Result<Settings, String> {
+    let mut json = serde_json::to_value(settings).map_err(|err| err.to_string())?;
+    set_paths(&mut json, changes.iter().filter(|c| !c.starts_with(PLAN_PREFIX)))?;
     Settings::parse(json.to_string().as_bytes()).map_err(|w| format!("{}: {}", w[0].field, w[0].why))
 }
 
-fn set<'a>(json: &mut Value, changes: impl Iterator<Item = &'a String>) -> Result<(), String> {
+fn set_paths<'a>(json: &mut Value, changes: impl Iterator<Item = &'a String>) -> Result<(), String> {
     for change in changes {
         let (path, value) = change.split_once('=').ok_or(format!("{change}: PATH=VALUE is wanted"))?;
         let value: Value = serde_json::from_str(value).unwrap_or_else(|_| Value::from(value));
-        let mut at = &mut *json;
+        let mut node = &mut *json;
         for part in path.split('.') {
             let next = match part.parse::<usize>() {
-                Ok(i) => at.get_mut(i),
-                Err(_) => at.get_mut(part),
+                Ok(i) => node.get_mut(i),
+                Err(_) => node.get_mut(part),
             };
-            at = next.ok_or(format!("{path}: no such field"))?;
+            node = next.ok_or(format!("{path}: no such field"))?;
         }
-        *at = value;
+        *node = value;
     }
     Ok(())
 }
 
-/// The day of a plan with a seed.
+/// Sets up the day of a plan, with changes applied and the given seed.
 ///
 /// # Errors
-/// A plan that makes no sense.
+/// An invalid plan or change.
 pub fn day(plan: &Plan, changes: &[String], seed: u64, check: bool) -> Result<Day, String> {
     let mut json = serde_json::to_value(Plan { seed, ..plan.clone() }).map_err(|err| err.to_string())?;
-    let of_plan: Vec<String> =
-        changes.iter().filter_map(|c| Some(c.strip_prefix(PLAN)?.to_string())).collect();
-    set(&mut json, of_plan.iter()).map_err(|why| format!("{PLAN}{why}"))?;
+    let plan_changes: Vec<String> =
+        changes.iter().filter_map(|c| Some(c.strip_prefix(PLAN_PREFIX)?.to_string())).collect();
+    set_paths(&mut json, plan_changes.iter()).map_err(|why| format!("{PLAN_PREFIX}{why}"))?;
     let plan: Plan = serde_json::from_value(json).map_err(|err| format!("plan: {err}"))?;
     plan.check()?;
     let (script, seconds) = rockpick_rehearse::day::script(&plan)?;
-    let charter = vary(&rockpick_rehearse::day::charter(&plan)?, changes)?;
+    let settings = vary(&rockpick_rehearse::day::charter(&plan)?, changes)?;
     let load = Load { rate: plan.rate, ..Load::default() };
     Ok(Day {
-        charter,
+        charter: settings,
         load,
         work_ms: plan.work_ms,
         retries: 2,
@@ -80,7 +80,7 @@
     })
 }
 
-/// Plays one day and sums it up; the rules are checked in every run.
+/// Runs and summarizes one day of a plan; the checker's rules are applied in every run.
 ///
 /// # Errors
 /// A day that can't be set up.
@@ -91,41 +91,41 @@
     Ok((Line { choice: choice.into(), ..line }, judgement))
 }
 
-/// Plays a day that is set up, and sums it up.
+/// Runs and summarizes a day that is set up.
 ///
 /// # Errors
-/// Settings that do not hold.
+/// Invalid settings.
 pub fn played(day: Day) -> Result<(Line, judge::Judgement), String> {
-    let (charter, script, seed) = (day.charter.clone(), day.script.clone(), day.seed);
+    let (settings, script, seed) = (day.charter.clone(), day.script.clone(), day.seed);
     let outcome = World::new(day)?.run();
-    let judgement = judge::judge(&charter, &outcome.evidence);
-    let line = Line::of(&charter, &outcome.evidence, &judgement, &script);
+    let judgement = judge::judge(&settings, &outcome.evidence);
+    let line = Line::of(&settings, &outcome.evidence, &judgement, &script);
     Ok((Line { seed, how: "emulated".into(), events: outcome.events, ..line }, judgement))
 }
 
-/// Runs spread over threads, one at a time on each; their results in the order of the tasks.
+/// Runs tasks on several threads and returns their results in the order of the tasks.
 ///
 /// # Errors
-/// The first that a run says.
+/// The error of the first task, in that order, that failed.
 pub fn spread<T: Sync, R: Send>(
     threads: usize, tasks: &[T], run: impl Fn(&T) -> Result<R, String> + Sync,
 ) -> Result<Vec<R>, String> {
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
-    let work = || loop {
-        let nth = next.fetch_add(1, Ordering::Relaxed);
-        let Some(task) = tasks.get(nth) else { return };
+    let worker = || loop {
+        let index = next.fetch_add(1, Ordering::Relaxed);
+        let Some(task) = tasks.get(index) else { return };
         let result = run(task);
-        done.lock().unwrap_or_else(PoisonError::into_inner).insert(nth, result);
+        done.lock().unwrap_or_else(PoisonError::into_inner).insert(index, result);
     };
     std::thread::scope(|scope| {
         (0..threads.clamp(1, tasks.len().max(1))).for_each(|_| {
-            scope.spawn(work);
+            scope.spawn(worker);
         });
     });
     done.into_inner().unwrap_or_else(PoisonError::into_inner).into_values().collect()
 }
 
-/// The mean, and the ends of its bootstrap interval that misses with the chance `alpha`.
+/// The mean, and the bounds of its bootstrap confidence interval of level `1 - alpha`.
 ///
 /// ```
 /// let (mean, low, high) = rockpick_emu::experiment::interval(&[1.0, 2.0, 3.0, 2.0, 1.0, 3.0], 0.05, 1);
@@ -134,16 +134,15 @@
 pub fn interval(values: &[f64], alpha: f64, seed: u64) -> (f64, f64, f64) {
     let n = values.len().max(1);
     let mean = values.iter().sum::<f64>() / n as f64;
-    let mut chance = StdRng::seed_from_u64(seed);
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
-            (0..n).map(|_| values.get(chance.random_range(0..n)).copied().unwrap_or(0.0)).sum::<f64>()
-                / n as f64
+            (0..n).map(|_| values.get(rng.random_range(0..n)).copied().unwrap_or(0.0)).sum::<f64>() / n as f64
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |q: f64| means[((q * RESAMPLES as f64) as usize).min(RESAMPLES - 1)];
-    (mean, at(alpha / 2.0), at(1.0 - alpha / 2.0))
+    let quantile = |q: f64| means[((q * RESAMPLES as f64) as usize).min(RESAMPLES - 1)];
+    (mean, quantile(alpha / 2.0), quantile(1.0 - alpha / 2.0))
 }
 
 #[cfg(test)]
@@ -151,26 +150,26 @@
     use super::*;
 
     #[test]
-    fn a_path_is_set_checked_and_named_when_wrong() {
-        let charter = Settings::example(2, 4);
-        let longer =
-            vary(&charter, &["rollout.dwell_ms=3000".into(), "rollout.stages.0=0.25".into()]).unwrap();
-        assert_eq!((longer.rollout.dwell_ms, longer.rollout.stages[0]), (3_000, 0.25));
-        assert!(vary(&charter, &["rollout.dwel_ms=1".into()]).unwrap_err().contains("rollout.dwel_ms"));
-        assert!(vary(&charter, &["guard.cold_from=9".into()]).unwrap_err().contains("guard.cold_from"));
+    fn changes_are_applied_validated_and_named_in_errors() {
+        let settings = Settings::example(2, 4);
+        let changed =
+            vary(&settings, &["rollout.dwell_ms=3000".into(), "rollout.stages.0=0.25".into()]).unwrap();
+        assert_eq!((changed.rollout.dwell_ms, changed.rollout.stages[0]), (3_000, 0.25));
+        assert!(vary(&settings, &["rollout.dwel_ms=1".into()]).unwrap_err().contains("rollout.dwel_ms"));
+        assert!(vary(&settings, &["guard.cold_from=9".into()]).unwrap_err().contains("guard.cold_from"));
     }
 
     #[test]
-    fn the_interval_holds_in_nineteen_of_twenty_skewed_samples() {
-        let mut chance = StdRng::seed_from_u64(7);
-        let held = (0..200)
+    fn the_95_percent_interval_covers_the_mean_of_skewed_samples() {
+        let mut rng = StdRng::seed_from_u64(7);
+        let covered = (0..200)
             .filter(|i| {
-                // Exponential: as skewed as service is.
-                let sample: Vec<f64> = (0..40).map(|_| -(1.0 - chance.random::<f64>()).ln()).collect();
+                // Exponential, to be as skewed as service is.
+                let sample: Vec<f64> = (0..40).map(|_| -(1.0 - rng.random::<f64>()).ln()).collect();
                 let (_, low, high) = interval(&sample, 0.05, *i);
                 low <= 1.0 && 1.0 <= high
             })
             .count();
-        assert!((180..=199).contains(&held), "{held} of 200");
+        assert!((180..=199).contains(&covered), "{covered} of 200");
     }
 }
--- a/emu/src/fit.rs
+++ b/emu/src/fit.rs
@@ -1,5 +1,5 @@
-//! Does the emulator predict? Its wires are fitted to the record of one rehearsal on loopback; from then on it
-//! says, with error bars, what further rehearsals will come to.
+//! Validation of the emulator against rehearsals. Its latencies are fitted to the record of one rehearsal on
+//! loopback; with them it predicts, with error bars, the results of further rehearsals.
 use crate::experiment::{day, played, spread};
 use crate::line::{Line, P50, P99};
 use crate::world::Wires;
@@ -9,23 +9,24 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// RPCs that a fit needs at the least.
-const FEWEST: usize = 100;
-/// Emulated days behind each prediction, and Student's t for 99% with as many less one (two-sided).
+/// The smallest number of RPCs that a fit accepts.
+const MIN_RPCS: usize = 100;
+/// Emulated days behind each prediction, and Student's t for a two-sided 99% with one degree of freedom fewer.
 pub const DAYS: u64 = 24;
 const T99: f64 = 2.807;
-/// Their seeds lie away from those of any rehearsal.
-const SEEDS: u64 = 1 << 40;
-/// Emulated and real ways are drawn up to half as much again: on average a quarter.
-const DRAWN: f64 = 1.25;
+/// The first seed of these days, apart from those of any rehearsal.
+const FIRST_SEED: u64 = 1 << 40;
+/// Mean jitter factor: emulated latencies are jittered by up to half the base, by a quarter on average.
+const MEAN_JITTER: f64 = 1.25;
 
 fn median(mut times: Vec<Ns>) -> Ns {
     times.sort_unstable();
     times.get(times.len() / 2).copied().unwrap_or(0)
 }
 
-/// Wires as a rehearsal's record shows them, from RPCs with a single pick: half of the way there and back is
-/// put to clients and half to picks, and what machines take beyond the work to their timers.
+/// Fits latencies to a rehearsal's record, from RPCs with a single pick. Half of the round trip is attributed to
+/// the way between client and front and half to the way between front and machine; what machines take beyond the
+/// work is attributed to their timers.
 ///
 /// # Errors
 /// A record with too few such RPCs.
@@ -34,7 +35,7 @@
         Some((v["rpc"].as_str()?.to_string(), v["try"].as_str()?.to_string()))
     };
     let t = |v: &Value| v["t"].as_i64().unwrap_or(0);
-    // Sent, arrived, began, ok at the machine, ok at the client; picks; work.
+    // Times of sent, arrived, began, ok at the machine and ok at the client; number of picks; work in ms.
     let mut rpcs: BTreeMap<(String, String), ([Ns; 5], u32, f64)> = BTreeMap::new();
     for v in written.clients.iter().chain(&written.machines) {
         let Some(id) = id(v) else { continue };
@@ -54,28 +55,34 @@
             entry.2 = v["work_ms"].as_f64().unwrap_or(f64::NAN);
         }
     }
-    let whole = |r: &&([Ns; 5], u32, f64)| r.1 == 1 && r.0.iter().all(|t| *t > 0) && r.2.is_finite();
-    let good: Vec<_> = rpcs.values().filter(whole).collect();
-    if good.len() < FEWEST {
-        return Err(format!("{} RPCs with one pick each, {FEWEST} are wanted", good.len()));
+    let complete = |r: &&([Ns; 5], u32, f64)| r.1 == 1 && r.0.iter().all(|t| *t > 0) && r.2.is_finite();
+    let samples: Vec<_> = rpcs.values().filter(complete).collect();
+    if samples.len() < MIN_RPCS {
+        return Err(format!("{} RPCs with one pick each, {MIN_RPCS} are wanted", samples.len()));
     }
-    let ways = good.iter().map(|(t, ..)| (t[1] - t[0] + t[4] - t[3]) / 2).collect();
-    let over = good.iter().map(|(t, _, work)| t[3] - t[2] - (work * MS as f64) as Ns).collect();
-    let way = (median(ways) as f64 / 2.0 / DRAWN) as Ns;
-    Ok(Wires { same: way, cross: way, client: way, over: median(over).max(0), ..Wires::default() })
+    let one_way = samples.iter().map(|(t, ..)| (t[1] - t[0] + t[4] - t[3]) / 2).collect();
+    let overheads = samples.iter().map(|(t, _, work)| t[3] - t[2] - (work * MS as f64) as Ns).collect();
+    let latency = (median(one_way) as f64 / 2.0 / MEAN_JITTER) as Ns;
+    Ok(Wires {
+        same: latency,
+        cross: latency,
+        client: latency,
+        over: median(overheads).max(0),
+        ..Wires::default()
+    })
 }
 
-/// What a rehearsal's records come to, as a line.
+/// Summarizes a rehearsal's records.
 pub fn line(plan: &Plan, written: &Written) -> Result<Line, String> {
-    let charter = rockpick_rehearse::day::charter(plan)?;
+    let settings = rockpick_rehearse::day::charter(plan)?;
     let (script, _) = rockpick_rehearse::day::script(plan)?;
-    let evidence = judge::read(&charter, written);
-    let judgement = judge::judge(&charter, &evidence);
-    let line = Line::of(&charter, &evidence, &judgement, &script);
+    let evidence = judge::read(&settings, written);
+    let judgement = judge::judge(&settings, &evidence);
+    let line = Line::of(&settings, &evidence, &judgement, &script);
     Ok(Line { how: "loopback".into(), seed: plan.seed, ..line })
 }
 
-/// What is predicted of each day.
+/// The names of the predicted figures.
 pub const FIGURES: [&str; 4] = ["service", "p50 ms", "p99 ms", "pushed back"];
 
 pub fn figures(line: &Line) -> [f64; 4] {
@@ -83,12 +90,13 @@
     [line.service, time(P50), time(P99), line.pushed_back as f64 / line.rpcs()]
 }
 
-/// A prediction: mean and both ends, for each of [`FIGURES`].
+/// A prediction: mean, lower and upper bound for each of [`FIGURES`].
 #[derive(Clone, Debug)]
 pub struct Stated(pub [[f64; 3]; 4]);
 
 impl Stated {
-    /// The fitted day's own miss widens the bars of all others: what the emulator leaves out is not chance.
+    /// Widens the bars of all figures by the prediction error of the fitted day, which is a systematic error of the
+    /// emulator and not chance.
     pub fn widened(mut self, by: &[f64; 4]) -> Stated {
         for (bars, by) in self.0.iter_mut().zip(by) {
             *bars = [bars[0], bars[1] - by, bars[2] + by];
@@ -96,19 +104,19 @@
         self
     }
 
-    /// How far each figure lies outside.
+    /// How far each figure lies outside its bounds.
     pub fn misses(&self, figures: &[f64; 4]) -> [f64; 4] {
         std::array::from_fn(|i| (self.0[i][1] - figures[i]).max(figures[i] - self.0[i][2]).max(0.0))
     }
 }
 
-/// Plays a plan's day many times; the bars are where one more day lies with 99% (normal, Student's t), and for
-/// shares not less than three RPCs (the rule of three, for what never happened).
+/// Runs a plan's day [`DAYS`] times. The bars are the 99% prediction interval of one more day (normal, Student's
+/// t); for shares they are at least three RPCs wide to each side (the rule of three, for events never seen).
 ///
 /// # Errors
 /// A day that can't be set up.
 pub fn predict(plan: &Plan, wires: Wires, threads: usize) -> Result<Stated, String> {
-    let seeds: Vec<u64> = (SEEDS..SEEDS + DAYS).collect();
+    let seeds: Vec<u64> = (FIRST_SEED..FIRST_SEED + DAYS).collect();
     let play = |seed: &u64| -> Result<[f64; 5], String> {
         let mut day = day(plan, &[], *seed, true)?;
         day.wires = wires;
@@ -135,7 +143,7 @@
     use serde_json::json;
 
     #[test]
-    fn wires_are_read_from_rpcs_with_one_pick() {
+    fn latencies_are_fitted_to_rpcs_with_one_pick() {
         let mut written = Written::default();
         for i in 0..200 {
             let (t, rpc) = (1_000 * MS + i * 10 * MS, format!("1-{i}"));
@@ -150,21 +158,21 @@
                 line["machine"] = "p0..1".into();
                 line
             };
-            // Every tenth was sent twice: its times say nothing of the wire.
+            // Every tenth has two picks, so its times don't show the latency.
             let picks = if i % 10 == 0 { 2 } else { 1 };
-            let there = if i % 10 == 0 { 40 * MS } else { MS };
-            written.machines.extend(vec![machine("arrived", there); picks]);
+            let arrival = if i % 10 == 0 { 40 * MS } else { MS };
+            written.machines.extend(vec![machine("arrived", arrival); picks]);
             written.machines.extend([machine("began", MS), machine("ok", 6 * MS + MS / 2)]);
         }
         let wires = wires(&written).unwrap();
-        // There 1 ms, back 2 ms: 1.5 ms a way, in two equal parts, less what is drawn on top.
+        // 1 ms there and 2 ms back: 1.5 ms one way, in two equal parts, divided by the mean jitter.
         assert_eq!((wires.client, wires.same, wires.over), (600_000, 600_000, MS / 2));
         written.clients.truncate(50);
         assert!(super::wires(&written).unwrap_err().contains("are wanted"));
     }
 
     #[test]
-    fn bars_are_widened_and_misses_told() {
+    fn bars_are_widened_and_errors_measured_from_them() {
         let stated = Stated([[1.0, 0.9, 1.1], [5.0, 4.0, 6.0], [9.0, 8.0, 10.0], [0.0, -0.1, 0.1]]);
         let stated = stated.widened(&[0.0, 1.0, 0.0, 0.0]);
         assert_eq!(stated.misses(&[1.0, 6.5, 10.5, 0.0]), [0.0, 0.0, 0.5, 0.0]);
--- a/emu/src/parts.rs
+++ b/emu/src/parts.rs
@@ -1,16 +1,16 @@
-//! Where an emulated day's real time goes. Reading the clock costs some 30 ns an event; days that are judged
-//! go without.
+//! Profile of the real time that an emulated day takes. Reading the clock costs some 30 ns an event, so days that
+//! are judged are not profiled.
 use std::time::{Duration, Instant};
 
-/// What time is spent on.
+/// What the time is charged to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// Taking events out of the heap; putting them in counts with what does so.
+    /// Taking events out of the heap. Inserting them is charged to the component that does it.
     Heap,
     Clients,
     /// The decision module alone.
     Decisions,
-    /// What surrounds it at a front: open RPCs, picks, notes.
+    /// The rest of a front: open RPCs, picks, notes.
     Fronts,
     Machines,
     Controller,
@@ -25,30 +25,30 @@
     (Part::Controller, "controller"),
 ];
 
-/// A stopwatch that stands still unless it was started.
+/// Accumulates time by component; does nothing unless it was started.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
-    since: Option<Instant>,
+    last: Option<Instant>,
     spent: [Duration; PARTS.len()],
 }
 
 impl Watch {
     pub fn started() -> Watch {
-        Watch { since: Some(Instant::now()), ..Watch::default() }
+        Watch { last: Some(Instant::now()), ..Watch::default() }
     }
 
-    /// All since the last call went to this.
+    /// Charges the time since the last call to a component.
     pub fn lap(&mut self, part: Part) {
-        if let Some(since) = &mut self.since {
+        if let Some(last) = &mut self.last {
             let now = Instant::now();
-            self.spent[part as usize] += now - *since;
-            *since = now;
+            self.spent[part as usize] += now - *last;
+            *last = now;
         }
     }
 
-    /// Shares of all, by part; none if it never ran.
+    /// Each component's share of the total; none if it was never started.
     pub fn shares(&self) -> Option<[f64; PARTS.len()]> {
-        let all = self.spent.iter().sum::<Duration>().as_secs_f64();
-        self.since.filter(|_| all > 0.0).map(|_| self.spent.map(|s| s.as_secs_f64() / all))
+        let total = self.spent.iter().sum::<Duration>().as_secs_f64();
+        self.last.filter(|_| total > 0.0).map(|_| self.spent.map(|s| s.as_secs_f64() / total))
     }
 }
--- a/emu/src/report.rs
+++ b/emu/src/report.rs
@@ -1,4 +1,4 @@
-//! Results as a table and as one self-contained page with charts.
+//! Experiment results as a text table and as a self-contained HTML page with charts.
 use crate::experiment::interval;
 use crate::line::{Line, P50, P99, QUANTILES};
 use crate::study::{Study, Verdict};
@@ -6,11 +6,11 @@
 use plotters::prelude::*;
 use std::fmt::Write;
 
-type Drawn = Result<String, Box<dyn std::error::Error>>;
+type Svg = Result<String, Box<dyn std::error::Error>>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// Lines of all sides, in the order in which choices first came.
-fn sides(lines: &[Line]) -> Vec<(&str, Vec<&Line>)> {
+/// Results grouped by choice, in the order in which choices first appear.
+fn by_choice(lines: &[Line]) -> Vec<(&str, Vec<&Line>)> {
     let mut sides: Vec<(&str, Vec<&Line>)> = Vec::new();
     for line in lines {
         match sides.iter_mut().find(|s| s.0 == line.choice) {
@@ -25,7 +25,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// A share with its 95% interval (Wilson, 1927), which holds where nothing or everything happened.
+/// A share with its 95% interval (Wilson, 1927), which stays valid for shares of 0 and 1.
 fn share(n: u32, of: u32) -> [f64; 3] {
     let (z, of) = (1.96, f64::from(of.max(1)));
     let p = f64::from(n) / of;
@@ -35,7 +35,7 @@
     [p, ((middle - spread) / scale).max(0.0), ((middle + spread) / scale).min(1.0)]
 }
 
-/// One row a choice: means with 95% bootstrap intervals where that says something.
+/// One row for each choice: means, and the 95% bootstrap interval of service.
 pub fn table(lines: &[Line]) -> String {
     let mut out = String::new();
     let _ = writeln!(
@@ -52,7 +52,7 @@
         "sent back",
         "false alarms"
     );
-    for (name, lines) in sides(lines) {
+    for (name, lines) in by_choice(lines) {
         let of = |f: &dyn Fn(&Line) -> f64| -> Vec<f64> { lines.iter().map(|l| f(l)).collect() };
         let (mean, low, high) = interval(&of(&|l| l.service), 0.05, 1);
         let time = |at: usize| average(&of(&|l| l.times.get(at).copied().unwrap_or(0.0)));
@@ -101,8 +101,8 @@
     points: Vec<(f64, f64)>,
 }
 
-/// Lines over two axes; curves of the same name share a line of the legend.
-fn curves(axes: Axes, curves: Vec<Curve>) -> Drawn {
+/// A line chart; curves of the same name share a legend entry.
+fn curves(axes: Axes, curves: Vec<Curve>) -> Svg {
     let mut svg = String::new();
     {
         let root: Area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -113,12 +113,12 @@
             .y_label_area_size(52)
             .build_cartesian_2d(axes.x.1, axes.y.1)?;
         chart.configure_mesh().x_desc(axes.x.0).y_desc(axes.y.0).light_line_style(WHITE).draw()?;
-        let mut told: Vec<&str> = Vec::new();
+        let mut in_legend: Vec<&str> = Vec::new();
         for curve in curves {
             let (colour, style) = (curve.colour, curve.colour.stroke_width(curve.width));
             let series = chart.draw_series(LineSeries::new(curve.points, style))?;
-            if !told.contains(&curve.name) {
-                told.push(curve.name);
+            if !in_legend.contains(&curve.name) {
+                in_legend.push(curve.name);
                 series.label(curve.name).legend(move |(x, y)| {
                     PathElement::new(vec![(x, y), (x + 14, y)], colour.stroke_width(2))
                 });
@@ -144,7 +144,7 @@
     (0..longest).map(|s| (s as f64, mean(s))).collect()
 }
 
-/// Steps from the day's first second to its last.
+/// A step function from second 0 to `end`.
 fn steps(marks: &[(f64, f64)], from: f64, end: f64) -> Vec<(f64, f64)> {
     let (mut points, mut at) = (vec![(0.0, from)], from);
     for (t, value) in marks {
@@ -155,12 +155,13 @@
     points
 }
 
-/// A choice, its days and its colour; what is drawn of such days.
+/// A choice, its days and its colour.
 type Side<'a> = (&'a str, Vec<&'a Line>, RGBColor);
+/// The points to draw for the days of a choice.
 type Points<'a> = &'a dyn Fn(&[&Line]) -> Vec<(f64, f64)>;
 
-/// What share of days lies at or below each value.
-fn spread(title: &str, unit: &str, sides: &[(&str, Vec<f64>)]) -> Drawn {
+/// Cumulative distribution over days: the share of days at or below each value.
+fn distribution(title: &str, unit: &str, sides: &[(&str, Vec<f64>)]) -> Svg {
     let all: Vec<f64> = sides.iter().flat_map(|s| s.1.iter().copied()).collect();
     let (low, high) = all.iter().fold((f64::MAX, f64::MIN), |(l, h), v| (l.min(*v), h.max(*v)));
     let (low, high) = if low < high { (low, high) } else { (low - 0.5, low + 0.5) };
@@ -181,8 +182,8 @@
     curves(axes, lines.collect())
 }
 
-/// Good builds sent back, of all good ones: a bar a choice, with its interval.
-fn alarms(sides: &[Side]) -> Drawn {
+/// The share of good builds that were sent back: a bar for each choice, with its interval.
+fn false_alarms(sides: &[Side]) -> Svg {
     let mut svg = String::new();
     {
         let root: Area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -212,8 +213,8 @@
     Ok(svg)
 }
 
-fn charts(lines: &[Line]) -> Drawn {
-    let sides = sides(lines);
+fn charts(lines: &[Line]) -> Svg {
+    let sides = by_choice(lines);
     let of = |f: &dyn Fn(&Line) -> Option<f64>| -> Vec<(&str, Vec<f64>)> {
         sides.iter().map(|(n, l)| (*n, l.iter().filter_map(|l| f(l)).collect())).collect()
     };
@@ -244,7 +245,7 @@
             "share of picks at the newest build (thick) against cap (thin; free ones come on top), first day of each";
         out += &curves(axes(title, "share", 1.05, UpperLeft), both)?;
     }
-    // Nines along the axis: 0.5, 0.9, 0.99, 0.999 lie evenly.
+    // Quantiles on a logarithmic axis: 0.9, 0.99 and 0.999 are evenly spaced.
     let nines = |q: f64| -(1.0 - q).log10();
     let top = lines.iter().filter_map(|l| l.times.last()).copied().fold(1.0, f64::max);
     let times = |l: &[&Line]| -> Vec<(f64, f64)> {
@@ -258,23 +259,23 @@
         legend: UpperLeft,
     };
     out += &curves(axes, per_side(2, &times))?;
-    out += &spread("service of a day", "service", &of(&|l| Some(l.service)))?;
-    out += &spread("picks at builds on trial, of all picks", "share", &of(&|l| Some(l.exposure)))?;
+    out += &distribution("service of a day", "service", &of(&|l| Some(l.service)))?;
+    out += &distribution("picks at builds on trial, of all picks", "share", &of(&|l| Some(l.exposure)))?;
     let backs = of(&|l| l.back_after);
     if backs.iter().any(|b| !b.1.is_empty()) {
-        out += &spread("from offer to sent back, days where it was", "s", &backs)?;
+        out += &distribution("from offer to sent back, days where it was", "s", &backs)?;
     }
     if lines.iter().any(|l| l.good > 0) {
-        out += &alarms(&coloured)?;
+        out += &false_alarms(&coloured)?;
     }
     Ok(out)
 }
 
-fn plain(text: &str) -> String {
+fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// A verdict in a line.
+/// A verdict as one line of text.
 pub fn said(v: &Verdict) -> String {
     format!(
         "'{}' less 'as it is': service {:+.4}, interval {:+.4} to {:+.4} ({} pairs); {}",
@@ -287,20 +288,20 @@
     )
 }
 
-/// One page that needs nothing else: words, table, charts.
+/// A self-contained HTML page: summary, table and charts.
 ///
 /// # Errors
 /// A chart that can't be drawn.
 pub fn page(study: Option<&Study>, verdicts: &[Verdict], lines: &[Line]) -> Result<String, String> {
     let charts = charts(lines).map_err(|err| err.to_string())?;
-    let words = match study {
+    let summary = match study {
         Some(study) => {
             let plan = &study.plan;
             let day = if plan.trouble.is_empty() { plan.day.clone() } else { plan.trouble.join(" and ") };
             format!(
                 "<p>Emulated, not measured on real machines: day <b>{}</b>, {} fronts, {} machines, {} RPCs a second, \
                  seeds from {}. All sides played the same seeds.</p>",
-                plain(&day),
+                escape(&day),
                 plan.fronts,
                 plan.machines,
                 plan.rate,
@@ -308,18 +309,18 @@
             )
         }
         None => {
-            let mut hows: Vec<&str> = lines.iter().map(|l| l.how.as_str()).collect();
-            hows.sort_unstable();
-            hows.dedup();
-            format!("<p>Figures: {}.</p>", plain(&hows.join(", ")))
+            let mut sources: Vec<&str> = lines.iter().map(|l| l.how.as_str()).collect();
+            sources.sort_unstable();
+            sources.dedup();
+            format!("<p>Figures: {}.</p>", escape(&sources.join(", ")))
         }
     };
-    let verdicts: String = verdicts.iter().map(|v| format!("<p>{}</p>", plain(&said(v)))).collect();
+    let verdicts: String = verdicts.iter().map(|v| format!("<p>{}</p>", escape(&said(v)))).collect();
     Ok(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>rockpick experiment</title>\
          <style>body{{font:15px/1.5 sans-serif;margin:2em auto;max-width:900px}}pre{{background:#f4f4f4;padding:1em;\
          overflow:auto;font-size:12px}}svg{{max-width:100%;height:auto;display:block;margin:1em 0}}</style>\
-         <h1>rockpick experiment</h1>{words}{verdicts}<pre>{}</pre>{charts}</html>\n",
-        plain(&table(lines))
+         <h1>rockpick experiment</h1>{summary}{verdicts}<pre>{}</pre>{charts}</html>\n",
+        escape(&table(lines))
     ))
 }
--- a/emu/src/study.rs
+++ b/emu/src/study.rs
@@ -1,8 +1,8 @@
-//! Questions between choices: the same seeds for all, differences by pair, a stop once each is settled, and a
-//! file from which a run that was cut off goes on.
+//! Experiments that compare choices of settings. All choices run the same seeds and are compared in pairs; a
+//! choice stops once its comparison is settled. Results are stored in a file, from which an interrupted run resumes.
 //!
-//! Looking again and again, at several choices, would find something by chance sooner or later: each look at
-//! each choice gets its part of the 5% (Bonferroni), so that all together err in 1 of 20 experiments at most.
+//! Repeated interim analyses of several choices would find a difference by chance sooner or later. So each
+//! analysis of each choice gets an equal part of the 5% (Bonferroni), and at most 1 of 20 experiments errs.
 use crate::experiment::{interval, play, spread};
 use crate::line::Line;
 use rockpick_rehearse::Plan;
@@ -12,31 +12,31 @@
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::Path;
 
-/// The chance of an interval that misses, over all looks and choices.
+/// The family-wise error rate, over all interim analyses and choices.
 const ALPHA: f64 = 0.05;
-/// Pairs before the first look, and between looks.
+/// Pairs before the first interim analysis, and between analyses.
 pub const FIRST_LOOK: usize = 8;
-/// The side that all others are set against.
+/// The name of the baseline that all choices are compared with.
 pub const BASE: &str = "as it is";
-/// The largest file of lines that is read.
-const MOST_BYTES: u64 = 4 << 30;
+/// The largest results file that is read.
+const MAX_FILE_BYTES: u64 = 4 << 30;
 
-/// A question, as the first line of its file holds it.
+/// An experiment's definition, stored as the first line of its results file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Study {
-    /// The format of what follows.
+    /// The version of the file's format.
     pub rockpick_study: u32,
     pub plan: Plan,
-    /// What differs from the example on all sides.
+    /// Changes to the example settings that the baseline and all choices share.
     pub base: Vec<String>,
-    /// What else differs on each other side.
+    /// The further changes of each choice.
     pub choices: Vec<Vec<String>>,
     pub seeds: usize,
-    /// A difference of service smaller than this does not matter.
+    /// Differences of service smaller than this count as none.
     pub matters: f64,
 }
 
-/// What a comparison came to.
+/// The result of a comparison with the baseline.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
     pub choice: String,
@@ -44,31 +44,31 @@
     pub mean: f64,
     pub low: f64,
     pub high: f64,
-    /// Why it ended there; open: it has not.
+    /// Why the comparison ended; none: it has not.
     pub why: Option<String>,
 }
 
 impl Study {
-    /// Names and changes of all sides.
+    /// Names and changes of the baseline and all choices.
     pub fn sides(&self) -> Vec<(String, Vec<String>)> {
         let side = |more: &Vec<String>| (more.join(" "), self.base.iter().chain(more).cloned().collect());
         std::iter::once((BASE.into(), self.base.clone())).chain(self.choices.iter().map(side)).collect()
     }
 
-    /// Looks at a choice as often as the lines allow, as if they had come one by one.
+    /// Analyses a choice in all steps that the results allow, as if they had arrived one by one.
     pub fn verdict(&self, choice: &str, lines: &[Line]) -> Verdict {
         let side = |name: &str| -> BTreeMap<u64, f64> {
             lines.iter().filter(|l| l.choice == name).map(|l| (l.seed, l.service)).collect()
         };
         let (base, other) = (side(BASE), side(choice));
-        // In the order of seeds, without a gap: a pair must not count because it happened to be ready.
+        // In the order of seeds and without a gap: counting pairs by which run finished first would bias the sample.
         let seeds = (0..self.seeds as u64).map(|s| self.plan.seed + s);
         let pairs: Vec<f64> = seeds.map_while(|s| Some(other.get(&s)? - base.get(&s)?)).collect();
-        let looks = self.seeds.div_ceil(FIRST_LOOK).max(1);
-        let alpha = ALPHA / (looks * self.choices.len().max(1)) as f64;
+        let analyses = self.seeds.div_ceil(FIRST_LOOK).max(1);
+        let alpha = ALPHA / (analyses * self.choices.len().max(1)) as f64;
         let mut verdict =
             Verdict { choice: choice.into(), pairs: 0, mean: 0.0, low: 0.0, high: 0.0, why: None };
-        let ends = (1..=looks).map(|l| (l * FIRST_LOOK).min(self.seeds));
+        let ends = (1..=analyses).map(|l| (l * FIRST_LOOK).min(self.seeds));
         for end in ends.take_while(|end| *end <= pairs.len()) {
             let (mean, low, high) = interval(&pairs[..end], alpha, self.plan.seed);
             (verdict.pairs, verdict.mean, verdict.low, verdict.high) = (end, mean, low, high);
@@ -91,13 +91,13 @@
         self.sides()[1..].iter().map(|(name, _)| self.verdict(name, lines)).collect()
     }
 
-    /// Plays what is missing until each choice is settled or the seeds are spent; `heard` gets new lines in the
-    /// order of their seeds.
+    /// Runs the missing days until each choice is settled or the seeds are used up; `on_result` gets new results in
+    /// the order of their seeds.
     ///
     /// # Errors
-    /// A side that can't be set up, and what `heard` says.
+    /// A choice that can't be set up, and errors of `on_result`.
     pub fn answer(
-        &self, threads: usize, mut lines: Vec<Line>, mut heard: impl FnMut(&Line) -> Result<(), String>,
+        &self, threads: usize, mut lines: Vec<Line>, mut on_result: impl FnMut(&Line) -> Result<(), String>,
     ) -> Result<(Vec<Verdict>, Vec<Line>), String> {
         let sides = self.sides();
         for end in (1..=self.seeds.div_ceil(FIRST_LOOK)).map(|l| (l * FIRST_LOOK).min(self.seeds)) {
@@ -119,7 +119,7 @@
                 play(choice, &self.plan, changes, *seed).map(|(line, _)| line)
             };
             for line in spread(threads, &tasks, run)? {
-                heard(&line)?;
+                on_result(&line)?;
                 lines.push(line);
             }
         }
@@ -127,74 +127,80 @@
     }
 }
 
-/// A study's file: its question, then a line a day.
+/// A results file: the experiment's definition, then a line of JSON for each day.
 pub struct Lines(File);
 
 impl Lines {
-    /// Opens a file for a question, or goes on with one that holds the same; a torn last line is cut off.
+    /// Creates the file, or resumes one that has the same definition; an incomplete last line is truncated.
     ///
     /// # Errors
-    /// Names the line that is none, and the difference of another question.
+    /// A malformed line, which is named, or a file with another definition.
     pub fn open(path: &Path, study: &Study) -> Result<(Lines, Vec<Line>), String> {
-        let say = |err: std::io::Error| format!("{}: {err}", path.display());
-        let mut file =
-            OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path).map_err(say)?;
-        let (head, lines, whole) = read(&mut file).map_err(|why| format!("{}: {why}", path.display()))?;
+        let with_path = |err: std::io::Error| format!("{}: {err}", path.display());
+        let mut file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)
+            .map_err(with_path)?;
+        let (head, lines, complete) = read(&mut file).map_err(|why| format!("{}: {why}", path.display()))?;
         match &head {
             Some(head) if head != study => {
-                let why = "it holds another question; give another file, or the same question as before";
+                let why =
+                    "the file belongs to another question; use another file, or the same question as before";
                 return Err(format!("{}: {why}", path.display()));
             }
             _ => {}
         }
-        file.set_len(whole).map_err(say)?;
-        file.seek(SeekFrom::End(0)).map_err(say)?;
-        let mut kept = Lines(file);
+        file.set_len(complete).map_err(with_path)?;
+        file.seek(SeekFrom::End(0)).map_err(with_path)?;
+        let mut results = Lines(file);
         if head.is_none() {
-            kept.put(study)?;
+            results.put(study)?;
         }
-        Ok((kept, lines))
+        Ok((results, lines))
     }
 
     /// # Errors
-    /// What the file system says.
+    /// Errors of the file system.
     pub fn put(&mut self, line: &impl Serialize) -> Result<(), String> {
         let mut text = serde_json::to_string(line).map_err(|err| err.to_string())?;
         text.push('\n');
-        self.0.write_all(text.as_bytes()).map_err(|err| format!("the lines can't be written: {err}"))
+        self.0.write_all(text.as_bytes()).map_err(|err| format!("writing the results failed: {err}"))
     }
 }
 
-/// Reads a study's file without changing it.
+/// Reads a results file without changing it.
 ///
 /// # Errors
-/// Names the line that is none.
+/// A malformed line, which is named.
 pub fn load(path: &Path) -> Result<(Option<Study>, Vec<Line>), String> {
-    let say = |why: String| format!("{}: {why}", path.display());
-    let mut file = File::open(path).map_err(|err| say(err.to_string()))?;
-    read(&mut file).map(|(head, lines, _)| (head, lines)).map_err(say)
+    let with_path = |why: String| format!("{}: {why}", path.display());
+    let mut file = File::open(path).map_err(|err| with_path(err.to_string()))?;
+    read(&mut file).map(|(head, lines, _)| (head, lines)).map_err(with_path)
 }
 
-/// The question, the lines, and how many bytes are whole.
+/// The definition, the results, and the length of the complete lines in bytes.
 fn read(file: &mut File) -> Result<(Option<Study>, Vec<Line>, u64), String> {
     let mut text = String::new();
-    if file.metadata().map_err(|err| err.to_string())?.len() > MOST_BYTES {
-        return Err(format!("more than {} GiB", MOST_BYTES >> 30));
+    if file.metadata().map_err(|err| err.to_string())?.len() > MAX_FILE_BYTES {
+        return Err(format!("more than {} GiB", MAX_FILE_BYTES >> 30));
     }
     file.read_to_string(&mut text).map_err(|err| err.to_string())?;
-    let whole = text.rfind('\n').map_or(0, |end| end + 1);
+    let complete = text.rfind('\n').map_or(0, |end| end + 1);
     let (mut head, mut lines) = (None, Vec::new());
-    for (nth, line) in text[..whole].lines().enumerate() {
-        let wrong = |err: serde_json::Error| format!("line {}: {err}", nth + 1);
-        if nth == 0 && line.contains("\"rockpick_study\"") {
-            let study: Study = serde_json::from_str(line).map_err(wrong)?;
+    for (index, line) in text[..complete].lines().enumerate() {
+        let at_line = |err: serde_json::Error| format!("line {}: {err}", index + 1);
+        if index == 0 && line.contains("\"rockpick_study\"") {
+            let study: Study = serde_json::from_str(line).map_err(at_line)?;
             if study.rockpick_study != 1 {
                 return Err(format!("line 1: format {} is not known", study.rockpick_study));
             }
             head = Some(study);
         } else {
-            lines.push(serde_json::from_str(line).map_err(wrong)?);
+            lines.push(serde_json::from_str(line).map_err(at_line)?);
         }
     }
-    Ok((head, lines, whole as u64))
+    Ok((head, lines, complete as u64))
 }
