--- a/emu/tests/days.rs
+++ b/emu/tests/days.rs
@@ -1,4 +1,4 @@
-//! Whole days on the emulator.
+//! End-to-end tests of emulated days and experiments.
 use rockpick_emu::experiment::{day, play};
 use rockpick_emu::study::{load, Lines, BASE};
 use rockpick_emu::{Study, World};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn every_trouble_keeps_the_rules_singly_and_two_at_a_time() {
+fn no_trouble_breaks_a_rule_alone_or_in_pairs() {
     let names: Vec<&str> = TROUBLES.iter().map(|(name, _)| *name).collect();
     for (i, name) in names.iter().enumerate() {
         let other = names[(7 * i + 3) % names.len()];
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_record_and_another_one_another() {
+fn the_record_depends_on_the_seed_alone() {
     let lines = |seed| {
         let outcome = World::new(day(&plan("morning"), &[], seed, true).unwrap()).unwrap().run();
         format!("{:?} {:?}", outcome.evidence.clients, outcome.evidence.machines)
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn bad_builds_of_every_kind_go_back_and_a_good_one_is_released() {
+fn bad_builds_of_each_kind_are_sent_back_and_a_good_one_is_released() {
     for bad in ["errors:0.3", "method:0.6", "late:0.5", "wrong:0.5"] {
         let plan = Plan { bad: bad.into(), trouble: vec!["bad_build".into()], rate: 120.0, ..plan("quiet") };
         let (line, _) = play("a", &plan, &[], 3).unwrap();
@@ -62,23 +62,23 @@
     assert!(line.stages.iter().any(|s| s.1 == 2 && s.3 == "released"), "{:?}", line.stages);
 }
 
-/// The settings that differ are in force: a cap broken on purpose is found by the checker.
+/// Changed settings take effect: fronts run with a high cap, and the checker, given a low one, reports a breach.
 #[test]
-fn the_checker_sees_what_the_fronts_do_against_other_settings() {
+fn the_checker_reports_fronts_that_exceed_the_cap() {
     let plan = plan("quiet");
-    let played = day(&plan, &["rollout.caps.0=0.9".into(), "rollout.free=30".into()], 2, true).unwrap();
-    let outcome = World::new(played).unwrap().run();
-    let mut told = rockpick_rehearse::day::charter(&plan).unwrap();
-    (told.rollout.caps[0], told.rollout.free) = (0.0, 0.0);
+    let altered = day(&plan, &["rollout.caps.0=0.9".into(), "rollout.free=30".into()], 2, true).unwrap();
+    let outcome = World::new(altered).unwrap().run();
+    let mut strict = rockpick_rehearse::day::charter(&plan).unwrap();
+    (strict.rollout.caps[0], strict.rollout.free) = (0.0, 0.0);
     let mut evidence = outcome.evidence;
     evidence.told.iter_mut().filter(|t| t.phase == 0).for_each(|t| t.cap = 0.05);
-    let breaches = rockpick_rehearse::judge::judge(&told, &evidence).breaches;
+    let breaches = rockpick_rehearse::judge::judge(&strict, &evidence).breaches;
     assert!(breaches.iter().any(|b| b.rule == 5), "{breaches:?}");
 }
 
-/// Guards against the collapse of large tiers under overload.
+/// Guards against the collapse of service of a large tier under overload.
 #[test]
-fn two_hundred_fronts_at_twice_the_capacity_go_on_serving() {
+fn two_hundred_fronts_keep_serving_at_twice_the_capacity() {
     let plan = Plan { fronts: 200, machines: 20, rate: 660.0, seconds: Some(12.0), ..plan("calm") };
     let (line, judgement) = play("a", &plan, &[], 1).unwrap();
     assert_eq!(judgement.breaches, []);
@@ -95,14 +95,14 @@
 fn a_comparison_stops_when_it_is_settled() {
     let free = rockpick_control::Settings::example(2, 2).rollout.free;
     let study = study(&[&format!("rollout.free={free}"), "plan.rate=20"]);
-    let mut heard = 0;
+    let mut results = 0;
     let (verdicts, lines) = study
         .answer(2, Vec::new(), |_| {
-            heard += 1;
+            results += 1;
             Ok(())
         })
         .unwrap();
-    assert_eq!((verdicts[0].pairs, heard), (8, lines.len()), "{verdicts:?}");
+    assert_eq!((verdicts[0].pairs, results), (8, lines.len()), "{verdicts:?}");
     assert_eq!(
         (verdicts[0].mean, verdicts[0].low, verdicts[0].high),
         (0.0, 0.0, 0.0),
@@ -112,21 +112,21 @@
 }
 
 #[test]
-fn a_run_that_was_cut_off_goes_on_to_the_same_end_and_a_torn_line_is_made_again() {
+fn an_interrupted_run_resumes_to_the_same_results_after_a_cut_anywhere_in_the_file() {
     let dir = tempfile::tempdir().unwrap();
     let at = dir.path().join("a.jsonl");
     let study = study(&["rollout.dwell_ms=3000"]);
     let (mut file, known) = Lines::open(&at, &study).unwrap();
     assert!(known.is_empty());
-    let (whole, _) = study.answer(2, known, |line| file.put(line)).unwrap();
+    let (complete, _) = study.answer(2, known, |line| file.put(line)).unwrap();
     let text = std::fs::read(&at).unwrap();
     let ends: Vec<usize> = (0..text.len()).filter(|i| text[*i] == b'\n').collect();
-    // In the question itself, after it, within a line, between lines, within the last.
+    // Within the definition, after it, within a line, between lines, within the last line.
     for cut in [10, ends[0] + 1, ends[3] + 40, ends[6] + 1, text.len() - 3] {
         std::fs::write(&at, &text[..cut]).unwrap();
         let (mut file, known) = Lines::open(&at, &study).unwrap();
-        let (again, _) = study.answer(3, known, |line| file.put(line)).unwrap();
-        assert_eq!(again, whole);
+        let (resumed, _) = study.answer(3, known, |line| file.put(line)).unwrap();
+        assert_eq!(resumed, complete);
         assert!(std::fs::read(&at).unwrap() == text, "cut at {cut}");
     }
     let other = Study { seeds: 32, ..study };
@@ -135,39 +135,38 @@
     assert!(load(&at).unwrap_err().contains("line 3"));
 }
 
-/// No difference may be found more often than the level says, however often one looks.
+/// Repeated interim analyses must not raise the rate of false positives above the level.
 #[test]
-fn two_choices_that_are_the_same_are_told_apart_in_one_of_twenty_at_most() {
+fn equal_choices_are_found_to_differ_in_one_of_twenty_experiments_at_most() {
     use rand::{rngs::StdRng, Rng, SeedableRng};
     let study = Study { matters: 0.0, ..study(&["a"]) };
-    let mut chance = StdRng::seed_from_u64(11);
-    let mut apart = 0;
+    let mut rng = StdRng::seed_from_u64(11);
+    let mut differing = 0;
     for _ in 0..100 {
         let mut lines = Vec::new();
         for seed in 1..=24 {
             for choice in [BASE, "a"] {
-                // Skewed as service is: mostly near one, now and then a jam.
-                let service = 1.0 - 0.05 * -(1.0 - chance.random::<f64>()).ln();
+                // Skewed as service is: mostly near 1, with occasional congestion.
+                let service = 1.0 - 0.05 * -(1.0 - rng.random::<f64>()).ln();
                 lines.push(rockpick_emu::Line { choice: choice.into(), seed, service, ..Default::default() });
             }
         }
-        apart += usize::from(study.verdict("a", &lines).why.unwrap().contains("leaves 0 out"));
+        differing += usize::from(study.verdict("a", &lines).why.unwrap().contains("leaves 0 out"));
     }
-    // One in twenty, and three standard deviations of 100 draws.
-    assert!(apart <= 11, "{apart} of 100");
+    // One in twenty, plus three standard deviations for 100 draws.
+    assert!(differing <= 11, "{differing} of 100");
 }
 
-/// A difference of a few per cent is found, and its interval holds it.
 #[test]
-fn a_difference_of_a_few_per_cent_is_found_with_its_interval() {
+fn a_difference_of_a_few_per_cent_is_found_and_lies_in_its_interval() {
     use rand::{rngs::StdRng, Rng, SeedableRng};
     let study = study(&["a"]);
-    let mut chance = StdRng::seed_from_u64(12);
+    let mut rng = StdRng::seed_from_u64(12);
     let mut lines = Vec::new();
     for seed in 1..=24 {
-        let day: f64 = 0.7 + 0.2 * chance.random::<f64>();
-        for (choice, more) in [(BASE, 0.0), ("a", 0.03)] {
-            let service = day + more + 0.02 * (chance.random::<f64>() - 0.5);
+        let day_mean: f64 = 0.7 + 0.2 * rng.random::<f64>();
+        for (choice, difference) in [(BASE, 0.0), ("a", 0.03)] {
+            let service = day_mean + difference + 0.02 * (rng.random::<f64>() - 0.5);
             lines.push(rockpick_emu::Line { choice: choice.into(), seed, service, ..Default::default() });
         }
     }
@@ -175,9 +174,9 @@
     assert!(verdict.low > 0.0 && verdict.low < 0.03 && verdict.high > 0.03, "{verdict:?}");
 }
 
-/// One tenant asks ten times its share; limits keep the rules and the others' service.
+/// One tenant sends ten times its share of the load. Limits must protect the service of the others and break no rule.
 #[test]
-fn a_greedy_tenant_does_not_take_what_is_the_others() {
+fn a_greedy_tenant_does_not_reduce_the_service_of_others() {
     use rockpick_rehearse::judge::judge;
     let plan = Plan { fronts: 2, rate: 747.0, seconds: Some(12.0), ..plan("calm") };
     let service = |limits: Option<rockpick_emu::Kept>| {
@@ -188,16 +187,16 @@
         assert_eq!(judge(&charter, &outcome.evidence).breaches, []);
         outcome.firms.map(|[asked, served]| served / asked)
     };
-    let (without, with) =
+    let (unlimited, limited) =
         (service(None), service(Some(rockpick_emu::Kept { sums: true, ..Default::default() })));
-    assert!(without[1] < 0.65 && with[1] > 0.85 && with[2] > 0.85, "{without:?} {with:?}");
-    // A rate over both fronts: 20 RPCs a second of some 630.
+    assert!(unlimited[1] < 0.65 && limited[1] > 0.85 && limited[2] > 0.85, "{unlimited:?} {limited:?}");
+    // A rate limit over both fronts: 20 RPCs a second of some 630.
     let rated = service(Some(rockpick_emu::Kept { rates: [Some(20.0), None, None], sums: true }));
     assert!(rated[0] < 0.05 && rated[1] > 0.95, "{rated:?}");
 }
 
-/// Guards against quiet fronts that vote on what they have not seen: a build that is clean when young and fails late, or
-/// fails only when full, passed all its stages while the platform's tallies told of it.
+/// Guards against fronts with little traffic that vote on picks they have not seen. A build that fails only after
+/// some time, or only under load, passed all stages although the platform's pick counts showed the failures.
 #[test]
 fn many_quiet_fronts_do_not_release_a_build_that_fails_late_or_when_full() {
     for (bad, seed) in [("late:0.3", 1), ("late:0.3", 2), ("load:0.3", 3), ("load:0.3", 4)] {
