--- a/tenant/src/model.rs
+++ b/tenant/src/model.rs
@@ -1,10 +1,10 @@
-//! Tenants and identities out of a directory's entries. Identity is the entryUUID (RFC 4530), never the name:
-//! what is renamed stays itself, and its former name stays good for a while. What callers look things up
-//! in is a version ([`Tenants`]) that never changes: maps that share their structure, so that a change costs
-//! little and an RPC keeps the version that it began with.
+//! Builds tenants and identities from a directory's entries. A tenant is identified by its entryUUID (RFC 4530),
+//! not by its name: it survives a rename, and its former name stays valid for a grace period. Lookups use an
+//! immutable version ([`Tenants`]) made of persistent maps, so that an update is cheap and an RPC keeps the
+//! version that it started with.
 //!
-//! A directory that comes back empty, or with most tenants missing, is not believed: the version in force
-//! stays until the content is back or an operator confirms.
+//! If a refresh is empty or misses most tenants, it is treated as suspicious: the current version stays in use
+//! until the content is back or an operator confirms the loss.
 use imbl::{HashMap, OrdMap};
 use rockpick_ldap::message::{uuid, uuid_text, Entry};
 use rockpick_ldap::News;
@@ -14,34 +14,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Tenants and principals at most; what comes beyond is left out and counted.
+/// Maximum number of tenants and principals; further entries are ignored and counted.
 pub const MOST_ENTRIES: usize = 1_000_000;
-/// Tenants at a time, with those whose former names are still good. Their small numbers are never given anew.
-const MOST_TENANTS: usize = 200_000;
-/// Identities of a principal, and members of a tenant.
-const MOST_IDENTITIES: usize = 64;
-const MOST_MEMBERS: usize = 100_000;
-/// A value longer than this is none of ours.
-const MOST_VALUE: usize = 1_024;
-/// Merges that are followed, one into the next.
-const MOST_MERGES: usize = 8;
-/// Losing tenants is looked at over this span.
-const LOSS_OVER: Ns = 60 * SEC;
-/// Fewer tenants than this may vanish without suspicion: a small directory changes by its half.
-const FEW: usize = 3;
-
-/// How entries are read; part of the settings.
+/// Maximum number of tenants at a time, including those whose former names are still valid. Their [`Id`]s are
+/// never reused.
+const MAX_TENANTS: usize = 200_000;
+/// Maximum number of identities of a principal, and of members of a tenant.
+const MAX_IDENTITIES: usize = 64;
+const MAX_MEMBERS: usize = 100_000;
+/// Maximum length of an attribute value in bytes; longer values are ignored.
+const MAX_VALUE_LENGTH: usize = 1_024;
+/// Maximum length of a chain of merges that is followed.
+const MAX_MERGES: usize = 8;
+/// Lost tenants are counted over this time, so that gradual losses are detected too.
+const LOSS_WINDOW: Ns = 60 * SEC;
+/// Up to this many tenants may disappear without suspicion: a small directory may change by half.
+const ALWAYS_PLAUSIBLE_LOSS: usize = 3;
+
+/// How entries are mapped to tenants and principals; part of the settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenancy {
     /// Entries of this object class are tenants; all others are principals.
     pub tenant_class: String,
     pub name: String,
-    /// The weight among tenants where there is not enough for all.
+    /// The tenant's weight under overload.
     pub share: String,
-    /// RPCs a second over all fronts; entries without it have no such limit.
+    /// RPCs per second over all fronts; entries without this attribute have no rate limit.
     pub rate: String,
-    /// On a tenant: entryUUIDs of those merged into it.
+    /// On a tenant: entryUUIDs of the tenants merged into it.
     pub merged: String,
     /// On a tenant: DNs of its principals.
     pub member: String,
@@ -51,28 +52,27 @@
     pub principal: String,
     pub certificate: String,
     pub key: String,
-    /// A principal below a tenant's entry is that tenant's.
+    /// Whether a principal below a tenant's entry belongs to that tenant.
     pub subtree: bool,
-    /// How long a former name stays good.
+    /// How long a former name stays valid.
     pub renamed_ms: u64,
-    /// More tenants missing than this share: the directory is not believed.
+    /// If more than this fraction of the tenants is missing, the change is suspicious.
     pub believe_loss: f64,
 }
 
 impl Default for Tenancy {
     fn default() -> Tenancy {
-        let word = String::from;
         Tenancy {
-            tenant_class: word("organization"),
-            name: word("o"),
-            share: word("rockpickShare"),
-            rate: word("rockpickRate"),
-            merged: word("rockpickMergedFrom"),
-            member: word("member"),
-            tenant: word("rockpickTenant"),
-            principal: word("uid"),
-            certificate: word("rockpickCertificate"),
-            key: word("rockpickKeyHash"),
+            tenant_class: String::from("organization"),
+            name: String::from("o"),
+            share: String::from("rockpickShare"),
+            rate: String::from("rockpickRate"),
+            merged: String::from("rockpickMergedFrom"),
+            member: String::from("member"),
+            tenant: String::from("rockpickTenant"),
+            principal: String::from("uid"),
+            certificate: String::from("rockpickCertificate"),
+            key: String::from("rockpickKeyHash"),
             subtree: true,
             renamed_ms: 600_000,
             believe_loss: 0.5,
@@ -81,9 +81,9 @@
 }
 
 impl Tenancy {
-    /// The attributes that a search must ask for.
+    /// The attributes that a search must request.
     pub fn attributes(&self) -> Vec<String> {
-        let all = [
+        let attributes = [
             "objectClass",
             &self.name,
             &self.share,
@@ -95,11 +95,11 @@
             &self.certificate,
             &self.key,
         ];
-        all.into_iter().filter(|a| !a.is_empty()).map(String::from).collect()
+        attributes.into_iter().filter(|a| !a.is_empty()).map(String::from).collect()
     }
 }
 
-/// Who calls.
+/// A caller's identity.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Identity {
     Principal(Box<str>),
@@ -108,13 +108,13 @@
 }
 
 impl Identity {
-    /// An API key as it came; only its hash is ever kept.
+    /// The identity of an API key; only the key's hash is stored.
     pub fn of_key(key: &[u8]) -> Identity {
         Identity::Key(Sha256::digest(key).into())
     }
 }
 
-/// A tenant's small number, the same for the life of the process.
+/// A tenant's number, constant for the lifetime of the process.
 pub type Id = u32;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -125,15 +125,15 @@
     pub rate: Option<f64>,
 }
 
-/// One version of it all; cheap to clone, and never changed.
+/// An immutable version of all tenants and identities; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     pub version: u64,
     tenants: OrdMap<Id, Arc<Tenant>>,
-    /// Never walked: the order of a hash map shows nowhere.
+    /// Never iterated, so that the order of a hash map has no effect.
     identities: HashMap<Identity, Id>,
     uuids: OrdMap<[u8; 16], Id>,
-    /// Names in lower case, and until when; the present ones have no end.
+    /// Names in lower case, and until when they are valid; `Ns::MAX` for current names.
     names: OrdMap<Box<str>, (Id, Ns)>,
 }
 
@@ -143,13 +143,13 @@
         self.identities.get(who).copied()
     }
 
-    /// The tenant of a name, present or former.
+    /// The tenant with a current or former name.
     pub fn named(&self, now: Ns, name: &str) -> Option<Id> {
         let (id, until) = self.names.get(name.to_lowercase().as_str())?;
         (*until > now).then_some(*id)
     }
 
-    /// The number of an entryUUID.
+    /// The tenant with an entryUUID.
     pub fn id(&self, uuid: &[u8; 16]) -> Option<Id> {
         self.uuids.get(uuid).copied()
     }
@@ -175,13 +175,13 @@
     }
 }
 
-/// A distinguished name in a form that can be compared: no case, no space around separators; an escaped
+/// Normalizes a distinguished name for comparison: lower case, without spaces around separators. An escaped
 /// separator stays part of its value (RFC 4514 §2.4).
-fn plain_dn(dn: &str) -> String {
-    parts(dn).join(",")
+fn normalize_dn(dn: &str) -> String {
+    split_dn(dn).join(",")
 }
 
-fn parts(dn: &str) -> Vec<String> {
+fn split_dn(dn: &str) -> Vec<String> {
     let (mut parts, mut part, mut escaped) = (Vec::new(), String::new(), false);
     for c in dn.chars() {
         if c == ',' && !escaped {
@@ -192,11 +192,11 @@
         escaped = c == '\\' && !escaped;
     }
     parts.push(part);
-    let trim = |p: String| match p.split_once('=') {
+    let normalize = |p: String| match p.split_once('=') {
         Some((kind, value)) => format!("{}={}", kind.trim(), value.trim()).to_lowercase(),
         None => p.trim().to_lowercase(),
     };
-    parts.into_iter().map(trim).collect()
+    parts.into_iter().map(normalize).collect()
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -206,62 +206,65 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Known {
+struct ParsedEntry {
     dn: String,
     kind: Kind,
 }
 
-/// Why the directory is not believed.
+/// A loss of tenants that is not applied until it is confirmed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Suspicion {
     pub missing: usize,
+    /// Number of tenants before the loss.
     pub of: usize,
     #[serde(skip)]
     pub since: Ns,
 }
 
-/// All that the directory has said, and the version made of it.
+/// The entries received from the directory, and the current version built from them.
 pub struct Directory {
     pub tenancy: Tenancy,
-    entries: BTreeMap<[u8; 16], Known>,
-    /// Of a refresh under way: what was named.
+    entries: BTreeMap<[u8; 16], ParsedEntry>,
+    /// During a refresh: the entries that it has contained so far.
     seen: Option<BTreeSet<[u8; 16]>>,
     ids: BTreeMap<[u8; 16], Id>,
     next: Id,
     version: Arc<Tenants>,
-    /// Entries whose identities in the version are of what they were before.
-    changed: BTreeMap<[u8; 16], Option<Known>>,
-    ties: Ties,
-    /// Something changed on which other entries' tenants depend.
-    relink: bool,
-    /// Tenants that were believed, from when, as the measure of a loss.
-    anchor: (Ns, BTreeSet<[u8; 16]>),
+    /// Former content of the entries that changed since the current version was built.
+    changed: BTreeMap<[u8; 16], Option<ParsedEntry>>,
+    index: TenantIndex,
+    /// Whether a tenant changed, which can affect the tenants of other entries.
+    needs_rebuild: bool,
+    /// The accepted tenants that a loss is measured against, and since when.
+    baseline: (Ns, BTreeSet<[u8; 16]>),
     pub suspicion: Option<Suspicion>,
+    /// Number of entries that were ignored.
     pub left_out: u64,
-    /// When the directory was last in step.
+    /// When the last refresh was completed.
     pub fresh: Option<Ns>,
     pub cookie: Option<Vec<u8>>,
 }
 
-/// What ties principals to tenants.
+/// Indexes by which principals are assigned to tenants.
 #[derive(Default)]
-struct Ties {
+struct TenantIndex {
     names: BTreeMap<String, [u8; 16]>,
     dns: BTreeMap<String, [u8; 16]>,
     members: BTreeMap<String, [u8; 16]>,
-    /// Where a merged tenant has gone.
+    /// The tenant that a merged tenant became part of.
     merged: BTreeMap<[u8; 16], [u8; 16]>,
 }
 
-impl Ties {
-    fn of(entries: &BTreeMap<[u8; 16], Known>) -> Ties {
+impl TenantIndex {
+    fn of(entries: &BTreeMap<[u8; 16], ParsedEntry>) -> TenantIndex {
         let (mut names, mut dns, mut members, mut merged) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        for (uuid, known) in entries {
-            let Kind::Tenant { name, members: m, merged: from, .. } = &known.kind else { continue };
-            // Of two with one name the older identity has it, whatever the order of their coming.
+        for (uuid, parsed) in entries {
+            let Kind::Tenant { name, members: m, merged: from, .. } = &parsed.kind else { continue };
+            // Of two tenants with the same name the one with the lower entryUUID gets it, in whichever order they
+            // arrive.
             names.entry(name.to_lowercase()).or_insert(*uuid);
-            dns.insert(known.dn.clone(), *uuid);
+            dns.insert(parsed.dn.clone(), *uuid);
             m.iter().for_each(|dn| {
                 members.entry(dn.clone()).or_insert(*uuid);
             });
@@ -269,14 +272,13 @@
                 merged.entry(*f).or_insert(*uuid);
             });
         }
-        Ties { names, dns, members, merged }
+        TenantIndex { names, dns, members, merged }
     }
 
-    /// Where a tenant is now: itself, or what it was merged into. A loop of merges leads nowhere, and each
-    /// of it stays itself.
-    fn now(&self, uuid: [u8; 16], entries: &BTreeMap<[u8; 16], Known>) -> Option<[u8; 16]> {
+    /// The tenant itself, or the one that it was merged into. In a cycle of merges each tenant stays itself.
+    fn resolve_merges(&self, uuid: [u8; 16], entries: &BTreeMap<[u8; 16], ParsedEntry>) -> Option<[u8; 16]> {
         let mut at = uuid;
-        for _ in 0..MOST_MERGES {
+        for _ in 0..MAX_MERGES {
             match self.merged.get(&at) {
                 Some(next) if *next != uuid => at = *next,
                 Some(_) => return entries.contains_key(&uuid).then_some(uuid),
@@ -286,19 +288,19 @@
         entries.contains_key(&uuid).then_some(uuid)
     }
 
-    fn tenant(&self, known: &Known, tenant: Option<&str>, subtree: bool) -> Option<[u8; 16]> {
+    fn tenant(&self, parsed: &ParsedEntry, tenant: Option<&str>, subtree: bool) -> Option<[u8; 16]> {
         if let Some(text) = tenant {
-            // Named explicitly: a name that leads nowhere gives no other tenant its place.
+            // An explicit tenant that does not exist must not fall back to another tenant.
             return (self.names.get(&text.to_lowercase()).copied())
-                .or_else(|| self.dns.get(&plain_dn(text)).copied())
+                .or_else(|| self.dns.get(&normalize_dn(text)).copied())
                 .or_else(|| uuid(text));
         }
-        if let Some(uuid) = self.members.get(&known.dn) {
+        if let Some(uuid) = self.members.get(&parsed.dn) {
             return Some(*uuid);
         }
-        let parts = parts(&known.dn);
-        let above = (1..parts.len()).map(|i| parts[i..].join(","));
-        above.filter(|_| subtree).find_map(|dn| self.dns.get(&dn).copied())
+        let parts = split_dn(&parsed.dn);
+        let ancestors = (1..parts.len()).map(|i| parts[i..].join(","));
+        ancestors.filter(|_| subtree).find_map(|dn| self.dns.get(&dn).copied())
     }
 }
 
@@ -312,9 +314,9 @@
             next: 0,
             version: Arc::default(),
             changed: BTreeMap::new(),
-            ties: Ties::default(),
-            relink: false,
-            anchor: (0, BTreeSet::new()),
+            index: TenantIndex::default(),
+            needs_rebuild: false,
+            baseline: (0, BTreeSet::new()),
             suspicion: None,
             left_out: 0,
             fresh: None,
@@ -322,22 +324,22 @@
         }
     }
 
-    /// The version in force.
+    /// The current version.
     pub fn version(&self) -> &Arc<Tenants> {
         &self.version
     }
 
-    fn read(&self, entry: &Entry) -> Option<Known> {
+    fn parse_entry(&self, entry: &Entry) -> Option<ParsedEntry> {
         let t = &self.tenancy;
         let texts = |kind: &str| -> Vec<String> {
-            let fits = |v: &Vec<u8>| v.len() <= MOST_VALUE;
+            let fits = |v: &Vec<u8>| v.len() <= MAX_VALUE_LENGTH;
             let mut texts: Vec<String> =
                 entry.values(kind).filter(fits).filter_map(|v| String::from_utf8(v).ok()).collect();
             texts.sort();
             texts
         };
         let first = |kind: &str| if kind.is_empty() { None } else { texts(kind).into_iter().next() };
-        let dn = String::from_utf8(entry.dn.to_vec()).ok().filter(|dn| dn.len() <= MOST_VALUE)?;
+        let dn = String::from_utf8(entry.dn.to_vec()).ok().filter(|dn| dn.len() <= MAX_VALUE_LENGTH)?;
         let number = |kind: &str| {
             first(kind).and_then(|v| v.trim().parse::<f64>().ok()).filter(|x| (0.0..=1e9).contains(x))
         };
@@ -347,7 +349,7 @@
             if name.is_empty() {
                 return None;
             }
-            let members = texts(&t.member).iter().take(MOST_MEMBERS).map(|dn| plain_dn(dn)).collect();
+            let members = texts(&t.member).iter().take(MAX_MEMBERS).map(|dn| normalize_dn(dn)).collect();
             let merged = texts(&t.merged).iter().filter_map(|u| uuid(u)).collect();
             let share = number(&t.share).filter(|s| *s > 0.0).unwrap_or(1.0);
             Kind::Tenant { name, share, rate: number(&t.rate), members, merged }
@@ -355,27 +357,28 @@
             let mut who: Vec<Identity> = Vec::new();
             who.extend(texts(&t.principal).into_iter().map(|p| Identity::Principal(p.into())));
             who.extend(texts(&t.certificate).into_iter().map(|c| Identity::Certificate(c.into())));
-            who.extend(texts(&t.key).iter().filter_map(|k| hash(k)).map(Identity::Key));
-            who.truncate(MOST_IDENTITIES);
+            who.extend(texts(&t.key).iter().filter_map(|k| parse_digest(k)).map(Identity::Key));
+            who.truncate(MAX_IDENTITIES);
             Kind::Principal { who, tenant: first(&t.tenant).map(Into::into) }
         };
-        Some(Known { dn: plain_dn(&dn), kind })
+        Some(ParsedEntry { dn: normalize_dn(&dn), kind })
     }
 
-    fn put(&mut self, uuid: [u8; 16], known: Option<Known>) {
-        let before = match known.clone() {
-            Some(known) => self.entries.insert(uuid, known),
+    fn put(&mut self, uuid: [u8; 16], parsed: Option<ParsedEntry>) {
+        let before = match parsed.clone() {
+            Some(parsed) => self.entries.insert(uuid, parsed),
             None => self.entries.remove(&uuid),
         };
-        if before == known {
+        if before == parsed {
             return;
         }
-        let ties = |k: &Option<Known>| matches!(k, Some(Known { kind: Kind::Tenant { .. }, .. }));
-        self.relink |= ties(&before) || ties(&known);
+        let is_tenant =
+            |k: &Option<ParsedEntry>| matches!(k, Some(ParsedEntry { kind: Kind::Tenant { .. }, .. }));
+        self.needs_rebuild |= is_tenant(&before) || is_tenant(&parsed);
         self.changed.entry(uuid).or_insert(before);
     }
 
-    /// Takes what a session has learnt. True when a new version is in force.
+    /// Applies an update from a session. Returns whether there is a new version.
     pub fn take(&mut self, now: Ns, news: News) -> bool {
         match news {
             News::Begin => {
@@ -386,11 +389,11 @@
                 self.seen.iter_mut().for_each(|s| {
                     s.insert(uuid);
                 });
-                match self.read(&entry) {
-                    Some(known) if self.entries.len() < MOST_ENTRIES || self.entries.contains_key(&uuid) => {
-                        self.put(uuid, Some(known));
+                match self.parse_entry(&entry) {
+                    Some(parsed) if self.entries.len() < MOST_ENTRIES || self.entries.contains_key(&uuid) => {
+                        self.put(uuid, Some(parsed));
                     }
-                    // One that has become unreadable stays what it was: a bad entry harms itself alone.
+                    // An entry that has become invalid keeps its former content: it must not affect others.
                     _ => self.left_out += 1,
                 }
                 self.seen.is_none() && self.publish(now, false)
@@ -420,75 +423,78 @@
         }
     }
 
-    /// The operator says that what is missing is really gone.
+    /// An operator confirms that the missing tenants are deleted. Returns whether there is a new version.
     pub fn confirm(&mut self, now: Ns) -> bool {
         self.suspicion.is_some() && self.publish(now, true)
     }
 
-    /// What was believed is measured against; a whole minute without a loss renews the measure.
-    fn believable(&mut self, now: Ns, there: &BTreeSet<[u8; 16]>) -> bool {
-        let (since, anchor) = &self.anchor;
-        let missing = anchor.iter().filter(|u| !there.contains(*u)).count();
-        let bound = (anchor.len() as f64 * self.tenancy.believe_loss).max(FEW as f64);
-        if missing as f64 > bound || there.is_empty() && !anchor.is_empty() {
-            // Merged ones are accounted for; they are counted only where it matters, as it costs a walk.
-            let ties = Ties::of(&self.entries);
+    /// Whether the present tenants can be accepted, compared with the baseline. The baseline is renewed when no
+    /// tenant is missing or [`LOSS_WINDOW`] has passed.
+    fn is_plausible(&mut self, now: Ns, present: &BTreeSet<[u8; 16]>) -> bool {
+        let (since, baseline) = &self.baseline;
+        let missing = baseline.iter().filter(|u| !present.contains(*u)).count();
+        let max_loss = (baseline.len() as f64 * self.tenancy.believe_loss).max(ALWAYS_PLAUSIBLE_LOSS as f64);
+        if missing as f64 > max_loss || present.is_empty() && !baseline.is_empty() {
+            // Merged tenants are not lost. They are only counted here, as this iterates over all entries.
+            let index = TenantIndex::of(&self.entries);
             let merged =
-                anchor.iter().filter(|u| !there.contains(*u) && ties.merged.contains_key(*u)).count();
-            if (missing - merged) as f64 > bound || there.is_empty() {
+                baseline.iter().filter(|u| !present.contains(*u) && index.merged.contains_key(*u)).count();
+            if (missing - merged) as f64 > max_loss || present.is_empty() {
                 let since = self.suspicion.as_ref().map_or(now, |s| s.since);
-                self.suspicion = Some(Suspicion { missing, of: anchor.len(), since });
+                self.suspicion = Some(Suspicion { missing, of: baseline.len(), since });
                 return false;
             }
         }
-        if missing == 0 || now - since >= LOSS_OVER {
-            self.anchor = (now, there.clone());
+        if missing == 0 || now - since >= LOSS_WINDOW {
+            self.baseline = (now, present.clone());
         }
         true
     }
 
-    fn publish(&mut self, now: Ns, sure: bool) -> bool {
+    /// Builds a new version if something changed. `confirmed` skips the check for lost tenants.
+    fn publish(&mut self, now: Ns, confirmed: bool) -> bool {
         if self.changed.is_empty() && self.suspicion.is_none() {
             return false;
         }
-        if self.relink || self.suspicion.is_some() || sure {
-            let tenant = |(u, k): (&[u8; 16], &Known)| matches!(k.kind, Kind::Tenant { .. }).then_some(*u);
-            let there: BTreeSet<[u8; 16]> = self.entries.iter().filter_map(tenant).collect();
-            if sure {
-                self.anchor = (now, there);
-            } else if !self.believable(now, &there) {
+        if self.needs_rebuild || self.suspicion.is_some() || confirmed {
+            let tenant =
+                |(u, k): (&[u8; 16], &ParsedEntry)| matches!(k.kind, Kind::Tenant { .. }).then_some(*u);
+            let present: BTreeSet<[u8; 16]> = self.entries.iter().filter_map(tenant).collect();
+            if confirmed {
+                self.baseline = (now, present);
+            } else if !self.is_plausible(now, &present) {
                 return false;
             }
             self.suspicion = None;
         }
         let mut next = (*self.version).clone();
         next.version += 1;
-        if self.relink {
-            self.link(now, &mut next);
+        if self.needs_rebuild {
+            self.rebuild(now, &mut next);
         } else {
-            // Only principals: theirs are the only identities that change.
-            let ties = std::mem::take(&mut self.ties);
+            // Only principals changed: only their identities need an update.
+            let index = std::mem::take(&mut self.index);
             for (uuid, before) in std::mem::take(&mut self.changed) {
-                if let Some(Known { kind: Kind::Principal { who, .. }, .. }) = &before {
+                if let Some(ParsedEntry { kind: Kind::Principal { who, .. }, .. }) = &before {
                     who.iter().for_each(|w| {
                         next.identities.remove(w);
                     });
                 }
-                self.identify(&ties, uuid, &mut next);
+                self.identify(&index, uuid, &mut next);
             }
-            self.ties = ties;
+            self.index = index;
         }
         self.changed.clear();
-        self.relink = false;
+        self.needs_rebuild = false;
         self.version = Arc::new(next);
         true
     }
 
-    fn identify(&self, ties: &Ties, uuid: [u8; 16], next: &mut Tenants) {
-        let Some(known) = self.entries.get(&uuid) else { return };
-        let Kind::Principal { who, tenant } = &known.kind else { return };
-        let tenant = ties.tenant(known, tenant.as_deref(), self.tenancy.subtree);
-        let id = tenant.and_then(|t| ties.now(t, &self.entries)).and_then(|t| self.ids.get(&t));
+    fn identify(&self, index: &TenantIndex, uuid: [u8; 16], next: &mut Tenants) {
+        let Some(parsed) = self.entries.get(&uuid) else { return };
+        let Kind::Principal { who, tenant } = &parsed.kind else { return };
+        let tenant = index.tenant(parsed, tenant.as_deref(), self.tenancy.subtree);
+        let id = tenant.and_then(|t| index.resolve_merges(t, &self.entries)).and_then(|t| self.ids.get(&t));
         if let Some(id) = id {
             who.iter().for_each(|w| {
                 next.identities.insert(w.clone(), *id);
@@ -496,20 +502,20 @@
         }
     }
 
-    /// Makes all anew: a tenant has come, gone, moved or changed.
-    fn link(&mut self, now: Ns, next: &mut Tenants) {
-        let ties = Ties::of(&self.entries);
+    /// Rebuilds everything, after a tenant was added, deleted, moved or modified.
+    fn rebuild(&mut self, now: Ns, next: &mut Tenants) {
+        let index = TenantIndex::of(&self.entries);
         let former = std::mem::take(&mut next.names);
         let (mut tenants, mut names, mut pruned) = (OrdMap::new(), OrdMap::new(), false);
-        for (uuid, known) in &self.entries {
-            let Kind::Tenant { name, share, rate, .. } = &known.kind else { continue };
-            if self.ids.len() >= MOST_TENANTS && !pruned && !self.ids.contains_key(uuid) {
-                // Tenants come and go for years: those that have gone make room. Once is enough, as it walks all.
+        for (uuid, parsed) in &self.entries {
+            let Kind::Tenant { name, share, rate, .. } = &parsed.kind else { continue };
+            if self.ids.len() >= MAX_TENANTS && !pruned && !self.ids.contains_key(uuid) {
+                // Forgets deleted tenants, which accumulate over years. Done once, as it iterates over all of them.
                 self.ids.retain(|uuid, _| self.entries.contains_key(uuid));
                 pruned = true;
             }
             if !self.ids.contains_key(uuid) {
-                if self.ids.len() >= MOST_TENANTS || self.next == Id::MAX {
+                if self.ids.len() >= MAX_TENANTS || self.next == Id::MAX {
                     self.left_out += 1;
                     continue;
                 }
@@ -518,22 +524,22 @@
             }
             let id = self.ids[uuid];
             let tenant = Tenant { uuid: *uuid, name: name.clone(), share: *share, rate: *rate };
-            // An unchanged one keeps its place in memory.
-            let kept = next.tenants.get(&id).filter(|t| ***t == tenant).cloned();
-            tenants.insert(id, kept.unwrap_or_else(|| Arc::new(tenant)));
-            let lower: Box<str> = name.to_lowercase().into();
-            if ties.names.get(&*lower) == Some(uuid) {
-                names.insert(lower, (id, Ns::MAX));
+            // Shares an unchanged tenant with the former version.
+            let unchanged = next.tenants.get(&id).filter(|t| ***t == tenant).cloned();
+            tenants.insert(id, unchanged.unwrap_or_else(|| Arc::new(tenant)));
+            let lowercase: Box<str> = name.to_lowercase().into();
+            if index.names.get(&*lowercase) == Some(uuid) {
+                names.insert(lowercase, (id, Ns::MAX));
             }
         }
         let grace = self.tenancy.renamed_ms as Ns * MS;
         let by_id: BTreeMap<Id, [u8; 16]> = self.ids.iter().map(|(u, i)| (*i, *u)).collect();
         for (name, (id, until)) in former {
-            // A name in use belongs to who has it; a former one to where its tenant has gone.
+            // A name in use belongs to its current tenant; a former one to what its tenant was merged into.
             let until = if until == Ns::MAX { now + grace } else { until };
-            let heir = by_id.get(&id).and_then(|u| ties.now(*u, &self.entries));
+            let successor = by_id.get(&id).and_then(|u| index.resolve_merges(*u, &self.entries));
             if until > now && !names.contains_key(&name) {
-                if let Some(id) = heir.and_then(|u| self.ids.get(&u)) {
+                if let Some(id) = successor.and_then(|u| self.ids.get(&u)) {
                     names.insert(name, (*id, until));
                 }
             }
@@ -543,12 +549,12 @@
         next.identities = HashMap::new();
         let all: Vec<[u8; 16]> = self.entries.keys().copied().collect();
         for uuid in all {
-            self.identify(&ties, uuid, next);
+            self.identify(&index, uuid, next);
         }
-        self.ties = ties;
+        self.index = index;
     }
 
-    /// What a snapshot keeps: the entries as they were last heard, and where a session can go on.
+    /// The state for a snapshot: the entries as last received, and the cookie for resuming synchronization.
     pub fn save(&self, now: Ns) -> Kept {
         let entries = self.entries.iter().map(|(uuid, k)| match &k.kind {
             Kind::Tenant { name, share, rate, members, merged } => KeptEntry {
@@ -571,7 +577,7 @@
         Kept { entries: entries.collect(), cookie: self.cookie.clone(), age_ms }
     }
 
-    /// Begins with what a snapshot kept, `older_ms` ago.
+    /// Restores a snapshot that was saved `older_ms` ago.
     pub fn restore(&mut self, now: Ns, kept: Kept, older_ms: u64) {
         for e in kept.entries.into_iter().take(MOST_ENTRIES) {
             let Some(id) = uuid(&e.uuid) else { continue };
@@ -588,7 +594,7 @@
                     tenant: e.of.map(Into::into),
                 },
             };
-            self.put(id, Some(Known { dn: e.dn, kind }));
+            self.put(id, Some(ParsedEntry { dn: e.dn, kind }));
         }
         self.cookie = kept.cookie;
         self.fresh = kept
@@ -598,7 +604,7 @@
     }
 }
 
-/// A directory as a snapshot keeps it.
+/// A directory in a snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Kept {
     pub entries: Vec<KeptEntry>,
@@ -610,14 +616,14 @@
 pub struct KeptEntry {
     uuid: String,
     dn: String,
-    /// Name, share and rate, of a tenant.
+    /// Name, share and rate of a tenant; `None` for a principal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     tenant: Option<(String, f64, Option<f64>)>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     members: Vec<String>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     merged: Vec<String>,
-    /// Of a principal.
+    /// Explicit tenant of a principal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     of: Option<String>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -645,13 +651,13 @@
         match self {
             KeptWho::Principal(p) => Some(Identity::Principal(p.into())),
             KeptWho::Certificate(c) => Some(Identity::Certificate(c.into())),
-            KeptWho::Key(k) => hash(&k).map(Identity::Key),
+            KeptWho::Key(k) => parse_digest(&k).map(Identity::Key),
         }
     }
 }
 
-/// 32 bytes from their hex.
-fn hash(text: &str) -> Option<[u8; 32]> {
+/// Decodes a SHA-256 digest in hex.
+fn parse_digest(text: &str) -> Option<[u8; 32]> {
     hex::decode(text.trim()).ok()?.try_into().ok()
 }
 
@@ -684,7 +690,7 @@
         News::Entry { uuid: id(n), entry: entry(dn, &attributes) }
     }
 
-    fn filled(news: Vec<News>) -> Directory {
+    fn directory(news: Vec<News>) -> Directory {
         let mut d = Directory::new(Tenancy::default());
         d.take(0, News::Begin);
         news.into_iter().for_each(|n| {
@@ -694,14 +700,14 @@
         d
     }
 
-    fn whose(d: &Directory, uid: &str) -> Option<String> {
+    fn tenant_name(d: &Directory, uid: &str) -> Option<String> {
         let v = d.version();
         v.of(&Identity::Principal(uid.into())).and_then(|t| v.tenant(t)).map(|t| t.name.to_string())
     }
 
     #[test]
-    fn principals_belong_by_attribute_by_group_and_by_subtree_in_this_order() {
-        let d = filled(vec![
+    fn principals_are_assigned_by_attribute_then_group_then_subtree() {
+        let d = directory(vec![
             tenant(1, "Acme", &[("rockpickShare", "3"), ("rockpickRate", "50"), ("member", "uid=b, DC=X")]),
             tenant(2, "Bolt", &[]),
             user(10, "uid=a,dc=x", "a", &[("rockpickTenant", "acme")]),
@@ -711,25 +717,25 @@
             user(14, "uid=e,o=Bolt,dc=x", "e", &[("rockpickTenant", "nobody")]),
             user(15, "uid=f\\,o=Bolt,dc=x", "f", &[]),
         ]);
-        let names = ["a", "b", "c", "d", "e", "f"].map(|u| whose(&d, u));
-        let wanted = [Some("Acme"), Some("Acme"), Some("Bolt"), Some("Acme"), None, None];
-        assert_eq!(names.map(|n| n.unwrap_or_default()), wanted.map(|w| w.unwrap_or_default().to_string()));
+        let names = ["a", "b", "c", "d", "e", "f"].map(|u| tenant_name(&d, u));
+        let expected = [Some("Acme"), Some("Acme"), Some("Bolt"), Some("Acme"), None, None];
+        assert_eq!(names.map(|n| n.unwrap_or_default()), expected.map(|w| w.unwrap_or_default().to_string()));
         let acme = d.version().named(0, "ACME").unwrap();
         let acme = d.version().tenant(acme).unwrap();
         assert_eq!((acme.share, acme.rate), (3.0, Some(50.0)));
     }
 
     #[test]
-    fn a_renamed_tenant_is_itself_and_its_former_name_is_good_for_a_while() {
-        let mut d = filled(vec![tenant(1, "Acme", &[]), tenant(2, "Bolt", &[])]);
+    fn renamed_tenant_keeps_its_id_and_former_name_during_grace() {
+        let mut d = directory(vec![tenant(1, "Acme", &[]), tenant(2, "Bolt", &[])]);
         let before = (d.version().clone(), d.version().named(0, "acme").unwrap());
         assert!(d.take(SEC, tenant(1, "Apex", &[])));
         let v = d.version();
         assert_eq!([v.named(SEC, "apex"), v.named(SEC, "acme")], [Some(before.1); 2]);
         assert_eq!((v.named(602 * SEC, "apex"), v.named(602 * SEC, "acme")), (Some(before.1), None));
-        // An RPC that began before sees what it began with.
+        // An RPC keeps the version that it started with.
         assert_eq!(&*before.0.tenant(before.1).unwrap().name, "Acme");
-        // The name is given to another: it is that one's, grace or not; and back again, in a loop.
+        // A former name that another tenant takes belongs to that tenant at once, also in repeated swaps.
         for turn in 0..6 {
             let (a, b) = if turn % 2 == 0 { ("Bolt", "Apex") } else { ("Apex", "Bolt") };
             d.take(2 * SEC, News::Begin);
@@ -741,9 +747,9 @@
     }
 
     #[test]
-    fn merged_tenants_lead_to_their_heir_and_loops_of_merges_lead_nowhere() {
+    fn merged_tenants_resolve_to_their_successor_and_merge_cycles_are_ignored() {
         let key = "ab".repeat(32);
-        let mut d = filled(vec![
+        let mut d = directory(vec![
             tenant(1, "Acme", &[]),
             tenant(2, "Bolt", &[]),
             user(10, "uid=a,dc=x", "a", &[("rockpickTenant", &uuid_text(&id(1))), ("rockpickKeyHash", &key)]),
@@ -754,17 +760,17 @@
         d.take(SEC, News::Keep(id(10)));
         assert!(d.take(SEC, News::End { whole: true }));
         assert_eq!(
-            (whose(&d, "a").as_deref(), d.version().named(2 * SEC, "acme")),
+            (tenant_name(&d, "a").as_deref(), d.version().named(2 * SEC, "acme")),
             (Some("Bolt"), Some(bolt))
         );
         assert_eq!(d.version().of(&Identity::Key([0xab; 32])), Some(bolt));
         d.take(SEC, tenant(1, "Acme", &[("rockpickMergedFrom", &uuid_text(&id(2)))]));
-        assert_eq!(whose(&d, "a").as_deref(), Some("Acme"));
+        assert_eq!(tenant_name(&d, "a").as_deref(), Some("Acme"));
     }
 
     #[test]
-    fn an_empty_directory_is_not_believed_until_it_is_back_or_confirmed() {
-        let all = |d: &mut Directory, now: Ns, many: u8| {
+    fn suspicious_loss_is_held_back_until_restored_or_confirmed() {
+        let refresh = |d: &mut Directory, now: Ns, many: u8| {
             d.take(now, News::Begin);
             (0..many).for_each(|n| {
                 d.take(now, tenant(n, &format!("t{n}"), &[]));
@@ -772,14 +778,14 @@
             d.take(now, News::End { whole: true })
         };
         let mut d = Directory::new(Tenancy::default());
-        assert!(all(&mut d, 0, 20));
+        assert!(refresh(&mut d, 0, 20));
         for (now, many) in [(1, 0), (2, 9)] {
-            assert!(!all(&mut d, now * SEC, many));
+            assert!(!refresh(&mut d, now * SEC, many));
             assert_eq!((d.version().len(), d.suspicion.as_ref().map(|s| s.since)), (20, Some(SEC)));
         }
-        // Most are back: believed again by itself.
-        assert!(all(&mut d, 3 * SEC, 15) && d.suspicion.is_none() && d.version().len() == 15);
-        // Bit by bit within a minute is no better than at once.
+        // With most tenants back the refresh is accepted again.
+        assert!(refresh(&mut d, 3 * SEC, 15) && d.suspicion.is_none() && d.version().len() == 15);
+        // A gradual loss within a minute is as suspicious as a sudden one.
         for n in (5..15).rev() {
             d.take(4 * SEC, News::Gone(id(n)));
         }
@@ -789,36 +795,37 @@
     }
 
     #[test]
-    fn a_snapshot_brings_back_the_same_and_bad_entries_harm_themselves_alone() {
-        let mut d = filled(vec![
+    fn snapshot_restores_the_tenants_and_invalid_entries_are_ignored() {
+        let mut d = directory(vec![
             tenant(1, "Acme", &[("rockpickRate", "9")]),
             user(10, "uid=a,o=Acme,dc=x", "a", &[]),
             user(11, "uid=b,o=Acme,dc=x", &"x".repeat(5_000), &[]),
             tenant(3, "", &[]),
         ]);
-        let hostile = Entry { dn: vec![0xff, 0xfe].into(), attributes: Vec::new() };
-        d.take(0, News::Entry { uuid: id(4), entry: hostile });
+        let invalid = Entry { dn: vec![0xff, 0xfe].into(), attributes: Vec::new() };
+        d.take(0, News::Entry { uuid: id(4), entry: invalid });
         assert_eq!((d.version().len(), d.left_out), (1, 2));
         let text = serde_json::to_string(&d.save(5 * SEC)).unwrap();
-        let mut again = Directory::new(Tenancy::default());
-        again.restore(100 * SEC, serde_json::from_str(&text).unwrap(), 2_000);
-        assert_eq!((whose(&again, "a").as_deref(), again.fresh), (Some("Acme"), Some(93 * SEC)));
-        assert_eq!(again.version().tenant(0).unwrap().rate, Some(9.0));
+        let mut restored = Directory::new(Tenancy::default());
+        restored.restore(100 * SEC, serde_json::from_str(&text).unwrap(), 2_000);
+        assert_eq!((tenant_name(&restored, "a").as_deref(), restored.fresh), (Some("Acme"), Some(93 * SEC)));
+        assert_eq!(restored.version().tenant(0).unwrap().rate, Some(9.0));
     }
 
-    /// Finding 39: after more tenants than there may be at a time, in years, new ones are still known.
+    /// Finding 39: deleted tenants used up the maximum number of tenants over the years, so that new ones were
+    /// ignored.
     #[test]
-    fn tenants_that_have_gone_make_room_for_new_ones() {
-        let mut d = filled(vec![tenant(1, "one", &[])]);
-        for i in 0..MOST_TENANTS as u128 {
+    fn deleted_tenants_free_capacity_for_new_ones() {
+        let mut d = directory(vec![tenant(1, "one", &[])]);
+        for i in 0..MAX_TENANTS as u128 {
             d.ids.insert((i << 8 | 0xff).to_be_bytes(), d.next);
             d.next += 1;
         }
         let before = d.version().named(0, "one");
         assert!(d.take(0, tenant(2, "two", &[])));
         assert_eq!((d.version().named(0, "one"), d.version().len(), d.left_out), (before, 2, 0));
-        assert!(d.version().named(0, "two") > before, "no number is given anew");
-        // An age out of all bounds in a snapshot.
+        assert!(d.version().named(0, "two") > before, "an id was reused");
+        // An age in the snapshot that is out of range must not overflow.
         let kept = Kept { age_ms: Some(u64::MAX), ..d.save(0) };
         Directory::new(Tenancy::default()).restore(0, kept, u64::MAX);
     }
