--- a/tenant/src/books.rs
+++ b/tenant/src/books.rs
@@ -1,5 +1,5 @@
-//! The part of the settings that is about directories: where they are, who asks, what is asked, and what a
-//! caller of no tenant may take.
+//! The directory section of the settings: servers, credentials, the search, and the limits of callers without a
+//! tenant.
 use crate::limit::Unknown;
 use crate::model::Tenancy;
 use rockpick_ldap::{filter, Login, Quest};
@@ -11,22 +11,22 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-const MOST_SERVERS: usize = 16;
-/// Longest text of the settings' own: a few certificates.
-const MOST_TEXT: usize = 256 * 1024;
+const MAX_SERVERS: usize = 16;
+/// Maximum length of PEM text in the settings: a few certificates.
+const MAX_PEM_LENGTH: usize = 256 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Books {
     /// In order of preference.
     pub servers: Vec<Server>,
-    /// Go over to TLS on the connection itself (StartTLS); not for `ldaps` servers, which begin with it.
+    /// Use StartTLS; not for `ldaps` servers, whose connections start with TLS.
     #[serde(default)]
     pub start_tls: bool,
-    /// A password may go in the clear: for tests on loopback.
+    /// Allow a password over an unencrypted connection: for tests on loopback.
     #[serde(default)]
     pub plain: bool,
-    /// Certificates of the authorities that sign servers' ones, PEM.
+    /// Certificates of the authorities that sign the servers' certificates, in PEM.
     #[serde(default)]
     pub authorities: String,
     #[serde(default)]
@@ -37,7 +37,7 @@
     pub filter: String,
     #[serde(default)]
     pub tenancy: Tenancy,
-    /// Use content synchronisation where the server has it.
+    /// Use content synchronization if the server supports it.
     #[serde(default = "yes")]
     pub sync: bool,
     #[serde(default = "five_seconds")]
@@ -46,13 +46,13 @@
     pub answer_within_ms: u64,
     #[serde(default = "page")]
     pub page: u32,
-    /// Go where a server refers to, once a connection, if that is among the servers.
+    /// Follow a referral, once per connection, if it points to one of the servers.
     #[serde(default)]
     pub follow: bool,
-    /// All fronts together, when a directory returns.
+    /// Maximum binds per second of all fronts together when a directory comes back.
     #[serde(default = "twenty")]
     pub binds_a_second: f64,
-    /// Callers of no tenant: refused, or together as a tenant of this share and rate.
+    /// Callers without a tenant: refused, or treated together as one tenant with this share and rate.
     #[serde(default)]
     pub unknown: Callers,
 }
@@ -61,14 +61,14 @@
 #[serde(deny_unknown_fields)]
 pub struct Server {
     pub at: SocketAddr,
-    /// The name that its certificate must have.
+    /// The name that the server's certificate must have.
     #[serde(default)]
     pub name: String,
     #[serde(default)]
     pub ldaps: bool,
 }
 
-/// How fronts say who they are.
+/// Credentials of the fronts.
 #[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Who {
@@ -78,7 +78,7 @@
         dn: String,
         password: String,
     },
-    /// By this certificate and key, PEM.
+    /// A client certificate and its key, in PEM.
     External {
         certificate: String,
         key: String,
@@ -133,63 +133,71 @@
 }
 
 impl Books {
-    /// Fields that can't be taken, each with why; paths are within the part.
+    /// Validates the fields. Returns the path of each invalid field, relative to this section, and the reason.
     pub fn check(&self) -> Vec<(String, String)> {
-        let mut wrong = Vec::new();
-        let mut must = |good: bool, field: &str, why: &str| {
-            if !good {
-                wrong.push((field.to_string(), why.to_string()));
+        let mut errors = Vec::new();
+        let mut check = |valid: bool, field: &str, why: &str| {
+            if !valid {
+                errors.push((field.to_string(), why.to_string()));
             }
         };
-        must((1..=MOST_SERVERS).contains(&self.servers.len()), "servers", "1 to 16 are wanted");
-        must(self.base.len() <= 1_024, "base", "1024 bytes at most");
-        must((100..=3_600_000).contains(&self.poll_ms), "poll_ms", "100 ms to an hour");
-        must((10..=600_000).contains(&self.answer_within_ms), "answer_within_ms", "10 ms to ten minutes");
-        must((1..=10_000).contains(&self.page), "page", "1 to 10000");
-        must((0.1..=1e5).contains(&self.binds_a_second), "binds_a_second", "0.1 to 100000");
-        must((0.0..=1.0).contains(&self.tenancy.believe_loss), "tenancy.believe_loss", "0 to 1");
-        must(self.tenancy.renamed_ms <= 86_400_000, "tenancy.renamed_ms", "a day at most");
-        let named = !self.tenancy.tenant_class.is_empty() && !self.tenancy.name.is_empty();
-        must(named, "tenancy", "tenant_class and name are wanted");
+        check((1..=MAX_SERVERS).contains(&self.servers.len()), "servers", "1 to 16 are wanted");
+        check(self.base.len() <= 1_024, "base", "1024 bytes at most");
+        check((100..=3_600_000).contains(&self.poll_ms), "poll_ms", "100 ms to an hour");
+        check((10..=600_000).contains(&self.answer_within_ms), "answer_within_ms", "10 ms to ten minutes");
+        check((1..=10_000).contains(&self.page), "page", "1 to 10000");
+        check((0.1..=1e5).contains(&self.binds_a_second), "binds_a_second", "0.1 to 100000");
+        check((0.0..=1.0).contains(&self.tenancy.believe_loss), "tenancy.believe_loss", "0 to 1");
+        check(self.tenancy.renamed_ms <= 86_400_000, "tenancy.renamed_ms", "a day at most");
+        let has_names = !self.tenancy.tenant_class.is_empty() && !self.tenancy.name.is_empty();
+        check(has_names, "tenancy", "tenant_class and name are wanted");
         if let Callers::Common { share, rate } = self.unknown {
-            must(share > 0.0 && share <= 1e9, "unknown.common.share", "above 0, at most 1e9");
-            must(rate.is_none_or(|r| (0.0..=1e9).contains(&r)), "unknown.common.rate", "0 to 1e9");
+            check(share > 0.0 && share <= 1e9, "unknown.common.share", "above 0, at most 1e9");
+            check(rate.is_none_or(|r| (0.0..=1e9).contains(&r)), "unknown.common.rate", "0 to 1e9");
         }
         if let Err(why) = filter::read(&self.filter) {
-            must(false, "filter", &why);
+            check(false, "filter", &why);
         }
-        must(self.authorities.len() <= MOST_TEXT, "authorities", "256 KiB at most");
+        check(self.authorities.len() <= MAX_PEM_LENGTH, "authorities", "256 KiB at most");
         for (i, s) in self.servers.iter().enumerate() {
-            let secured = s.ldaps || self.start_tls;
+            let uses_tls = s.ldaps || self.start_tls;
             let name = ServerName::try_from(s.name.as_str());
-            must(
-                !secured || name.is_ok(),
+            check(
+                !uses_tls || name.is_ok(),
                 &format!("servers[{i}].name"),
                 "the name in its certificate is wanted",
             );
         }
-        if self.secured() {
+        if self.uses_tls() {
             if let Err((field, why)) = self.tls() {
-                must(false, field, &why);
+                check(false, field, &why);
             }
         } else {
-            must(!matches!(self.login, Who::External { .. }), "login.external", "wanted: ldaps or start_tls");
-            let clear = matches!(self.login, Who::Simple { .. }) && !self.plain;
-            must(!clear, "login.simple", "a password would go in the clear: ldaps, start_tls, or plain");
+            check(
+                !matches!(self.login, Who::External { .. }),
+                "login.external",
+                "wanted: ldaps or start_tls",
+            );
+            let unprotected = matches!(self.login, Who::Simple { .. }) && !self.plain;
+            check(
+                !unprotected,
+                "login.simple",
+                "a password would go in the clear: ldaps, start_tls, or plain",
+            );
         }
-        wrong
+        errors
     }
 
-    fn secured(&self) -> bool {
+    fn uses_tls(&self) -> bool {
         self.start_tls || self.servers.iter().any(|s| s.ldaps)
     }
 
-    /// What TLS is made with; names and dates of certificates are checked.
+    /// The TLS configuration, if TLS is used. It verifies the names and validity periods of certificates.
     ///
     /// # Errors
-    /// Names the field.
+    /// The invalid field and the reason.
     pub fn tls(&self) -> Result<Option<Arc<ClientConfig>>, (&'static str, String)> {
-        if !self.secured() {
+        if !self.uses_tls() {
             return Ok(None);
         }
         let mut roots = RootCertStore::empty();
@@ -200,7 +208,7 @@
             return Err(("authorities", "a certificate is wanted".into()));
         }
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let with = ClientConfig::builder_with_provider(provider)
+        let builder = ClientConfig::builder_with_provider(provider)
             .with_safe_default_protocol_versions()
             .map_err(|err| ("start_tls", err.to_string()))?
             .with_root_certificates(roots);
@@ -209,14 +217,16 @@
                 let chain = pem(certificate).map_err(|why| ("login.external.certificate", why))?;
                 let key = PrivateKeyDer::from_pem_slice(key.as_bytes())
                     .map_err(|err| ("login.external.key", err.to_string()))?;
-                with.with_client_auth_cert(chain, key).map_err(|err| ("login.external", err.to_string()))?
+                builder
+                    .with_client_auth_cert(chain, key)
+                    .map_err(|err| ("login.external", err.to_string()))?
             }
-            _ => with.with_no_client_auth(),
+            _ => builder.with_no_client_auth(),
         };
         Ok(Some(Arc::new(client)))
     }
 
-    /// What a session asks for.
+    /// The parameters of a session.
     pub fn quest(&self) -> Result<Quest, String> {
         Ok(Quest {
             login: match &self.login {
@@ -245,7 +255,7 @@
         }
     }
 
-    /// One server in the clear, to begin with.
+    /// Example settings: one server without TLS.
     pub fn example(at: SocketAddr) -> Books {
         Books {
             servers: vec![Server { at, name: String::new(), ldaps: false }],
@@ -272,19 +282,19 @@
     use super::*;
 
     #[test]
-    fn errors_name_their_fields() {
+    fn errors_name_the_invalid_fields() {
         let books = Books::example(SocketAddr::from(([127, 0, 0, 1], 389)));
         assert_eq!(books.check(), []);
-        let bad = Books {
+        let invalid = Books {
             login: Who::Simple { dn: "cn=a".into(), password: "x".into() },
             filter: "(a".into(),
             page: 0,
             ..books.clone()
         };
-        let fields: Vec<String> = bad.check().into_iter().map(|w| w.0).collect();
+        let fields: Vec<String> = invalid.check().into_iter().map(|w| w.0).collect();
         assert_eq!(fields, ["page", "filter", "login.simple"]);
-        let bad = Books { start_tls: true, authorities: "no pem".into(), ..books };
-        let fields: Vec<String> = bad.check().into_iter().map(|w| w.0).collect();
+        let invalid = Books { start_tls: true, authorities: "no pem".into(), ..books };
+        let fields: Vec<String> = invalid.check().into_iter().map(|w| w.0).collect();
         assert_eq!(fields, ["servers[0].name", "authorities"]);
     }
 }
--- a/tenant/src/keeper.rs
+++ b/tenant/src/keeper.rs
@@ -1,6 +1,6 @@
-//! The thread on which entries become versions. Making one of 100,000 entries takes a good part of a second,
-//! which is no RPC's business: the event loop hands over what a session has learnt, and reads the version in
-//! force without waiting (`arc-swap`).
+//! The thread that builds versions from entries. Building a version of 100,000 entries takes a good part of a
+//! second and must not delay RPCs: the event loop queues the updates of a session and reads the current version
+//! without blocking (`arc-swap`).
 use crate::model::{Directory, Kept, Suspicion, Tenancy, Tenants};
 use arc_swap::ArcSwap;
 use rockpick_ldap::News;
@@ -9,22 +9,22 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// News that wait at most: more than come while a version of the largest directory is made.
-const MOST_WAITING: usize = 200_000;
-/// Between two snapshots.
-const SAVE_EVERY: Ns = 5 * SEC;
+/// Capacity of the command queue: more updates than arrive while a version of the largest directory is built.
+const QUEUE_CAPACITY: usize = 200_000;
+/// Minimum time between two snapshots.
+const SAVE_INTERVAL: Ns = 5 * SEC;
 
-/// The end waits this long for a disk, and then goes without it.
-const LAST: Duration = Duration::from_secs(1);
+/// Maximum time to wait for the last snapshot when stopping, in case the disk does not respond.
+const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-enum Word {
+enum Command {
     News(Ns, News),
     Confirm(Ns),
     Tick(Ns),
-    End(Ns),
+    Stop(Ns),
 }
 
-/// What the keeper says of itself.
+/// State of the directory for status reports.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     pub suspicion: Option<Suspicion>,
@@ -34,36 +34,36 @@
 }
 
 pub struct Keeper {
-    to: SyncSender<Word>,
+    commands: SyncSender<Command>,
     version: Arc<ArcSwap<Tenants>>,
     view: Arc<Mutex<View>>,
-    /// Hears nothing; it closes when the thread has ended.
-    over: Receiver<()>,
+    /// Receives no message; disconnected when the thread has ended.
+    exited: Receiver<()>,
 }
 
-/// Writes a snapshot; false if it could not, and it is to be tried again.
+/// Writes a snapshot; returns false if that failed and must be retried.
 pub type Save = Box<dyn FnMut(&Kept) -> bool + Send>;
 
 impl Keeper {
-    /// Begins, with what a snapshot kept `older_ms` ago.
+    /// Starts the thread, with the content of a snapshot and its age in milliseconds.
     pub fn begin(now: Ns, tenancy: Tenancy, kept: Option<(Kept, u64)>, save: Option<Save>) -> Keeper {
         let mut directory = Directory::new(tenancy);
         if let Some((kept, older_ms)) = kept {
             directory.restore(now, kept, older_ms);
         }
-        let (to, from) = sync_channel(MOST_WAITING);
+        let (commands, receiver) = sync_channel(QUEUE_CAPACITY);
         let version = Arc::new(ArcSwap::new(directory.version().clone()));
         let view = Arc::new(Mutex::new(View::of(&directory)));
-        let (shared, seen) = (version.clone(), view.clone());
-        let (ended, over) = channel::<()>();
+        let (shared_version, shared_view) = (version.clone(), view.clone());
+        let (exit_guard, exited) = channel::<()>();
         std::thread::spawn(move || {
-            let _ended = ended;
-            work(directory, &from, &shared, &seen, save);
+            let _exit_guard = exit_guard;
+            run(directory, &receiver, &shared_version, &shared_view, save);
         });
-        Keeper { to, version, view, over }
+        Keeper { commands, version, view, exited }
     }
 
-    /// The version in force; an RPC keeps the one that it began with.
+    /// The current version; an RPC keeps the one that it started with.
     pub fn version(&self) -> Arc<Tenants> {
         self.version.load_full()
     }
@@ -72,27 +72,27 @@
         self.view.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// False: the keeper is too far behind, and what was told is lost; the session must begin anew.
+    /// Queues an update. Returns false if the queue is full: the update is lost and the session must be restarted.
     pub fn tell(&self, now: Ns, news: News) -> bool {
-        self.to.try_send(Word::News(now, news)).is_ok()
+        self.commands.try_send(Command::News(now, news)).is_ok()
     }
 
-    /// An operator's word; false: it could not be taken, and must be said again.
+    /// Queues an operator's confirmation. Returns false if it could not be queued and must be repeated.
     pub fn confirm(&self, now: Ns) -> bool {
-        self.to.try_send(Word::Confirm(now)).is_ok()
+        self.commands.try_send(Command::Confirm(now)).is_ok()
     }
 
     pub fn tick(&self, now: Ns) {
-        // One that is behind hears of time by what it is behind with.
-        let _ = self.to.try_send(Word::Tick(now));
+        // If the queue is full, the commands in it carry the time.
+        let _ = self.commands.try_send(Command::Tick(now));
     }
 
-    /// Writes a last snapshot and ends; waits for the disk, but not for ever. False: it did not answer.
+    /// Writes a last snapshot and stops the thread. Returns false if the disk does not respond in time.
     pub fn end(self, now: Ns) -> bool {
-        // A keeper too far behind for one more word ends with what it has been told.
-        let _ = self.to.try_send(Word::End(now));
-        drop(self.to);
-        self.over.recv_timeout(LAST) != Err(RecvTimeoutError::Timeout)
+        // If the queue is full, the thread ends after the commands in it.
+        let _ = self.commands.try_send(Command::Stop(now));
+        drop(self.commands);
+        self.exited.recv_timeout(STOP_TIMEOUT) != Err(RecvTimeoutError::Timeout)
     }
 }
 
@@ -107,37 +107,37 @@
     }
 }
 
-fn work(
-    mut directory: Directory, from: &Receiver<Word>, version: &ArcSwap<Tenants>, view: &Mutex<View>,
+fn run(
+    mut directory: Directory, commands: &Receiver<Command>, version: &ArcSwap<Tenants>, view: &Mutex<View>,
     mut save: Option<Save>,
 ) {
-    // The first version is kept at once: a front that is killed soon after must not come up without it.
-    let (mut saved, mut saved_at) = (directory.version().version, -SAVE_EVERY);
-    for word in from {
-        let (now, fresh, end) = match word {
-            Word::News(now, news) => {
-                let ends = matches!(news, News::End { .. } | News::Cookie(_));
-                (now, directory.take(now, news) || ends, false)
+    // The first version is saved at once, for a front that is killed soon after its start.
+    let (mut saved, mut saved_at) = (directory.version().version, -SAVE_INTERVAL);
+    for command in commands {
+        let (now, refresh_view, stop) = match command {
+            Command::News(now, news) => {
+                let changes_view = matches!(news, News::End { .. } | News::Cookie(_));
+                (now, directory.take(now, news) || changes_view, false)
             }
-            Word::Confirm(now) => (now, directory.confirm(now), false),
-            Word::Tick(now) => (now, true, false),
-            Word::End(now) => (now, true, true),
+            Command::Confirm(now) => (now, directory.confirm(now), false),
+            Command::Tick(now) => (now, true, false),
+            Command::Stop(now) => (now, true, true),
         };
-        if fresh {
+        if refresh_view {
             if !Arc::ptr_eq(&version.load(), directory.version()) {
                 version.store(directory.version().clone());
             }
             *view.lock().unwrap_or_else(PoisonError::into_inner) = View::of(&directory);
         }
-        let due = directory.version().version != saved && (now - saved_at >= SAVE_EVERY || end);
+        let due = directory.version().version != saved && (now - saved_at >= SAVE_INTERVAL || stop);
         if let Some(save) = save.as_mut().filter(|_| due) {
             saved_at = now;
-            // What is suspected is not kept: a restart must not believe it either.
+            // A suspicious state is not saved: a restart must not accept it either.
             if directory.suspicion.is_none() && save(&directory.save(now)) {
                 saved = directory.version().version;
             }
         }
-        if end {
+        if stop {
             return;
         }
     }
@@ -147,9 +147,9 @@
 mod tests {
     use super::*;
 
-    /// Finding 43: a keeper whose thread has ended takes no word, and says so.
+    /// Finding 43: a confirmation was reported as accepted although the thread had ended.
     #[test]
-    fn a_confirmation_that_nobody_takes_is_none() {
+    fn confirmation_fails_after_the_thread_has_ended() {
         let save: Save = Box::new(|_| panic!("on purpose"));
         let keeper = Keeper::begin(0, Tenancy::default(), None, Some(save));
         let kind = |name: &str| rockpick_ldap::message::Attribute {
@@ -163,8 +163,8 @@
         for news in [News::Begin, News::Entry { uuid: [1; 16], entry }, News::End { whole: true }] {
             assert!(keeper.tell(0, news));
         }
-        // The thread ends in the panic of its snapshot; what closes then is waited for.
-        assert!(keeper.over.recv().is_err());
+        // The thread panics while saving its snapshot, which disconnects the channel.
+        assert!(keeper.exited.recv().is_err());
         assert!(!keeper.confirm(0));
     }
 }
--- a/tenant/src/lib.rs
+++ b/tenant/src/lib.rs
@@ -1,7 +1,7 @@
-//! Tenants from a directory. [`model`] makes tenants and identities of entries, and holds back what can't be
-//! true; [`limit`] says what a tenant may take at a front; [`source`] says which server to ask, and when.
-//! These three have no I/O and no clock. [`link`] is the connection to a server,
-//! on the caller's event loop; [`keeper`] the thread on which entries become versions.
+//! Tenants from an LDAP directory. [`model`] builds tenants and identities from entries and holds back implausible
+//! losses; [`limit`] decides which RPCs of a tenant a front admits; [`source`] decides which server to connect to,
+//! and when. These three do no I/O and read no clock. [`link`] is the connection to a server, on the caller's event
+//! loop; [`keeper`] is the thread that builds versions from entries.
 pub mod books;
 pub mod keeper;
 pub mod limit;
--- a/tenant/src/link.rs
+++ b/tenant/src/link.rs
@@ -1,5 +1,5 @@
-//! The connection to a directory, on the caller's event loop: dialling, TLS, a session, and what the session
-//! learns handed to the keeper. Nothing here is waited for.
+//! The connection to a directory, on the caller's event loop: connects, runs TLS and an LDAP session, and passes
+//! the session's updates to the keeper. Never blocks.
 use crate::books::Books;
 use crate::keeper::Keeper;
 use crate::source::Source;
@@ -13,15 +13,16 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A connection that takes longer is none.
-const CONNECT: Ns = 3 * SEC;
+/// Maximum time for establishing a connection.
+const CONNECT_TIMEOUT: Ns = 3 * SEC;
 
-/// What was done so far, for the status.
+/// Statistics for the status.
 #[derive(Clone, Debug, Default)]
 pub struct Tolls {
     pub dialled: u64,
     pub bound: u64,
     pub failed: u64,
+    /// Reason of the last failure; empty after a completed refresh.
     pub why: String,
 }
 
@@ -30,167 +31,169 @@
     quest: Quest,
     tls: Option<Arc<ClientConfig>>,
     source: Source,
-    chance: StdRng,
+    rng: StdRng,
     conn: Option<Id>,
-    to: usize,
-    /// Until TLS and its session are there.
-    by: Ns,
-    secure: Option<Box<ClientConnection>>,
+    /// Index of the server in use.
+    server_index: usize,
+    /// When the TLS handshake must be complete and the session started.
+    handshake_deadline: Ns,
+    tls_conn: Option<Box<ClientConnection>>,
     session: Option<Session>,
-    referred: Option<usize>,
+    /// The server that a referral points to.
+    referral: Option<usize>,
     pub tolls: Tolls,
 }
 
 impl Link {
     /// # Errors
-    /// Settings that do not hold.
+    /// Invalid settings.
     pub fn new(now: Ns, books: Books, fronts: usize, seed: u64) -> Result<Link, String> {
-        let mut chance = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         let tls = books.tls().map_err(|(field, why)| format!("{field}: {why}"))?;
-        let source = Source::new(now, books.servers.len(), fronts, books.binds_a_second, &mut chance);
+        let source = Source::new(now, books.servers.len(), fronts, books.binds_a_second, &mut rng);
         Ok(Link {
             quest: books.quest()?,
             books,
             tls,
             source,
-            chance,
+            rng,
             conn: None,
-            to: 0,
-            by: Ns::MAX,
-            secure: None,
+            server_index: 0,
+            handshake_deadline: Ns::MAX,
+            tls_conn: None,
             session: None,
-            referred: None,
+            referral: None,
             tolls: Tolls::default(),
         })
     }
 
-    /// Is the directory heard, and in step?
+    /// Whether the session has completed a refresh and receives changes.
     pub fn settled(&self) -> bool {
         self.session.as_ref().is_some_and(Session::settled)
     }
 
     /// The server in use.
     pub fn server(&self) -> Option<SocketAddr> {
-        self.conn.map(|_| self.books.servers[self.to].at)
+        self.conn.map(|_| self.books.servers[self.server_index].at)
     }
 
-    /// Leaves politely; the connection closes.
+    /// Unbinds and closes the connection.
     pub fn leave(&mut self, net: &mut Net, keeper: &Keeper) {
         if let Some(session) = &mut self.session {
             session.leave();
-            self.act(net, keeper);
+            self.process_session_output(net, keeper);
         }
     }
 
-    /// Time has passed; to be called some times a second.
+    /// Handles timeouts and connection attempts; to be called several times a second.
     pub fn tick(&mut self, net: &mut Net, keeper: &Keeper) {
         let now = net.now();
         if let Some(session) = &mut self.session {
             session.tick(now);
-            self.act(net, keeper);
-        } else if self.conn.is_some() && self.by <= now {
-            self.failed(net, "TLS was not there in time");
+            self.process_session_output(net, keeper);
+        } else if self.conn.is_some() && self.handshake_deadline <= now {
+            self.failed(net, "TLS handshake timed out");
         }
-        if self.source.better(now, &mut self.chance) {
+        if self.source.better(now, &mut self.rng) {
             if let Some(session) = &mut self.session {
                 session.leave();
             }
-            self.drop(net);
+            self.disconnect(net);
         }
         let Some(server) = self.source.dial(now) else { return };
-        let server = self.referred.take().unwrap_or(server);
-        self.to = server;
+        let server = self.referral.take().unwrap_or(server);
+        self.server_index = server;
         self.tolls.dialled += 1;
-        match net.dial(self.books.servers[server].at, CONNECT) {
+        match net.dial(self.books.servers[server].at, CONNECT_TIMEOUT) {
             Ok(conn) => {
                 self.conn = Some(conn);
-                self.by = now + CONNECT + self.quest.within;
+                self.handshake_deadline = now + CONNECT_TIMEOUT + self.quest.within;
             }
             Err(err) => self.failed(net, &err.to_string()),
         }
     }
 
-    /// Takes an event of its stream; false when it is not this link's.
+    /// Handles a stream event. Returns false if it belongs to another connection.
     pub fn event(&mut self, net: &mut Net, keeper: &Keeper, event: &Event) -> bool {
-        let ours = |conn: &Id| self.conn == Some(*conn);
+        let is_own = |conn: &Id| self.conn == Some(*conn);
         match event {
-            Event::StreamOpened { conn } if ours(conn) => self.came(net, keeper),
-            Event::StreamData { conn, bytes } if ours(conn) => self.bytes(net, keeper, bytes),
-            Event::StreamClosed { conn, .. } if ours(conn) => {
+            Event::StreamOpened { conn } if is_own(conn) => self.opened(net, keeper),
+            Event::StreamData { conn, bytes } if is_own(conn) => self.receive(net, keeper, bytes),
+            Event::StreamClosed { conn, .. } if is_own(conn) => {
                 self.conn = None;
-                self.failed(net, "the connection is gone");
+                self.failed(net, "connection closed");
             }
             _ => return false,
         }
         true
     }
 
-    fn came(&mut self, net: &mut Net, keeper: &Keeper) {
-        if self.books.servers[self.to].ldaps {
-            self.hello(net);
+    fn opened(&mut self, net: &mut Net, keeper: &Keeper) {
+        if self.books.servers[self.server_index].ldaps {
+            self.start_tls(net);
         } else {
-            self.begin(net.now(), false, keeper);
+            self.start_session(net.now(), false, keeper);
         }
-        self.act(net, keeper);
+        self.process_session_output(net, keeper);
     }
 
-    fn begin(&mut self, now: Ns, secured: bool, keeper: &Keeper) {
+    fn start_session(&mut self, now: Ns, secured: bool, keeper: &Keeper) {
         let cookie = keeper.view().cookie;
         self.session = Some(Session::begin(now, self.quest.clone(), secured, cookie));
     }
 
-    /// Begins TLS.
-    fn hello(&mut self, net: &mut Net) {
-        let name = ServerName::try_from(self.books.servers[self.to].name.clone());
-        let made = match (&self.tls, name) {
+    /// Starts the TLS handshake.
+    fn start_tls(&mut self, net: &mut Net) {
+        let name = ServerName::try_from(self.books.servers[self.server_index].name.clone());
+        let connection = match (&self.tls, name) {
             (Some(tls), Ok(name)) => ClientConnection::new(tls.clone(), name).map_err(|err| err.to_string()),
-            _ => Err("no TLS is set up".into()),
+            _ => Err("TLS is not configured".into()),
         };
-        match made {
-            Ok(secure) => self.secure = Some(Box::new(secure)),
+        match connection {
+            Ok(tls_conn) => self.tls_conn = Some(Box::new(tls_conn)),
             Err(why) => self.failed(net, &why),
         }
     }
 
-    fn bytes(&mut self, net: &mut Net, keeper: &Keeper, bytes: &[u8]) {
+    fn receive(&mut self, net: &mut Net, keeper: &Keeper, bytes: &[u8]) {
         let now = net.now();
-        let Some(secure) = &mut self.secure else {
+        let Some(tls_conn) = &mut self.tls_conn else {
             if let Some(session) = &mut self.session {
                 session.bytes(now, bytes);
             }
-            return self.act(net, keeper);
+            return self.process_session_output(net, keeper);
         };
-        let mut clear = Vec::new();
-        let taken = tls::decrypt(secure, bytes, &mut clear);
-        if let Some(session) = self.session.as_mut().filter(|_| !clear.is_empty()) {
-            session.bytes(now, &clear);
+        let mut plaintext = Vec::new();
+        let decrypted = tls::decrypt(tls_conn, bytes, &mut plaintext);
+        if let Some(session) = self.session.as_mut().filter(|_| !plaintext.is_empty()) {
+            session.bytes(now, &plaintext);
         }
-        if let Err(why) = taken {
-            // What is to be said of it still goes out.
+        if let Err(why) = decrypted {
+            // Sends the TLS alert.
             self.flush(net);
             return self.failed(net, &format!("TLS: {why}"));
         }
-        if !secure.is_handshaking() {
+        if !tls_conn.is_handshaking() {
             match &mut self.session {
                 Some(session) => session.secured(now),
-                None => self.begin(now, true, keeper),
+                None => self.start_session(now, true, keeper),
             }
         }
-        self.act(net, keeper);
+        self.process_session_output(net, keeper);
     }
 
-    /// Does what the session says.
-    fn act(&mut self, net: &mut Net, keeper: &Keeper) {
+    /// Executes the session's output.
+    fn process_session_output(&mut self, net: &mut Net, keeper: &Keeper) {
         let now = net.now();
         let Some(session) = &mut self.session else { return self.flush(net) };
         for out in session.out() {
             match out {
-                Out::Send(bytes) => match (&mut self.secure, self.conn) {
-                    (Some(secure), _) => drop(secure.writer().write_all(&bytes)),
+                Out::Send(bytes) => match (&mut self.tls_conn, self.conn) {
+                    (Some(tls_conn), _) => drop(tls_conn.writer().write_all(&bytes)),
                     (None, Some(conn)) => drop(net.send(conn, &bytes)),
                     _ => {}
                 },
-                Out::StartTls => self.hello(net),
+                Out::StartTls => self.start_tls(net),
                 Out::News(news) => {
                     match &news {
                         News::Begin => self.tolls.bound += 1,
@@ -202,16 +205,17 @@
                     }
                     if !keeper.tell(now, news) {
                         self.flush(net);
-                        return self.failed(net, "more came than could be taken in");
+                        return self.failed(net, "update queue of the keeper is full");
                     }
                 }
                 Out::Over { why, referral } => {
                     self.flush(net);
-                    let known = |url: &String| {
+                    let configured = |url: &String| {
                         self.books.servers.iter().position(|s| url.contains(&s.at.to_string()))
                     };
                     if self.books.follow {
-                        self.referred = referral.iter().find_map(known).filter(|to| *to != self.to);
+                        self.referral =
+                            referral.iter().find_map(configured).filter(|to| *to != self.server_index);
                     }
                     return self.failed(net, &why);
                 }
@@ -220,28 +224,28 @@
         self.flush(net);
     }
 
-    /// TLS's own bytes go out.
+    /// Sends pending TLS output.
     fn flush(&mut self, net: &mut Net) {
-        let (Some(secure), Some(conn)) = (&mut self.secure, self.conn) else { return };
-        let out = tls::take_output(secure);
+        let (Some(tls_conn), Some(conn)) = (&mut self.tls_conn, self.conn) else { return };
+        let out = tls::take_output(tls_conn);
         if !out.is_empty() {
             net.send(conn, &out);
         }
     }
 
-    fn drop(&mut self, net: &mut Net) {
+    fn disconnect(&mut self, net: &mut Net) {
         if let Some(conn) = self.conn.take() {
             net.close(conn);
         }
-        (self.secure, self.session, self.by) = (None, None, Ns::MAX);
+        (self.tls_conn, self.session, self.handshake_deadline) = (None, None, Ns::MAX);
     }
 
     fn failed(&mut self, net: &mut Net, why: &str) {
-        let at = self.books.servers[self.to].at;
+        let at = self.books.servers[self.server_index].at;
         tracing::warn!(event = "directory lost", server = %at, why);
         self.tolls.failed += 1;
         self.tolls.why = why.chars().take(200).collect();
-        self.drop(net);
-        self.source.failed(net.now(), &mut self.chance);
+        self.disconnect(net);
+        self.source.failed(net.now(), &mut self.rng);
     }
 }
--- a/tenant/src/source.rs
+++ b/tenant/src/source.rs
@@ -1,65 +1,65 @@
-//! Which server to ask, and when: in order of preference, with backoff and jitter. What is bounded is how
-//! many fronts come at once when a directory returns: each draws its time over a window in which all fronts
-//! together make no more than so many binds a second.
+//! Selects the server to connect to and the time of the attempt: in order of preference, with backoff and jitter.
+//! The binds per second of all fronts together are limited for when a directory comes back: each front picks a
+//! random time in a window that is long enough for all of them.
 use rand::rngs::StdRng;
 use rand::Rng;
 use rockpick_net::{Ns, SEC};
 
-/// The first wait after all servers have failed, and the longest: changes are to be in force within a minute
-/// of a directory's return.
-const FIRST: Ns = SEC / 2;
-const LONGEST: Ns = 20 * SEC;
-/// On a server that is not the first choice: how long until a better one is tried again.
-const BACK: Ns = 300 * SEC;
+/// The first and the maximum backoff after all servers have failed. The maximum is chosen so that changes take
+/// effect within a minute after a directory comes back.
+const FIRST_BACKOFF: Ns = SEC / 2;
+const MAX_BACKOFF: Ns = 20 * SEC;
+/// Time on a server that is not the preferred one until the preferred one is tried again.
+const FAIL_BACK_DELAY: Ns = 300 * SEC;
 
 #[derive(Clone, Debug)]
 pub struct Source {
     servers: usize,
-    /// All fronts together make this many binds a second at most.
+    /// Maximum binds per second of all fronts together.
     binds_a_second: f64,
     fronts: usize,
-    /// The server to be tried, or in use.
+    /// Index of the server to try next, or in use.
     pub at: usize,
-    tried: usize,
-    wait: Ns,
-    /// When the next try is due; never, while one is in use.
+    failures: usize,
+    backoff: Ns,
+    /// When the next attempt is due; `Ns::MAX` while a server is in use.
     pub due: Ns,
-    back: Ns,
+    fail_back_at: Ns,
 }
 
 impl Source {
-    /// The first try is spread like any other: fronts of a site start together.
-    pub fn new(now: Ns, servers: usize, fronts: usize, binds_a_second: f64, chance: &mut StdRng) -> Source {
+    /// The first attempt is delayed at random like any other, as the fronts of a site may start together.
+    pub fn new(now: Ns, servers: usize, fronts: usize, binds_a_second: f64, rng: &mut StdRng) -> Source {
         let mut source = Source {
             servers: servers.max(1),
             binds_a_second: binds_a_second.max(0.1),
             fronts: fronts.max(1),
             at: 0,
-            tried: 0,
-            wait: FIRST,
+            failures: 0,
+            backoff: FIRST_BACKOFF,
             due: 0,
-            back: Ns::MAX,
+            fail_back_at: Ns::MAX,
         };
-        source.due = now + source.draw(0, chance);
+        source.due = now + source.random_delay(0, rng);
         source
     }
 
-    /// The window over which all fronts together keep to their rate.
+    /// The time in which all fronts can connect at the maximum rate.
     fn window(&self) -> Ns {
         (self.fronts as f64 / self.binds_a_second * SEC as f64) as Ns
     }
 
-    fn draw(&self, wait: Ns, chance: &mut StdRng) -> Ns {
+    fn random_delay(&self, wait: Ns, rng: &mut StdRng) -> Ns {
         let span = self.window().max(wait);
-        // Full jitter: evenly over all of it.
+        // Full jitter: uniform over the whole span.
         if span == 0 {
             0
         } else {
-            chance.random_range(0..span)
+            rng.random_range(0..span)
         }
     }
 
-    /// Is it time to dial? The server to dial.
+    /// The server to dial, if an attempt is due.
     pub fn dial(&mut self, now: Ns) -> Option<usize> {
         if self.due > now {
             return None;
@@ -68,37 +68,37 @@
         Some(self.at)
     }
 
-    /// The server in use answers as it should.
+    /// The server in use has completed a refresh.
     pub fn good(&mut self, now: Ns) {
-        (self.tried, self.wait) = (0, FIRST);
-        self.back = if self.at == 0 { Ns::MAX } else { now + BACK };
+        (self.failures, self.backoff) = (0, FIRST_BACKOFF);
+        self.fail_back_at = if self.at == 0 { Ns::MAX } else { now + FAIL_BACK_DELAY };
     }
 
-    /// The server in use has failed: the next one, after a wait once all have. One that was just lost by
-    /// all fronts at once is no reason to come to the next one at once either.
-    pub fn failed(&mut self, now: Ns, chance: &mut StdRng) {
-        self.tried += 1;
-        self.back = Ns::MAX;
-        let wait = if self.tried >= self.servers {
-            self.tried = 0;
+    /// The server in use has failed: continues with the next one, or with a backoff if all have failed. The next
+    /// server is also tried after a random delay, as all fronts may have lost the former one at the same time.
+    pub fn failed(&mut self, now: Ns, rng: &mut StdRng) {
+        self.failures += 1;
+        self.fail_back_at = Ns::MAX;
+        let wait = if self.failures >= self.servers {
+            self.failures = 0;
             self.at = 0;
-            let wait = self.wait;
-            self.wait = (2 * wait).min(LONGEST);
+            let wait = self.backoff;
+            self.backoff = (2 * wait).min(MAX_BACKOFF);
             wait
         } else {
             self.at = (self.at + 1) % self.servers;
             0
         };
-        self.due = now + self.draw(wait, chance);
+        self.due = now + self.random_delay(wait, rng);
     }
 
-    /// Is it time to try a better server than the one in use?
-    pub fn better(&mut self, now: Ns, chance: &mut StdRng) -> bool {
-        if self.back > now {
+    /// Returns true if it is time to leave the server in use for the preferred one.
+    pub fn better(&mut self, now: Ns, rng: &mut StdRng) -> bool {
+        if self.fail_back_at > now {
             return false;
         }
-        (self.at, self.tried, self.back) = (0, 0, Ns::MAX);
-        self.due = now + self.draw(0, chance);
+        (self.at, self.failures, self.fail_back_at) = (0, 0, Ns::MAX);
+        self.due = now + self.random_delay(0, rng);
         true
     }
 }
@@ -108,20 +108,21 @@
     use super::*;
     use rand::SeedableRng;
 
-    /// A directory of 120 fronts is gone for a while and returns: binds in each second stay near the bound.
+    /// A directory with 120 fronts is unavailable for a minute: once it is back, binds in each second must stay near
+    /// the limit.
     #[test]
-    fn a_return_is_not_met_by_all_at_once() {
-        let mut chance = StdRng::seed_from_u64(3);
-        let mut fronts: Vec<Source> = (0..120).map(|_| Source::new(0, 2, 120, 20.0, &mut chance)).collect();
-        let back = 60 * SEC;
+    fn reconnects_after_an_outage_are_spread() {
+        let mut rng = StdRng::seed_from_u64(3);
+        let mut fronts: Vec<Source> = (0..120).map(|_| Source::new(0, 2, 120, 20.0, &mut rng)).collect();
+        let available_at = 60 * SEC;
         let mut binds = vec![0; 200];
         let mut last = 0;
         for step in 0..2_000 {
             let now = step * SEC / 10;
             for s in &mut fronts {
                 if s.dial(now).is_some() {
-                    if now < back {
-                        s.failed(now, &mut chance);
+                    if now < available_at {
+                        s.failed(now, &mut rng);
                     } else {
                         binds[(now / SEC) as usize] += 1;
                         last = last.max(now);
@@ -132,23 +133,23 @@
         }
         assert_eq!(binds.iter().sum::<i32>(), 120);
         assert!(binds.iter().all(|b| *b <= 30), "{binds:?}");
-        assert!(last < back + LONGEST + 7 * SEC, "{}", last / SEC);
+        assert!(last < available_at + MAX_BACKOFF + 7 * SEC, "{}", last / SEC);
     }
 
     #[test]
-    fn servers_are_tried_in_their_order_and_the_first_again_later() {
-        let mut chance = StdRng::seed_from_u64(3);
-        let mut s = Source::new(0, 3, 1, 1e6, &mut chance);
+    fn servers_are_tried_in_order_with_fail_back_to_the_first() {
+        let mut rng = StdRng::seed_from_u64(3);
+        let mut s = Source::new(0, 3, 1, 1e6, &mut rng);
         assert_eq!(s.dial(SEC), Some(0));
-        s.failed(SEC, &mut chance);
+        s.failed(SEC, &mut rng);
         assert_eq!(s.dial(SEC + SEC / 10), Some(1));
         s.good(2 * SEC);
-        assert!(!s.better(3 * SEC, &mut chance));
-        assert!(s.better(2 * SEC + BACK, &mut chance) && s.at == 0);
+        assert!(!s.better(3 * SEC, &mut rng));
+        assert!(s.better(2 * SEC + FAIL_BACK_DELAY, &mut rng) && s.at == 0);
         for _ in 0..3 {
             let now = s.due;
             s.dial(now).unwrap();
-            s.failed(now, &mut chance);
+            s.failed(now, &mut rng);
         }
         assert!(s.at == 0 && s.due != Ns::MAX);
     }
