--- a/ldap/src/filter.rs
+++ b/ldap/src/filter.rs
@@ -1,54 +1,53 @@
-//! Filters as text (RFC 4515): read with bounds, and values escaped so that no principal can change what is
-//! asked.
+//! Search filters in text form (RFC 4515): a parser with limits, and escaping of values so that a principal's name
+//! cannot change a filter.
 use crate::message::Filter;
 use rasn_ldap::{AttributeValueAssertion, SubstringChoice, SubstringFilter};
 
-/// Nesting and length at most: what operators write, and some.
+/// Maximum nesting and length in bytes: more than operators' filters need.
 const MAX_DEPTH: usize = 16;
-const MAX_TEXT: usize = 16 * 1024;
+const MAX_LENGTH: usize = 16 * 1024;
 
-/// Reads `(&(objectClass=tenant)(!(off=TRUE)))`.
+/// Parses a filter such as `(&(objectClass=tenant)(!(off=TRUE)))`.
 ///
 /// # Errors
-/// Says where it stops making sense.
+/// The syntax error and its place.
 ///
 /// ```
 /// use rockpick_ldap::filter::{escape, read};
 /// assert!(read("(&(a=1)(|(b=*)(c=x*y))(!(d>=2)))").is_ok());
 /// assert!(read("(a=1").is_err() && read("(a=1)(b=2)").is_err());
-/// // A principal that is a filter stays a value.
+/// // A principal that contains filter syntax is only a value.
 /// assert!(read(&format!("(uid={})", escape(b"*)(uid=*"))).is_ok());
 /// ```
 pub fn read(text: &str) -> Result<Filter, String> {
-    if text.len() > MAX_TEXT {
+    if text.len() > MAX_LENGTH {
         return Err("longer than 16 KiB".into());
     }
     let mut rest = text.trim();
-    let filter = one(&mut rest, 0)?;
+    let filter = parse_filter(&mut rest, 0)?;
     if rest.is_empty() {
         Ok(filter)
     } else {
-        Err(format!("'{}' after its end", short(rest)))
+        Err(format!("'{}' after the end of the filter", excerpt(rest)))
     }
 }
 
-fn short(text: &str) -> String {
+fn excerpt(text: &str) -> String {
     text.chars().take(20).collect()
 }
 
-fn one(rest: &mut &str, depth: usize) -> Result<Filter, String> {
+fn parse_filter(rest: &mut &str, depth: usize) -> Result<Filter, String> {
     if depth > MAX_DEPTH {
-        return Err("nested too deep".into());
+        return Err("nested too deeply".into());
     }
-    let inner = rest.strip_prefix('(').ok_or_else(|| format!("'(' is wanted at '{}'", short(rest)))?;
-    *rest = inner;
+    *rest = rest.strip_prefix('(').ok_or_else(|| format!("expected '(' at '{}'", excerpt(rest)))?;
     let kind = rest.chars().next();
     let filter = match kind {
         Some('&' | '|') => {
             *rest = &rest[1..];
             let mut parts = Vec::new();
             while rest.starts_with('(') {
-                parts.push(one(rest, depth + 1)?);
+                parts.push(parse_filter(rest, depth + 1)?);
             }
             if kind == Some('&') {
                 Filter::And(parts.into())
@@ -58,28 +57,28 @@
         }
         Some('!') => {
             *rest = &rest[1..];
-            Filter::Not(Box::new(one(rest, depth + 1)?))
+            Filter::Not(Box::new(parse_filter(rest, depth + 1)?))
         }
         _ => {
-            let end = rest.find(')').ok_or("')' is missing")?;
+            let end = rest.find(')').ok_or("missing ')'")?;
             let item = &rest[..end];
             *rest = &rest[end..];
-            leaf(item)?
+            parse_item(item)?
         }
     };
-    *rest = rest.strip_prefix(')').ok_or_else(|| format!("')' is wanted at '{}'", short(rest)))?;
+    *rest = rest.strip_prefix(')').ok_or_else(|| format!("expected ')' at '{}'", excerpt(rest)))?;
     Ok(filter)
 }
 
-fn leaf(item: &str) -> Result<Filter, String> {
-    let (left, value) = item.split_once('=').ok_or_else(|| format!("'=' is wanted in '{}'", short(item)))?;
+fn parse_item(item: &str) -> Result<Filter, String> {
+    let (left, value) = item.split_once('=').ok_or_else(|| format!("expected '=' in '{}'", excerpt(item)))?;
     let (name, sign) = match left.char_indices().last() {
         Some((at, sign @ ('>' | '<' | '~'))) => (&left[..at], sign),
         _ => (left, '='),
     };
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b';');
-    if name.is_empty() || !name.bytes().all(plain) {
-        return Err(format!("'{}' is no attribute", short(left)));
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b';');
+    if name.is_empty() || !name.bytes().all(allowed) {
+        return Err(format!("'{}' is not an attribute", excerpt(left)));
     }
     let assertion = |v: Vec<u8>| AttributeValueAssertion::new(name.into(), v.into());
     Ok(match sign {
@@ -111,7 +110,7 @@
         if b == b'\\' {
             let hex = rest.get(..2).and_then(|h| std::str::from_utf8(h).ok());
             let byte = hex.and_then(|h| u8::from_str_radix(h, 16).ok());
-            out.push(byte.ok_or_else(|| format!("'\\' without two hex digits in '{}'", short(text)))?);
+            out.push(byte.ok_or_else(|| format!("'\\' without two hex digits in '{}'", excerpt(text)))?);
             rest = &rest[2..];
         } else {
             out.push(b);
@@ -120,20 +119,23 @@
     Ok(out)
 }
 
-/// A value as it may stand in a filter's text.
+/// Escapes a value for a filter's text.
 pub fn escape(value: &[u8]) -> String {
-    let plain =
+    let allowed =
         |b: u8| b.is_ascii_alphanumeric() || matches!(b, b' ' | b'-' | b'_' | b'.' | b'@' | b',' | b'=');
-    value.iter().map(|b| if plain(*b) { char::from(*b).to_string() } else { format!("\\{b:02x}") }).collect()
+    value
+        .iter()
+        .map(|b| if allowed(*b) { char::from(*b).to_string() } else { format!("\\{b:02x}") })
+        .collect()
 }
 
-/// Does an entry fit? `values` gives an attribute's values. Comparison is without case, as directory strings
-/// are compared; greater and less by length of digits and text (timestamps, numbers).
+/// Whether an entry matches; `values` returns the values of an attribute. Comparison ignores case, as for directory
+/// strings, and ordering is bytewise, which suits timestamps.
 pub fn fits(filter: &Filter, values: &dyn Fn(&str) -> Vec<Vec<u8>>) -> bool {
-    let low = |v: &[u8]| v.to_ascii_lowercase();
+    let lowercase = |v: &[u8]| v.to_ascii_lowercase();
     let any = |a: &AttributeValueAssertion, test: &dyn Fn(&[u8], &[u8]) -> bool| {
-        let wanted = low(a.assertion_value.as_ref());
-        values(&a.attribute_desc.0).iter().any(|v| test(&low(v), &wanted))
+        let expected = lowercase(a.assertion_value.as_ref());
+        values(&a.attribute_desc.0).iter().any(|v| test(&lowercase(v), &expected))
     };
     match filter {
         Filter::And(parts) => parts.to_vec().into_iter().all(|p| fits(p, values)),
@@ -143,28 +145,30 @@
         Filter::GreaterOrEqual(a) => any(a, &|v, w| v >= w),
         Filter::LessOrEqual(a) => any(a, &|v, w| v <= w),
         Filter::Present(name) => !values(&name.0).is_empty(),
-        Filter::Substrings(s) => values(&s.r#type.0).iter().any(|v| holds(&low(v), &s.substrings)),
+        Filter::Substrings(s) => {
+            values(&s.r#type.0).iter().any(|v| matches_substrings(&lowercase(v), &s.substrings))
+        }
         _ => false,
     }
 }
 
-fn holds(value: &[u8], parts: &[SubstringChoice]) -> bool {
+fn matches_substrings(value: &[u8], parts: &[SubstringChoice]) -> bool {
     let mut rest = value;
     for part in parts {
-        let (wanted, kind) = match part {
+        let (expected, kind) = match part {
             SubstringChoice::Initial(w) => (w, 0),
             SubstringChoice::Any(w) => (w, 1),
             SubstringChoice::Final(w) => (w, 2),
             _ => return false,
         };
-        let wanted = wanted.as_ref().to_ascii_lowercase();
+        let expected = expected.as_ref().to_ascii_lowercase();
         let at = match kind {
-            0 => rest.starts_with(&wanted).then_some(0),
-            1 => rest.windows(wanted.len().max(1)).position(|w| w == wanted),
-            _ => rest.ends_with(&wanted).then(|| rest.len() - wanted.len()),
+            0 => rest.starts_with(&expected).then_some(0),
+            1 => rest.windows(expected.len().max(1)).position(|w| w == expected),
+            _ => rest.ends_with(&expected).then(|| rest.len() - expected.len()),
         };
         let Some(at) = at else { return false };
-        rest = &rest[at + wanted.len()..];
+        rest = &rest[at + expected.len()..];
     }
     true
 }
@@ -174,7 +178,7 @@
     use super::*;
 
     #[test]
-    fn filters_fit_as_they_say() {
+    fn filters_match_and_reject() {
         let values = |name: &str| -> Vec<Vec<u8>> {
             match name.to_ascii_lowercase().as_str() {
                 "cn" => vec![b"Acme Ltd".to_vec(), b"a*b".to_vec()],
@@ -183,7 +187,7 @@
             }
         };
         let fits = |text: &str| fits(&read(text).unwrap(), &values);
-        for good in [
+        for matching in [
             "(cn=acme ltd)",
             "(CN=ac*l*d)",
             "(cn=a\\2ab)",
@@ -191,19 +195,19 @@
             "(&(cn=*)(!(sn=*)))",
             "(|(x=1)(cn=*me*))",
         ] {
-            assert!(fits(good), "{good}");
+            assert!(fits(matching), "{matching}");
         }
-        for bad in ["(cn=acme)", "(cn=*lt)", "(stamp<=2026)", "(&(cn=*)(sn=*))", "(cn=a\\28b)"] {
-            assert!(!fits(bad), "{bad}");
+        for other in ["(cn=acme)", "(cn=*lt)", "(stamp<=2026)", "(&(cn=*)(sn=*))", "(cn=a\\28b)"] {
+            assert!(!fits(other), "{other}");
         }
-        for wrong in ["", "cn=a", "(cn)", "(=a)", "(c n=a)", "(cn=a\\2)", "((cn=a))", "(cn=a))"] {
-            assert!(read(wrong).is_err(), "{wrong}");
+        for invalid in ["", "cn=a", "(cn)", "(=a)", "(c n=a)", "(cn=a\\2)", "((cn=a))", "(cn=a))"] {
+            assert!(read(invalid).is_err(), "{invalid}");
         }
         assert!(read(&format!("{}(a=1){}", "(!".repeat(100), ")".repeat(100))).is_err());
     }
 
     #[test]
-    fn no_value_changes_the_question() {
+    fn escaped_values_cannot_change_a_filter() {
         for value in ["*", "a)(uid=*", "\\", "\u{0}x", "(&"] {
             let text = format!("(uid={})", escape(value.as_bytes()));
             let Filter::EqualityMatch(a) = read(&text).unwrap() else { panic!("{text}") };
--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -1,6 +1,6 @@
-//! LDAPv3 (RFC 4511) without sockets and clock: [`frames`] cuts a stream into messages and refuses what lies
-//! about itself, [`message`] reads and writes them, [`filter`] is RFC 4515, [`session`] is a client's whole way:
-//! StartTLS, bind, root DSE, content synchronisation (RFC 4533) or paged polling (RFC 2696).
+//! LDAPv3 (RFC 4511) without sockets or clock: [`frames`] splits a stream into messages and rejects malformed ones,
+//! [`message`] encodes and decodes them, [`filter`] implements RFC 4515, and [`session`] is a client session:
+//! StartTLS, bind, root DSE, then content synchronization (RFC 4533) or paged polling (RFC 2696).
 pub mod filter;
 pub mod frames;
 pub mod message;
--- a/ldap/src/message.rs
+++ b/ldap/src/message.rs
@@ -1,6 +1,6 @@
-//! Messages. The encoding is `rasn`'s, and so are requests (`rasn-ldap`); answers are types of our own, since
-//! those of the library know no result codes beyond RFC 4511's own (4096, say, of RFC 4533), and take no name
-//! that is not UTF-8, where one bad entry must not cost the session.
+//! LDAP messages. Encoding and decoding use `rasn`, and requests are the types of `rasn-ldap`. Responses are
+//! separate types, as those of the library accept only the result codes of RFC 4511 (not 4096 of RFC 4533, for
+//! example) and only names in UTF-8, while one invalid entry must not end the session.
 use rasn::prelude::*;
 pub use rasn_ldap::{
     AbandonRequest, AuthenticationChoice, BindRequest, Control, ExtendedRequest, Filter, SaslCredentials,
@@ -15,7 +15,7 @@
 pub const SYNC_DONE: &[u8] = b"1.3.6.1.4.1.4203.1.9.1.3";
 pub const SYNC_INFO: &[u8] = b"1.3.6.1.4.1.4203.1.9.1.4";
 
-/// Result codes that something depends on (RFC 4511 §4.1.9; 4096: RFC 4533 §2.4).
+/// Result codes (RFC 4511 §4.1.9; 4096: RFC 4533 §2.4).
 pub const SUCCESS: u32 = 0;
 pub const PROTOCOL_ERROR: u32 = 2;
 pub const TIME_LIMIT: u32 = 3;
@@ -29,7 +29,7 @@
 pub const UNWILLING: u32 = 53;
 pub const REFRESH_REQUIRED: u32 = 4096;
 
-/// A result code: an enumerated value, of which new ones may come.
+/// An extensible enumerated value, such as a result code.
 #[derive(AsnType, Encode, Decode, Debug, Clone, Copy, PartialEq, Eq)]
 #[rasn(tag(universal, 10), delegate)]
 pub struct Code(pub u32);
@@ -120,14 +120,14 @@
     pub value: Option<OctetString>,
 }
 
-/// The value of the paging control (RFC 2696), in requests and answers.
+/// The value of the paging control (RFC 2696), in requests and responses.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 pub struct Paged {
     pub size: u32,
     pub cookie: OctetString,
 }
 
-/// Of a sync request: 1 is refreshOnly, 3 refreshAndPersist.
+/// The value of the sync request control. Modes: 1 is refreshOnly, 3 refreshAndPersist.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 pub struct SyncRequest {
     pub mode: Code,
@@ -138,7 +138,7 @@
 
 pub const REFRESH_AND_PERSIST: Code = Code(3);
 
-/// Of an entry: 0 present, 1 add, 2 modify, 3 delete.
+/// The value of an entry's sync state control. States: 0 present, 1 add, 2 modify, 3 delete.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 pub struct SyncState {
     pub state: Code,
@@ -153,14 +153,14 @@
     pub deletes: bool,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 pub struct Refresh {
     pub cookie: Option<OctetString>,
-    #[rasn(default = "yes")]
+    #[rasn(default = "default_true")]
     pub done: bool,
 }
 
@@ -185,10 +185,10 @@
     Ids(IdSet),
 }
 
-/// Decodes a message that [`crate::frames`] has cut.
+/// Decodes a message that [`crate::frames`] has split off.
 ///
 /// # Errors
-/// Says that it is none, in the decoder's words.
+/// The decoder's error.
 pub fn read(bytes: &[u8]) -> Result<Message, String> {
     rasn::ber::decode(bytes).map_err(|err| err.to_string())
 }
@@ -200,7 +200,7 @@
 }
 
 pub fn write<T: rasn::Encode>(value: &T) -> Vec<u8> {
-    // Encoding to memory has nothing to fail on.
+    // Encoding to memory does not fail.
     rasn::ber::encode(value).unwrap_or_default()
 }
 
@@ -226,13 +226,13 @@
 }
 
 impl Entry {
-    /// Values of an attribute; types are compared without case, options are not looked at.
+    /// Values of an attribute; attribute types are compared without case, and options are not interpreted.
     pub fn values<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = Vec<u8>> + 'a {
         let fits = move |a: &&Attribute| a.kind.eq_ignore_ascii_case(kind.as_bytes());
         self.attributes.iter().filter(fits).flat_map(|a| a.values.to_vec().into_iter().map(|v| v.to_vec()))
     }
 
-    /// An attribute's only or first value, where it is text.
+    /// The first value of an attribute in sorted order, if it is UTF-8.
     pub fn text(&self, kind: &str) -> Option<String> {
         let mut texts: Vec<String> = self.values(kind).filter_map(|v| String::from_utf8(v).ok()).collect();
         texts.sort();
@@ -240,7 +240,7 @@
     }
 }
 
-/// Sixteen bytes of an entryUUID, from its text (RFC 4530).
+/// Parses an entryUUID (RFC 4530).
 ///
 /// ```
 /// let uuid = rockpick_ldap::message::uuid("597ae2f6-16a6-1027-98f4-d28b5365dc14").unwrap();
@@ -254,7 +254,7 @@
     hex::decode(text.replace('-', "")).ok()?.try_into().ok()
 }
 
-/// The text of an entryUUID.
+/// Formats an entryUUID.
 pub fn uuid_text(uuid: &[u8; 16]) -> String {
     let hex = hex::encode(uuid);
     format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..])
@@ -265,7 +265,7 @@
     use super::*;
 
     #[test]
-    fn answers_read_back_with_codes_that_are_no_ones_and_names_that_are_no_text() {
+    fn unknown_result_codes_and_names_that_are_not_utf8_round_trip() {
         let done = Done {
             code: Code(REFRESH_REQUIRED),
             matched: b"".to_vec().into(),
@@ -280,22 +280,22 @@
         for op in [Op::Done(done), Op::Entry(entry)] {
             let state = SyncState { state: Code(1), uuid: vec![7; 16].into(), cookie: None };
             let message = Message::new(9, op).with(SYNC_STATE, false, &state);
-            let back = read(&message.bytes()).unwrap();
-            assert_eq!(back, message);
-            assert_eq!(value::<SyncState>(back.control(SYNC_STATE).unwrap()), Some(state));
+            let decoded = read(&message.bytes()).unwrap();
+            assert_eq!(decoded, message);
+            assert_eq!(value::<SyncState>(decoded.control(SYNC_STATE).unwrap()), Some(state));
         }
     }
 
     #[test]
-    fn the_wire_is_that_of_the_rfc() {
-        // A simple bind as RFC 4511 §4.2 lays it out: version 3, name, [0] password.
+    fn encoding_matches_the_rfc() {
+        // A simple bind (RFC 4511 §4.2): version 3, name, [0] password.
         let bind = BindRequest::new(3, "cn=a".into(), AuthenticationChoice::Simple(b"pw".to_vec().into()));
         let bytes = Message::new(1, Op::Bind(bind)).bytes();
-        let wanted: &[u8] = &[
+        let expected: &[u8] = &[
             0x30, 0x12, 0x02, 0x01, 0x01, 0x60, 0x0d, 0x02, 0x01, 0x03, 0x04, 0x04, b'c', b'n', b'=', b'a',
             0x80, 0x02, b'p', b'w',
         ];
-        assert_eq!(bytes, wanted);
+        assert_eq!(bytes, expected);
         let sync = SyncRequest { mode: REFRESH_AND_PERSIST, cookie: None, reload: false };
         assert_eq!(write(&sync), [0x30, 0x03, 0x0a, 0x01, 0x03]);
         assert_eq!(
--- a/ldap/src/session.rs
+++ b/ldap/src/session.rs
@@ -1,16 +1,16 @@
-//! A client's session on one connection: StartTLS, bind, root DSE, then content synchronisation where the
-//! server has it, else paged polling. It says what to send and what has come, and holds no socket and no
-//! clock; every wait has an end.
+//! A client session on one connection: StartTLS, bind, root DSE, then content synchronization if the server supports
+//! it, otherwise paged polling. The session consumes bytes and returns actions; it has no socket and no clock.
+//! Every wait has a timeout.
 use crate::frames::Frames;
 use crate::message::*;
 use rockpick_net::{Ns, SEC};
 use std::collections::BTreeSet;
 
-/// Answers to nothing that was asked are passed over, as RFC 4511 §4.1.1.1 wants; this many in one session
-/// and the server is not to be spoken with.
-const MOST_STRAY: u32 = 64;
+/// Maximum number of responses without a matching request in a session. They are ignored (RFC 4511 §4.1.1.1); with
+/// more of them the server counts as faulty and the session ends.
+const MAX_STRAY: u32 = 64;
 
-/// How the client says who it is.
+/// Credentials of the client.
 #[derive(Clone, PartialEq)]
 pub enum Login {
     Anonymous,
@@ -32,192 +32,196 @@
     }
 }
 
-/// What is asked, and how long for.
+/// Parameters of a session.
 #[derive(Clone, Debug)]
 pub struct Quest {
     pub login: Login,
     pub start_tls: bool,
-    /// A password may go over a connection that is not secured.
+    /// Allow a password over an unencrypted connection.
     pub plain: bool,
     pub base: String,
     pub filter: Filter,
     pub attributes: Vec<String>,
-    /// Entries a page, and seconds that the server may take for one.
+    /// Entries per page.
     pub page: u32,
+    /// Time limit of a search at the server, in seconds.
     pub time_limit: u32,
-    /// Ask for content synchronisation where the root DSE names it.
+    /// Use content synchronization if the root DSE lists it.
     pub sync: bool,
-    /// Between polls, and between probes of a connection that waits for changes.
+    /// Interval between polls, and between probes of an idle connection under content synchronization.
     pub poll: Ns,
-    /// Each so-manieth poll is of everything: what was deleted is seen by that alone.
+    /// Every this many polls all entries are requested, as only that reveals deletions.
     pub whole_every: u32,
-    /// An answer must come within this, or the next part of one.
+    /// Timeout for a response or the next part of one.
     pub within: Ns,
     pub most_entries: usize,
 }
 
-/// What has come of the directory's content.
+/// An update of the directory's content.
 #[derive(Clone, Debug, PartialEq)]
 pub enum News {
-    /// A refresh begins.
+    /// A refresh starts.
     Begin,
     Entry {
         uuid: [u8; 16],
         entry: Entry,
     },
-    /// Still there, unchanged.
+    /// The entry is unchanged.
     Keep([u8; 16]),
     Gone([u8; 16]),
-    /// The refresh is complete; of a whole one, what was not named is gone.
+    /// The refresh is complete. If it covered the whole content, entries that it did not contain are deleted.
     End {
         whole: bool,
     },
-    /// From here a later session can go on.
+    /// A later session can continue from this point.
     Cookie(Vec<u8>),
 }
 
-/// What is to be done.
+/// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Out {
     Send(Vec<u8>),
-    /// The server is ready for TLS; [`Session::secured`] once it is there.
+    /// Start the TLS handshake; call [`Session::secured`] when it is complete.
     StartTls,
     News(News),
-    /// The session is over; the connection is to be closed. With a referral, where the server points.
+    /// The session has ended and the connection is to be closed. `referral` lists URLs that the server refers to.
     Over {
         why: String,
         referral: Vec<String>,
     },
 }
 
-enum Step {
+enum State {
     StartTls(u32),
     Handshake,
     Bind(u32),
-    Root(u32),
-    Sync { id: u32, persists: bool },
+    RootDse(u32),
+    Sync { id: u32, persisting: bool },
     Page { id: u32, whole: bool },
-    Rest { until: Ns },
-    Over,
+    Idle { until: Ns },
+    Closed,
 }
 
 pub struct Session {
     quest: Quest,
-    step: Step,
+    state: State,
     frames: Frames,
-    next: u32,
-    /// When what is awaited must have come.
-    by: Ns,
+    last_id: u32,
+    /// When the awaited response must have arrived.
+    deadline: Ns,
     secured: bool,
     cookie: Option<Vec<u8>>,
-    syncs: bool,
-    /// Entries of this refresh.
+    /// Whether content synchronization is used.
+    server_syncs: bool,
+    /// Number of entries in this refresh.
     entries: usize,
     polls: u32,
     /// The latest modifyTimestamp seen.
-    stamp: String,
+    latest_timestamp: String,
+    /// Id and deadline of the probe that is under way.
     probe: Option<(u32, Ns)>,
-    stray: u32,
+    stray_responses: u32,
+    /// Number of search result references.
     pub references: u64,
     out: Vec<Out>,
 }
 
-fn text(bytes: &[u8]) -> String {
+fn printable(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).chars().filter(|c| !c.is_control()).take(200).collect()
 }
 
 impl Session {
-    /// `secured`: the connection is TLS already; `cookie`: where a former session left off.
+    /// Starts a session. `secured`: the connection uses TLS already; `cookie`: where a former session ended.
     pub fn begin(now: Ns, quest: Quest, secured: bool, cookie: Option<Vec<u8>>) -> Session {
         let mut session = Session {
-            by: now + quest.within,
+            deadline: now + quest.within,
             quest,
-            step: Step::Over,
+            state: State::Closed,
             frames: Frames::default(),
-            next: 0,
+            last_id: 0,
             secured,
             cookie,
-            syncs: false,
+            server_syncs: false,
             entries: 0,
             polls: 0,
-            stamp: String::new(),
+            latest_timestamp: String::new(),
             probe: None,
-            stray: 0,
+            stray_responses: 0,
             references: 0,
             out: Vec::new(),
         };
         if session.quest.start_tls && !secured {
             let request = ExtendedRequest { request_name: START_TLS.to_vec().into(), request_value: None };
-            let id = session.ask(now, Op::Extended(request));
-            session.step = Step::StartTls(id);
+            let id = session.send_request(now, Op::Extended(request));
+            session.state = State::StartTls(id);
         } else {
             session.bind(now);
         }
         session
     }
 
-    /// What is to be done, in this order.
+    /// Returns the pending actions, in order.
     pub fn out(&mut self) -> Vec<Out> {
         std::mem::take(&mut self.out)
     }
 
     pub fn over(&self) -> bool {
-        matches!(self.step, Step::Over)
+        matches!(self.state, State::Closed)
     }
 
-    /// In step with the directory: changes come by themselves, or by the next poll.
+    /// Whether a refresh is complete, so that changes arrive by synchronization or with the next poll.
     pub fn settled(&self) -> bool {
-        matches!(self.step, Step::Sync { persists: true, .. } | Step::Rest { .. })
+        matches!(self.state, State::Sync { persisting: true, .. } | State::Idle { .. })
     }
 
-    /// When [`Session::tick`] is to be called at the latest.
+    /// When [`Session::tick`] must be called at the latest.
     pub fn wake(&self) -> Ns {
-        match &self.step {
-            Step::Rest { until } => *until,
-            Step::Sync { persists: true, .. } => self.probe.map_or(self.by, |(_, by)| by),
-            Step::Over => Ns::MAX,
-            _ => self.by,
+        match &self.state {
+            State::Idle { until } => *until,
+            State::Sync { persisting: true, .. } => self.probe.map_or(self.deadline, |(_, by)| by),
+            State::Closed => Ns::MAX,
+            _ => self.deadline,
         }
     }
 
-    fn id(&mut self) -> u32 {
-        // 1 to 2^31 - 1 (RFC 4511 §4.1.1); 0 is the server's own.
-        self.next = self.next % 0x7fff_ffff + 1;
-        self.next
+    fn next_id(&mut self) -> u32 {
+        // 1 to 2^31 - 1 (RFC 4511 §4.1.1); 0 is reserved for the server.
+        self.last_id = self.last_id % 0x7fff_ffff + 1;
+        self.last_id
     }
 
     fn send(&mut self, message: Message) {
         self.out.push(Out::Send(message.bytes()));
     }
 
-    fn ask(&mut self, now: Ns, op: Op) -> u32 {
-        let id = self.id();
+    fn send_request(&mut self, now: Ns, op: Op) -> u32 {
+        let id = self.next_id();
         self.send(Message::new(id, op));
-        self.by = now + self.quest.within;
+        self.deadline = now + self.quest.within;
         id
     }
 
-    /// Takes leave politely, as far as the connection still carries it.
+    /// Ends the session, with an unbind request unless a TLS handshake is under way.
     fn end(&mut self, why: impl Into<String>, referral: Vec<String>) {
         if self.over() {
             return;
         }
-        if !matches!(self.step, Step::Handshake) {
-            let id = self.id();
+        if !matches!(self.state, State::Handshake) {
+            let id = self.next_id();
             self.send(Message::new(id, Op::Unbind(UnbindRequest)));
         }
-        self.step = Step::Over;
+        self.state = State::Closed;
         self.out.push(Out::Over { why: why.into(), referral });
     }
 
-    /// The caller ends it.
+    /// Ends the session at the caller's request.
     pub fn leave(&mut self) {
-        self.end("left", Vec::new());
+        self.end("closed by the client", Vec::new());
     }
 
-    /// TLS is there; all that came before it is forgotten.
+    /// The TLS handshake is complete. Bytes received before it are discarded.
     pub fn secured(&mut self, now: Ns) {
-        if matches!(self.step, Step::Handshake) {
+        if matches!(self.state, State::Handshake) {
             self.secured = true;
             self.frames = Frames::default();
             self.bind(now);
@@ -227,9 +231,8 @@
     fn bind(&mut self, now: Ns) {
         let (dn, choice) = match &self.quest.login {
             Login::Anonymous => (String::new(), AuthenticationChoice::Simple(Vec::new().into())),
-            Login::Simple { password, .. } if !self.secured && !self.quest.plain => {
-                let _ = password;
-                return self.end("a password would go over a connection that is not secured", Vec::new());
+            Login::Simple { .. } if !self.secured && !self.quest.plain => {
+                return self.end("refusing to send a password over an unencrypted connection", Vec::new());
             }
             Login::Simple { dn, password } => {
                 (dn.clone(), AuthenticationChoice::Simple(password.as_bytes().to_vec().into()))
@@ -238,65 +241,66 @@
                 (String::new(), AuthenticationChoice::Sasl(SaslCredentials::new("EXTERNAL".into(), None)))
             }
         };
-        let id = self.ask(now, Op::Bind(BindRequest::new(3, dn.into(), choice)));
-        self.step = Step::Bind(id);
+        let id = self.send_request(now, Op::Bind(BindRequest::new(3, dn.into(), choice)));
+        self.state = State::Bind(id);
     }
 
-    fn search(&self, base: &str, whole_tree: bool, filter: Filter, attributes: &[&str]) -> SearchRequest {
-        let scope =
-            if whole_tree { SearchRequestScope::WholeSubtree } else { SearchRequestScope::BaseObject };
+    fn search(&self, base: &str, subtree: bool, filter: Filter, attributes: &[&str]) -> SearchRequest {
+        let scope = if subtree { SearchRequestScope::WholeSubtree } else { SearchRequestScope::BaseObject };
         let attributes = attributes.iter().map(|a| (*a).into()).collect();
         let deref = SearchRequestDerefAliases::NeverDerefAliases;
         SearchRequest::new(base.into(), scope, deref, 0, self.quest.time_limit, false, filter, attributes)
     }
 
-    fn root(&mut self, now: Ns) -> u32 {
+    fn request_root_dse(&mut self, now: Ns) -> u32 {
         let request = self.search("", false, Filter::Present("objectClass".into()), &["supportedControl"]);
-        self.ask(now, Op::Search(request))
+        self.send_request(now, Op::Search(request))
     }
 
-    fn wanted(&self) -> Vec<&str> {
-        let named = self.quest.attributes.iter().map(String::as_str);
-        named.chain(["entryUUID", "modifyTimestamp"]).collect()
+    fn requested_attributes(&self) -> Vec<&str> {
+        let configured = self.quest.attributes.iter().map(String::as_str);
+        configured.chain(["entryUUID", "modifyTimestamp"]).collect()
     }
 
-    /// Asks for the content, by the best way that the server has.
-    fn content(&mut self, now: Ns) {
+    /// Requests the content, by synchronization or else by polling.
+    fn request_content(&mut self, now: Ns) {
         self.entries = 0;
         self.out.push(Out::News(News::Begin));
-        if self.syncs {
-            let request = self.search(&self.quest.base, true, self.quest.filter.clone(), &self.wanted());
+        if self.server_syncs {
+            let request =
+                self.search(&self.quest.base, true, self.quest.filter.clone(), &self.requested_attributes());
             let cookie = self.cookie.clone().map(Into::into);
             let control = SyncRequest { mode: REFRESH_AND_PERSIST, cookie, reload: false };
-            let id = self.id();
+            let id = self.next_id();
             self.send(Message::new(id, Op::Search(request)).with(SYNC_REQUEST, true, &control));
-            self.step = Step::Sync { id, persists: false };
-            self.by = now + self.quest.within;
+            self.state = State::Sync { id, persisting: false };
+            self.deadline = now + self.quest.within;
         } else {
-            let whole = self.polls.is_multiple_of(self.quest.whole_every.max(1)) || self.stamp.is_empty();
+            let whole =
+                self.polls.is_multiple_of(self.quest.whole_every.max(1)) || self.latest_timestamp.is_empty();
             self.polls += 1;
-            self.page(now, whole, Vec::new());
+            self.request_page(now, whole, Vec::new());
         }
     }
 
-    fn page(&mut self, now: Ns, whole: bool, cookie: Vec<u8>) {
+    fn request_page(&mut self, now: Ns, whole: bool, cookie: Vec<u8>) {
         let mut filter = self.quest.filter.clone();
         if !whole {
-            let stamp = rasn_ldap::AttributeValueAssertion::new(
+            let newer = rasn_ldap::AttributeValueAssertion::new(
                 "modifyTimestamp".into(),
-                self.stamp.as_bytes().to_vec().into(),
+                self.latest_timestamp.as_bytes().to_vec().into(),
             );
-            filter = Filter::And(vec![filter, Filter::GreaterOrEqual(stamp)].into());
+            filter = Filter::And(vec![filter, Filter::GreaterOrEqual(newer)].into());
         }
-        let request = self.search(&self.quest.base, true, filter, &self.wanted());
+        let request = self.search(&self.quest.base, true, filter, &self.requested_attributes());
         let control = Paged { size: self.quest.page, cookie: cookie.into() };
-        let id = self.id();
+        let id = self.next_id();
         self.send(Message::new(id, Op::Search(request)).with(PAGED, true, &control));
-        self.step = Step::Page { id, whole };
-        self.by = now + self.quest.within;
+        self.state = State::Page { id, whole };
+        self.deadline = now + self.quest.within;
     }
 
-    /// Bytes have come.
+    /// Handles received bytes.
     pub fn bytes(&mut self, now: Ns, bytes: &[u8]) {
         if self.over() {
             return;
@@ -306,245 +310,244 @@
             let message = match self.frames.next() {
                 Ok(None) => return,
                 Ok(Some(bytes)) => read(bytes),
-                Err(why) => return self.end(format!("nonsense on the wire: {}", why.0), Vec::new()),
+                Err(why) => return self.end(format!("malformed stream: {}", why.0), Vec::new()),
             };
             match message {
-                Ok(message) => self.message(now, message),
+                Ok(message) => self.handle_message(now, message),
                 Err(why) => {
-                    return self.end(format!("a message that is none: {}", text(why.as_bytes())), Vec::new())
+                    return self.end(format!("malformed message: {}", printable(why.as_bytes())), Vec::new())
                 }
             }
-            if self.over() || matches!(self.step, Step::Handshake) {
+            if self.over() || matches!(self.state, State::Handshake) {
                 return;
             }
         }
     }
 
-    fn message(&mut self, now: Ns, message: Message) {
+    fn handle_message(&mut self, now: Ns, message: Message) {
         if message.id == 0 {
             if let Op::Extends(e) = &message.op {
-                let why = format!("the server disconnects: {} {}", e.code.0, text(&e.why));
+                let why = format!("disconnected by the server: {} {}", e.code.0, printable(&e.why));
                 return self.end(why, Vec::new());
             }
         }
         if self.probe.is_some_and(|(id, _)| id == message.id) {
             if matches!(message.op, Op::Done(_)) {
                 self.probe = None;
-                self.by = now + self.quest.poll;
+                self.deadline = now + self.quest.poll;
             }
             return;
         }
-        match (&self.step, message.op) {
-            (Step::StartTls(id), Op::Extends(e)) if *id == message.id => match e.code.0 {
-                // What came in the clear behind it could have been put there by anyone (RFC 4511 §4.14.1).
+        match (&self.state, message.op) {
+            (State::StartTls(id), Op::Extends(e)) if *id == message.id => match e.code.0 {
+                // Unencrypted bytes after the response could have been injected by anyone (RFC 4511 §4.14.1).
                 SUCCESS if self.frames.waiting() > 0 => {
-                    self.end("more came in the clear than the answer to StartTLS", Vec::new())
+                    self.end("unencrypted data after the StartTLS response", Vec::new())
                 }
                 SUCCESS => {
-                    self.step = Step::Handshake;
+                    self.state = State::Handshake;
                     self.out.push(Out::StartTls);
-                    self.by = now + self.quest.within;
+                    self.deadline = now + self.quest.within;
                 }
-                code => self.end(format!("StartTLS refused: {code} {}", text(&e.why)), Vec::new()),
+                code => self.end(format!("StartTLS refused: {code} {}", printable(&e.why)), Vec::new()),
             },
-            (Step::Bind(id), Op::Bound(b)) if *id == message.id => match b.code.0 {
+            (State::Bind(id), Op::Bound(b)) if *id == message.id => match b.code.0 {
                 SUCCESS => {
-                    let id = self.root(now);
-                    self.step = Step::Root(id);
+                    let id = self.request_root_dse(now);
+                    self.state = State::RootDse(id);
                 }
-                code => self.refused("bind", code, &b.why, b.referral),
+                code => self.fail("bind", code, &b.why, b.referral),
             },
-            (Step::Root(id), Op::Entry(entry)) if *id == message.id => {
+            (State::RootDse(id), Op::Entry(entry)) if *id == message.id => {
                 let has = entry.values("supportedControl").any(|c| c == SYNC_REQUEST);
-                self.syncs = has && self.quest.sync;
-                self.by = now + self.quest.within;
+                self.server_syncs = has && self.quest.sync;
+                self.deadline = now + self.quest.within;
             }
-            (Step::Root(id), Op::Done(done)) if *id == message.id => match done.code.0 {
-                SUCCESS => self.content(now),
-                code => self.refused("root DSE", code, &done.why, done.referral),
+            (State::RootDse(id), Op::Done(done)) if *id == message.id => match done.code.0 {
+                SUCCESS => self.request_content(now),
+                code => self.fail("root DSE", code, &done.why, done.referral),
             },
-            (Step::Sync { id, .. }, op) if *id == message.id => {
+            (State::Sync { id, .. }, op) if *id == message.id => {
                 let state = message.controls.iter().flatten().find(|c| c.control_type.as_ref() == SYNC_STATE);
                 let state = state.and_then(|c| c.control_value.as_ref().map(|v| v.to_vec()));
-                self.synced(now, op, state);
+                self.handle_sync_response(now, op, state);
             }
-            (Step::Page { id, .. }, op) if *id == message.id => {
+            (State::Page { id, .. }, op) if *id == message.id => {
                 let paged = message.controls.iter().flatten().find(|c| c.control_type.as_ref() == PAGED);
                 let paged = paged.and_then(|c| value::<Paged>(c.control_value.as_ref()?));
-                self.paged(now, op, paged);
+                self.handle_page_response(now, op, paged);
             }
             _ => {
-                self.stray += 1;
-                if self.stray > MOST_STRAY {
-                    self.end("too many answers to nothing that was asked", Vec::new());
+                self.stray_responses += 1;
+                if self.stray_responses > MAX_STRAY {
+                    self.end("too many responses without a request", Vec::new());
                 }
             }
         }
     }
 
-    fn refused(
-        &mut self, what: &str, code: u32, why: &[u8], referral: Option<Vec<rasn::types::OctetString>>,
-    ) {
-        let referral = referral.unwrap_or_default().iter().map(|u| text(u)).collect();
-        self.end(format!("{what} refused: {code} {}", text(why)), referral);
+    fn fail(&mut self, what: &str, code: u32, why: &[u8], referral: Option<Vec<rasn::types::OctetString>>) {
+        let referral = referral.unwrap_or_default().iter().map(|u| printable(u)).collect();
+        self.end(format!("{what} refused: {code} {}", printable(why)), referral);
     }
 
-    /// One more entry; false when there are more than may be.
-    fn counted(&mut self, now: Ns) -> bool {
-        self.by = now + self.quest.within;
+    /// Counts an entry. Ends the session and returns false if there are too many.
+    fn count_entry(&mut self, now: Ns) -> bool {
+        self.deadline = now + self.quest.within;
         self.entries += 1;
         if self.entries <= self.quest.most_entries {
             return true;
         }
-        let (Step::Sync { id, .. } | Step::Page { id, .. }) = self.step else { return false };
-        let abandon = self.id();
+        let (State::Sync { id, .. } | State::Page { id, .. }) = self.state else { return false };
+        let abandon = self.next_id();
         self.send(Message::new(abandon, Op::Abandon(AbandonRequest(id))));
         self.end(format!("more than {} entries", self.quest.most_entries), Vec::new());
         false
     }
 
-    fn tell(&mut self, news: News) {
+    fn emit(&mut self, news: News) {
         self.out.push(Out::News(news));
     }
 
-    fn cookie(&mut self, cookie: Option<Vec<u8>>) {
+    fn update_cookie(&mut self, cookie: Option<Vec<u8>>) {
         if let Some(cookie) = cookie {
             self.cookie = Some(cookie.clone());
-            self.tell(News::Cookie(cookie));
+            self.emit(News::Cookie(cookie));
         }
     }
 
-    fn synced(&mut self, now: Ns, op: Op, state: Option<Vec<u8>>) {
-        let Step::Sync { persists, .. } = self.step else { return };
+    fn handle_sync_response(&mut self, now: Ns, op: Op, state: Option<Vec<u8>>) {
+        let State::Sync { persisting, .. } = self.state else { return };
         match op {
             Op::Entry(entry) => {
-                // Changes that come later are no part of the refresh that was counted.
-                if persists {
+                // Changes after the refresh do not count towards its number of entries.
+                if persisting {
                     self.entries = 0;
                 }
-                if !self.counted(now) {
+                if !self.count_entry(now) {
                     return;
                 }
                 let Some(state) = state.and_then(|s| value::<SyncState>(&s)) else {
-                    return self.end("an entry of a synchronisation without its state", Vec::new());
+                    return self.end("sync entry without a state control", Vec::new());
                 };
                 let Ok(uuid) = <[u8; 16]>::try_from(state.uuid.to_vec()) else {
-                    return self.end("an entry whose entryUUID is none", Vec::new());
+                    return self.end("sync entry with an invalid entryUUID", Vec::new());
                 };
                 match state.state.0 {
-                    0 => self.tell(News::Keep(uuid)),
-                    1 | 2 => self.tell(News::Entry { uuid, entry }),
-                    3 => self.tell(News::Gone(uuid)),
-                    _ => return self.end("a state of an entry that is not known", Vec::new()),
+                    0 => self.emit(News::Keep(uuid)),
+                    1 | 2 => self.emit(News::Entry { uuid, entry }),
+                    3 => self.emit(News::Gone(uuid)),
+                    _ => return self.end("sync entry with an unknown state", Vec::new()),
                 }
-                self.cookie(state.cookie.map(|c| c.to_vec()));
+                self.update_cookie(state.cookie.map(|c| c.to_vec()));
             }
             Op::Between(between) if between.name.as_ref().is_some_and(|n| n.as_ref() == SYNC_INFO) => {
-                self.by = now + self.quest.within;
+                self.deadline = now + self.quest.within;
                 let Some(info) = between.value.and_then(|v| value::<SyncInfo>(&v)) else {
-                    return self.end("a note of a synchronisation that is none", Vec::new());
+                    return self.end("invalid sync info message", Vec::new());
                 };
                 match info {
-                    SyncInfo::Cookie(cookie) => self.cookie(Some(cookie.to_vec())),
+                    SyncInfo::Cookie(cookie) => self.update_cookie(Some(cookie.to_vec())),
                     SyncInfo::Ids(ids) => {
                         let uuids: BTreeSet<Vec<u8>> =
                             ids.uuids.to_vec().into_iter().map(|u| u.to_vec()).collect();
                         for uuid in uuids {
                             let Ok(uuid) = <[u8; 16]>::try_from(uuid) else { continue };
-                            if !self.counted(now) {
+                            if !self.count_entry(now) {
                                 return;
                             }
-                            self.tell(if ids.deletes { News::Gone(uuid) } else { News::Keep(uuid) });
+                            self.emit(if ids.deletes { News::Gone(uuid) } else { News::Keep(uuid) });
                         }
-                        self.cookie(ids.cookie.map(|c| c.to_vec()));
+                        self.update_cookie(ids.cookie.map(|c| c.to_vec()));
                     }
-                    SyncInfo::Present(r) => self.refreshed(now, r, true),
-                    SyncInfo::Delete(r) => self.refreshed(now, r, false),
+                    SyncInfo::Present(r) => self.finish_refresh_phase(now, r, true),
+                    SyncInfo::Delete(r) => self.finish_refresh_phase(now, r, false),
                 }
             }
             Op::Reference(_) => self.references += 1,
             Op::Done(done) => match done.code.0 {
-                // The server no longer knows the cookie: from the start (RFC 4533 §3.4.2).
+                // The server no longer knows the cookie: restart without it (RFC 4533 §3.4.2).
                 REFRESH_REQUIRED if self.cookie.is_some() => {
                     self.cookie = None;
-                    self.content(now);
+                    self.request_content(now);
                 }
-                SUCCESS => self.end("the server has ended the synchronisation", Vec::new()),
+                SUCCESS => self.end("the server ended the synchronization", Vec::new()),
                 UNAVAILABLE_CRITICAL => {
-                    self.syncs = false;
-                    self.content(now);
+                    self.server_syncs = false;
+                    self.request_content(now);
                 }
-                code => self.refused("synchronisation", code, &done.why, done.referral),
+                code => self.fail("synchronization", code, &done.why, done.referral),
             },
-            _ => self.stray += 1,
+            _ => self.stray_responses += 1,
         }
     }
 
-    /// A phase of the refresh is over; with `done`, all of it.
-    fn refreshed(&mut self, now: Ns, refresh: Refresh, whole: bool) {
-        self.cookie(refresh.cookie.map(|c| c.to_vec()));
-        let Step::Sync { id, persists: false } = self.step else { return };
+    /// Handles the end of a refresh phase; the refresh is complete if `done` is set.
+    fn finish_refresh_phase(&mut self, now: Ns, refresh: Refresh, whole: bool) {
+        self.update_cookie(refresh.cookie.map(|c| c.to_vec()));
+        let State::Sync { id, persisting: false } = self.state else { return };
         if refresh.done {
-            self.step = Step::Sync { id, persists: true };
-            self.by = now + self.quest.poll;
-            self.tell(News::End { whole });
+            self.state = State::Sync { id, persisting: true };
+            self.deadline = now + self.quest.poll;
+            self.emit(News::End { whole });
         }
     }
 
-    fn paged(&mut self, now: Ns, op: Op, paged: Option<Paged>) {
-        let Step::Page { whole, .. } = self.step else { return };
+    fn handle_page_response(&mut self, now: Ns, op: Op, paged: Option<Paged>) {
+        let State::Page { whole, .. } = self.state else { return };
         match op {
             Op::Entry(entry) => {
-                if !self.counted(now) {
+                if !self.count_entry(now) {
                     return;
                 }
-                if let Some(stamp) = entry.text("modifyTimestamp").filter(|s| *s > self.stamp && s.len() < 64)
+                if let Some(timestamp) =
+                    entry.text("modifyTimestamp").filter(|t| *t > self.latest_timestamp && t.len() < 64)
                 {
-                    self.stamp = stamp;
+                    self.latest_timestamp = timestamp;
                 }
-                // An entry without an identity can't be followed through a rename.
+                // An entry without an entryUUID can't be tracked across a rename.
                 match entry.text("entryUUID").and_then(|t| uuid(&t)) {
-                    Some(uuid) => self.tell(News::Entry { uuid, entry }),
-                    None => self.stray += 1,
+                    Some(uuid) => self.emit(News::Entry { uuid, entry }),
+                    None => self.stray_responses += 1,
                 }
             }
             Op::Reference(_) => self.references += 1,
             Op::Done(done) => match (done.code.0, paged.filter(|p| !p.cookie.is_empty())) {
-                (SUCCESS, Some(p)) => self.page(now, whole, p.cookie.to_vec()),
+                (SUCCESS, Some(p)) => self.request_page(now, whole, p.cookie.to_vec()),
                 (SUCCESS, None) => {
-                    self.tell(News::End { whole });
-                    self.step = Step::Rest { until: now + self.quest.poll };
+                    self.emit(News::End { whole });
+                    self.state = State::Idle { until: now + self.quest.poll };
                 }
-                (code, _) => self.refused("search", code, &done.why, done.referral),
+                (code, _) => self.fail("search", code, &done.why, done.referral),
             },
-            _ => self.stray += 1,
+            _ => self.stray_responses += 1,
         }
     }
 
-    /// Time has passed.
+    /// Handles timeouts, polls and probes.
     pub fn tick(&mut self, now: Ns) {
-        match &self.step {
-            Step::Over => {}
-            Step::Rest { until } if *until <= now => self.content(now),
-            Step::Rest { .. } => {}
-            Step::Sync { persists: true, .. } => match self.probe {
-                Some((_, by)) if by <= now => self.end("silent", Vec::new()),
+        match &self.state {
+            State::Closed => {}
+            State::Idle { until } if *until <= now => self.request_content(now),
+            State::Idle { .. } => {}
+            State::Sync { persisting: true, .. } => match self.probe {
+                Some((_, by)) if by <= now => self.end("no response to a probe", Vec::new()),
                 Some(_) => {}
-                // A connection that is half dead looks like a directory without changes.
-                None if self.by <= now => {
-                    let id = self.root(now);
+                // A half-open connection is indistinguishable from a directory without changes.
+                None if self.deadline <= now => {
+                    let id = self.request_root_dse(now);
                     self.probe = Some((id, now + self.quest.within));
                 }
                 None => {}
             },
-            _ if self.by <= now => self.end("no answer in time", Vec::new()),
+            _ if self.deadline <= now => self.end("response timed out", Vec::new()),
             _ => {}
         }
     }
 }
 
 impl Default for Quest {
-    /// Settings of a small directory; the base and the filter are the caller's.
+    /// Suits a small directory; the caller sets the base and the filter.
     fn default() -> Quest {
         Quest {
             login: Login::Anonymous,
@@ -569,7 +572,7 @@
     use super::*;
     use rasn::types::OctetString;
 
-    fn sent(session: &mut Session) -> Vec<Message> {
+    fn sent_messages(session: &mut Session) -> Vec<Message> {
         let out = session.out();
         out.iter()
             .filter_map(|o| match o {
@@ -601,20 +604,21 @@
         Entry { dn: b"cn=x".to_vec().into(), attributes: attributes.iter().map(attribute).collect() }
     }
 
-    /// Bound, with a root DSE that names or does not name synchronisation; returns the content's request.
-    fn asked(quest: Quest, syncs: bool, cookie: Option<Vec<u8>>) -> (Session, Message) {
+    /// A session after the bind and the root DSE, which lists content synchronization if `syncs`, and the request for
+    /// the content.
+    fn start_search(quest: Quest, syncs: bool, cookie: Option<Vec<u8>>) -> (Session, Message) {
         let mut s = Session::begin(0, quest, false, cookie);
-        let bind = sent(&mut s).remove(0);
+        let bind = sent_messages(&mut s).remove(0);
         s.bytes(0, &Message::new(bind.id, bound(0)).bytes());
-        let root = sent(&mut s).remove(0);
+        let root = sent_messages(&mut s).remove(0);
         let control = if syncs { std::str::from_utf8(SYNC_REQUEST).unwrap() } else { "1.2.3" };
         s.bytes(0, &Message::new(root.id, Op::Entry(entry(&[("supportedControl", control)]))).bytes());
         s.bytes(0, &Message::new(root.id, Op::Done(result(0))).bytes());
-        let request = sent(&mut s).remove(0);
+        let request = sent_messages(&mut s).remove(0);
         (s, request)
     }
 
-    fn news(s: &mut Session) -> Vec<News> {
+    fn updates(s: &mut Session) -> Vec<News> {
         s.out()
             .into_iter()
             .filter_map(|o| match o {
@@ -627,8 +631,8 @@
     const UUID: &str = "597ae2f6-16a6-1027-98f4-d28b5365dc14";
 
     #[test]
-    fn pages_are_followed_and_polls_go_by_the_latest_stamp() {
-        let (mut s, request) = asked(Quest::default(), false, None);
+    fn pages_are_followed_and_polls_filter_by_latest_timestamp() {
+        let (mut s, request) = start_search(Quest::default(), false, None);
         assert!(request.control(PAGED).is_some());
         let found = entry(&[("entryUUID", UUID), ("modifyTimestamp", "20261201120000Z")]);
         s.bytes(0, &Message::new(request.id, Op::Entry(found)).bytes());
@@ -641,41 +645,41 @@
         assert_eq!(value::<Paged>(second.control(PAGED).unwrap()).unwrap().cookie.as_ref(), b"next");
         let none = Paged { size: 0, cookie: OctetString::from_static(b"") };
         s.bytes(0, &Message::new(second.id, Op::Done(result(0))).with(PAGED, false, &none).bytes());
-        assert_eq!(news(&mut s), [News::End { whole: true }]);
+        assert_eq!(updates(&mut s), [News::End { whole: true }]);
         assert!(s.settled() && s.wake() == 5 * SEC);
         s.tick(5 * SEC);
-        let Op::Search(poll) = sent(&mut s).remove(0).op else { panic!() };
+        let Op::Search(poll) = sent_messages(&mut s).remove(0).op else { panic!() };
         assert!(format!("{:?}", poll.filter).contains("GreaterOrEqual"));
     }
 
     #[test]
-    fn a_cookie_that_the_server_no_longer_knows_begins_from_the_start() {
-        let (mut s, request) = asked(Quest::default(), true, Some(b"old".to_vec()));
+    fn unknown_cookie_restarts_the_synchronization() {
+        let (mut s, request) = start_search(Quest::default(), true, Some(b"old".to_vec()));
         let asked = value::<SyncRequest>(request.control(SYNC_REQUEST).unwrap()).unwrap();
         assert_eq!(asked.cookie.unwrap().as_ref(), b"old");
         s.bytes(0, &Message::new(request.id, Op::Done(result(REFRESH_REQUIRED))).bytes());
-        let again = sent(&mut s).remove(0);
+        let again = sent_messages(&mut s).remove(0);
         assert_eq!(value::<SyncRequest>(again.control(SYNC_REQUEST).unwrap()).unwrap().cookie, None);
         let state = SyncState { state: Code(1), uuid: vec![7; 16].into(), cookie: None };
         s.bytes(0, &Message::new(again.id, Op::Entry(entry(&[]))).with(SYNC_STATE, false, &state).bytes());
         let done = SyncInfo::Present(Refresh { cookie: Some(b"new".to_vec().into()), done: true });
         let info = Between { name: Some(SYNC_INFO.to_vec().into()), value: Some(write(&done).into()) };
         s.bytes(0, &Message::new(again.id, Op::Between(info)).bytes());
-        let got = news(&mut s);
+        let got = updates(&mut s);
         assert!(matches!(got[0], News::Entry { uuid: [7, ..], .. }));
         assert_eq!(got[1..], [News::Cookie(b"new".to_vec()), News::End { whole: true }]);
-        // A silent connection is probed, and given up when the probe is not answered.
+        // An idle connection is probed, and closed when the probe gets no response.
         let at = s.wake();
         s.tick(at);
-        assert_eq!(sent(&mut s).len(), 1);
+        assert_eq!(sent_messages(&mut s).len(), 1);
         let at = s.wake();
         s.tick(at);
-        assert!(matches!(s.out().last(), Some(Out::Over { why, .. }) if why == "silent"));
+        assert!(matches!(s.out().last(), Some(Out::Over { why, .. }) if why == "no response to a probe"));
     }
 
     #[test]
-    fn endless_results_wrong_ids_and_silence_come_to_an_end() {
-        let (mut s, request) = asked(Quest { most_entries: 3, ..Quest::default() }, false, None);
+    fn too_many_entries_stray_responses_and_timeouts_end_the_session() {
+        let (mut s, request) = start_search(Quest { most_entries: 3, ..Quest::default() }, false, None);
         for _ in 0..10 {
             s.bytes(0, &Message::new(request.id, Op::Entry(entry(&[("entryUUID", UUID)]))).bytes());
         }
@@ -689,23 +693,23 @@
             .collect();
         assert!(matches!(sends[0].op, Op::Abandon(AbandonRequest(id)) if id == request.id));
         assert!(matches!(out.last(), Some(Out::Over { why, .. }) if why.contains("3 entries")));
-        let (mut s, _) = asked(Quest::default(), false, None);
-        for _ in 0..=MOST_STRAY {
+        let (mut s, _) = start_search(Quest::default(), false, None);
+        for _ in 0..=MAX_STRAY {
             s.bytes(0, &Message::new(77, Op::Done(result(0))).bytes());
         }
         assert!(s.over());
-        let (mut s, _) = asked(Quest::default(), false, None);
+        let (mut s, _) = start_search(Quest::default(), false, None);
         s.tick(5 * SEC);
-        assert!(matches!(s.out().last(), Some(Out::Over { why, .. }) if why == "no answer in time"));
-        // A limit of the server's is no end of a refresh: nothing may be taken for gone.
-        let (mut s, request) = asked(Quest::default(), false, None);
+        assert!(matches!(s.out().last(), Some(Out::Over { why, .. }) if why == "response timed out"));
+        // A size limit of the server does not complete a refresh: no entry may count as deleted.
+        let (mut s, request) = start_search(Quest::default(), false, None);
         s.bytes(0, &Message::new(request.id, Op::Done(result(SIZE_LIMIT))).bytes());
         let out = s.out();
         assert!(!out.contains(&Out::News(News::End { whole: true })) && s.over());
     }
 
     #[test]
-    fn no_password_goes_in_the_clear_and_nothing_counts_that_came_before_tls() {
+    fn passwords_are_not_sent_unencrypted_and_data_before_tls_is_rejected() {
         let login = Login::Simple { dn: "cn=a".into(), password: "geheim".into() };
         let quest = Quest { login, ..Quest::default() };
         let mut s = Session::begin(0, quest.clone(), false, None);
@@ -715,7 +719,7 @@
                 && !format!("{quest:?}").contains("geheim")
         );
         let mut s = Session::begin(0, Quest { start_tls: true, ..quest }, false, None);
-        let id = sent(&mut s).remove(0).id;
+        let id = sent_messages(&mut s).remove(0).id;
         let empty = OctetString::from_static(b"");
         let yes = Extends {
             code: Code(0),
@@ -726,14 +730,14 @@
             value: None,
         };
         let yes = Message::new(id, Op::Extends(yes)).bytes();
-        // The answer with a forged bind response behind it, in the clear.
+        // The StartTLS response followed by a forged bind response without encryption.
         let forged = [yes.clone(), Message::new(id + 1, bound(0)).bytes()].concat();
         s.bytes(0, &forged);
         assert!(s.over());
     }
 
     #[test]
-    fn bytes_at_random_never_panic_and_cost_little() {
+    fn corrupted_messages_do_not_panic() {
         let mut x: u64 = 9;
         let mut draw = |n: u64| {
             x ^= x << 13;
