--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -250,7 +250,7 @@
     let dir = tempfile::tempdir().unwrap();
     let controller = start(&["controller"]);
     let mut charter = Settings::example(1, 2);
-    let unknown = rockpick_tenant::books::Callers::Refused;
+    let unknown = rockpick_tenant::books::UnknownCallersSetting::Refused;
     charter.directory = Some(Books { unknown, ..d.books() });
     let put = call(controller.at, "PUT", "/settings", &serde_json::to_string(&charter).unwrap()).unwrap();
     assert_eq!(put.status, 200, "{}", String::from_utf8_lossy(&put.body));
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -20,7 +20,7 @@
 use rockpick_standin::schedule::Arrivals;
 use rockpick_standin::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
 use rockpick_storm::Fault as Fate;
-use rockpick_tenant::{Directory, Limits, Tenancy, Tenants, Unknown};
+use rockpick_tenant::{Directory, Limits, Tenancy, Tenants, UnknownCallers};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -530,7 +530,7 @@
             Ev::Sums(front, life, span, rows) => {
                 let (now, seat) = (self.now, &mut self.seats[front as usize]);
                 if let Some(limits) = seat.limits.as_mut().filter(|_| seat.life == life) {
-                    limits.told(now, span, &rows);
+                    limits.apply_global_counts(now, span, &rows);
                 }
             }
             Ev::Vote(front, life, build, stage, verdict, id) => {
@@ -660,7 +660,7 @@
         let seat = &mut self.seats[front as usize];
         let (standing, roster, zone) = (seat.standing, std::mem::take(&mut seat.roster), seat.zone);
         *seat = Seat { life: seat.life + 1, born: now, zone, ..Seat::default() };
-        let common = Unknown::Common { share: 1.0, rate: None };
+        let common = UnknownCallers::Common { share: 1.0, rate: None };
         seat.limits = self.tenants.is_some().then(|| {
             let utilities = self.charter.methods.iter().map(|m| m.utility).collect();
             Limits::new(now, self.charter.fronts.len(), common, utilities)
@@ -780,7 +780,7 @@
         let (gives_up, life, now) = (t.told, seat.life, self.now);
         let mut tenant = None;
         if let (Some(limits), Some(tenants)) = (&mut seat.limits, &self.tenants) {
-            match limits.take(now, tenants, Some(firm), method) {
+            match limits.admit(now, tenants, Some(firm), method) {
                 Ok(id) => tenant = Some(id),
                 Err(wait) => {
                     let wire = self.jitter(self.wires.client);
@@ -845,7 +845,7 @@
             _ => None,
         };
         if let (Some(limits), Some(tenant), Some(served)) = (&mut seat.limits, tenant, served) {
-            limits.over(self.now, tenant, served);
+            limits.finish(self.now, tenant, served);
         }
         seat.door.finish(rpc);
         // One that would come after the client has given up is not sent.
@@ -1203,7 +1203,7 @@
                 }
             }
             for seat in self.seats.iter_mut().filter(|_| self.sums) {
-                for (id, s) in seat.limits.as_mut().map_or(Vec::new(), Limits::tell) {
+                for (id, s) in seat.limits.as_mut().map_or(Vec::new(), Limits::take_counts) {
                     let sums = self.summed.entry(id).or_default();
                     (0..3).for_each(|i| sums[i] += s[i]);
                 }
--- a/front/src/tenants.rs
+++ b/front/src/tenants.rs
@@ -4,7 +4,7 @@
 use rockpick_ldap::message::{uuid, uuid_text};
 use rockpick_net::http::Request;
 use rockpick_net::{Event, Net, Ns, MS};
-use rockpick_tenant::limit::{Sums, UNKNOWN};
+use rockpick_tenant::limit::{UsageCounts, UNKNOWN};
 use rockpick_tenant::model::{Id, Kept};
 use rockpick_tenant::{Books, Identity, Keeper, Limits, Link, Tenants};
 use serde::{Deserialize, Serialize};
@@ -85,7 +85,7 @@
             })
         });
         let keeper = Keeper::begin(now, books.tenancy.clone(), kept, save);
-        let limits = Limits::new(now, fronts, books.callers(), utilities(charter));
+        let limits = Limits::new(now, fronts, books.unknown_callers(), utilities(charter));
         Some(TenantService { utilities: utilities(charter), books, fronts, link, keeper, limits })
     }
 
@@ -134,17 +134,17 @@
     pub fn admit(&mut self, now: Ns, request: &Request, method: usize) -> Result<Id, Ns> {
         let tenants: Arc<Tenants> = self.keeper.version();
         let tenant = self.identify_tenant(now, &tenants, request);
-        self.limits.take(now, &tenants, tenant, method)
+        self.limits.admit(now, &tenants, tenant, method)
     }
 
     pub fn finished(&mut self, now: Ns, id: Id, served: bool) {
-        self.limits.over(now, id, served);
+        self.limits.finish(now, id, served);
     }
 
     /// Usage sums for the controller, by entryUUID.
     pub fn usage_sums(&mut self) -> Vec<Value> {
         let tenants = self.keeper.version();
-        let mut rows = self.limits.tell();
+        let mut rows = self.limits.take_counts();
         rows.sort_by_key(|(id, s)| (std::cmp::Reverse(s[0]), *id));
         rows.truncate(MAX_SUM_ROWS);
         let name = |id: Id| match tenants.tenant(id) {
@@ -166,8 +166,8 @@
                 |i: usize| row.get(i).and_then(Value::as_u64).map_or(0, |n| n.min(u32::MAX.into()) as u32);
             Some((id, [n(1), n(2), n(3)]))
         });
-        let sums: Vec<(Id, Sums)> = rows.collect();
-        self.limits.told(now, span as Ns, &sums);
+        let sums: Vec<(Id, UsageCounts)> = rows.collect();
+        self.limits.apply_global_counts(now, span as Ns, &sums);
     }
 
     /// Confirms a suspicious change of the directory, and returns whether there was one. `None`: the keeper
@@ -179,7 +179,7 @@
 
     pub fn status(&self, now: Ns) -> Value {
         let (view, tenants) = (self.keeper.view(), self.keeper.version());
-        let (whole, rows) = self.limits.view();
+        let (whole, rows) = self.limits.status();
         let t = &self.link.tolls;
         let name = |id: &Id| tenants.tenant(*id).map_or("unknown".to_string(), |t| t.name.to_string());
         let rows: Vec<Value> =
--- a/rehearse/src/books.rs
+++ b/rehearse/src/books.rs
@@ -46,6 +46,6 @@
 
 /// The settings' part: nobody who is unknown is served, so that what gets lost is seen.
 pub fn books(at: SocketAddr) -> Books {
-    let unknown = rockpick_tenant::books::Callers::Refused;
+    let unknown = rockpick_tenant::books::UnknownCallersSetting::Refused;
     Books { base: "dc=x".into(), unknown, answer_within_ms: 2_000, ..Books::example(at) }
 }
--- a/tenant/src/books.rs
+++ b/tenant/src/books.rs
@@ -1,6 +1,6 @@
 //! The directory section of the settings: servers, credentials, the search, and the limits of callers without a
 //! tenant.
-use crate::limit::Unknown;
+use crate::limit::UnknownCallers;
 use crate::model::Tenancy;
 use rockpick_ldap::{filter, Login, Quest};
 use rockpick_net::{Ns, MS};
@@ -54,7 +54,7 @@
     pub binds_a_second: f64,
     /// Callers without a tenant: refused, or treated together as one tenant with this share and rate.
     #[serde(default)]
-    pub unknown: Callers,
+    pub unknown: UnknownCallersSetting,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -97,14 +97,14 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Callers {
+pub enum UnknownCallersSetting {
     Refused,
     Common { share: f64, rate: Option<f64> },
 }
 
-impl Default for Callers {
-    fn default() -> Callers {
-        Callers::Common { share: 1.0, rate: None }
+impl Default for UnknownCallersSetting {
+    fn default() -> UnknownCallersSetting {
+        UnknownCallersSetting::Common { share: 1.0, rate: None }
     }
 }
 
@@ -151,7 +151,7 @@
         check(self.tenancy.renamed_ms <= 86_400_000, "tenancy.renamed_ms", "a day at most");
         let has_names = !self.tenancy.tenant_class.is_empty() && !self.tenancy.name.is_empty();
         check(has_names, "tenancy", "tenant_class and name are wanted");
-        if let Callers::Common { share, rate } = self.unknown {
+        if let UnknownCallersSetting::Common { share, rate } = self.unknown {
             check(share > 0.0 && share <= 1e9, "unknown.common.share", "above 0, at most 1e9");
             check(rate.is_none_or(|r| (0.0..=1e9).contains(&r)), "unknown.common.rate", "0 to 1e9");
         }
@@ -248,10 +248,10 @@
         })
     }
 
-    pub fn callers(&self) -> Unknown {
+    pub fn unknown_callers(&self) -> UnknownCallers {
         match self.unknown {
-            Callers::Refused => Unknown::Refused,
-            Callers::Common { share, rate } => Unknown::Common { share, rate },
+            UnknownCallersSetting::Refused => UnknownCallers::Refused,
+            UnknownCallersSetting::Common { share, rate } => UnknownCallers::Common { share, rate },
         }
     }
 
@@ -272,7 +272,7 @@
             page: 500,
             follow: false,
             binds_a_second: 20.0,
-            unknown: Callers::default(),
+            unknown: UnknownCallersSetting::default(),
         }
     }
 }
--- a/tenant/src/lib.rs
+++ b/tenant/src/lib.rs
@@ -11,6 +11,6 @@
 
 pub use books::Books;
 pub use keeper::Keeper;
-pub use limit::{Limits, Unknown};
+pub use limit::{Limits, UnknownCallers};
 pub use link::Link;
 pub use model::{Directory, Identity, Tenancy, Tenants};
--- a/tenant/src/limit.rs
+++ b/tenant/src/limit.rs
@@ -47,7 +47,7 @@
 
 /// The limits of callers without a tenant, taken together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Unknown {
+pub enum UnknownCallers {
     Refused,
     /// Treated as one tenant with this weight and this rate over all fronts.
     Common {
@@ -57,7 +57,7 @@
 }
 
 /// Counts of one tenant's RPCs: received, served, refused by the module.
-pub type Sums = [u32; 3];
+pub type UsageCounts = [u32; 3];
 
 #[derive(Clone, Debug)]
 struct MethodState {
@@ -71,9 +71,9 @@
 
 #[derive(Clone, Debug)]
 struct TenantState {
-    window: [Sums; BUCKETS],
+    window: [UsageCounts; BUCKETS],
     /// Counts since the last report to the controller.
-    unreported: Sums,
+    unreported: UsageCounts,
     /// This front's fraction of the tenant's RPCs.
     front_fraction: f64,
     tokens: f64,
@@ -97,7 +97,7 @@
 
 pub struct Limits {
     fronts: usize,
-    pub unknown: Unknown,
+    pub unknown: UnknownCallers,
     /// Utility by method.
     utilities: Vec<f64>,
     states: BTreeMap<Id, TenantState>,
@@ -122,10 +122,10 @@
 /// unused goes to the others.
 ///
 /// ```
-/// let parts = rockpick_tenant::limit::fill(100.0, &[(10.0, 1.0), (200.0, 1.0), (200.0, 2.0)]);
+/// let parts = rockpick_tenant::limit::max_min_shares(100.0, &[(10.0, 1.0), (200.0, 1.0), (200.0, 2.0)]);
 /// assert_eq!(parts, [10.0, 30.0, 60.0]);
 /// ```
-pub fn fill(capacity: f64, demands: &[(f64, f64)]) -> Vec<f64> {
+pub fn max_min_shares(capacity: f64, demands: &[(f64, f64)]) -> Vec<f64> {
     let mut parts = vec![0.0; demands.len()];
     let mut order: Vec<usize> = (0..demands.len()).collect();
     // By demand over weight: the smallest are satisfied first and leave the rest to the others.
@@ -142,7 +142,7 @@
 }
 
 impl Limits {
-    pub fn new(now: Ns, fronts: usize, unknown: Unknown, utilities: Vec<f64>) -> Limits {
+    pub fn new(now: Ns, fronts: usize, unknown: UnknownCallers, utilities: Vec<f64>) -> Limits {
         Limits {
             fronts: fronts.max(1),
             unknown,
@@ -185,11 +185,11 @@
     ///
     /// # Errors
     /// The time to wait before a retry.
-    pub fn take(&mut self, now: Ns, tenants: &Tenants, tenant: Option<Id>, method: usize) -> Result<Id, Ns> {
+    pub fn admit(&mut self, now: Ns, tenants: &Tenants, tenant: Option<Id>, method: usize) -> Result<Id, Ns> {
         self.advance(now, tenants);
         let known = tenant.filter(|t| tenants.tenant(*t).is_some());
         let id = known.unwrap_or(UNKNOWN);
-        if known.is_none() && self.unknown == Unknown::Refused {
+        if known.is_none() && self.unknown == UnknownCallers::Refused {
             return Err(RETRY_DELAY);
         }
         self.count(id, now, 0);
@@ -227,34 +227,34 @@
     }
 
     /// Records that an admitted RPC has ended: served, or refused by the module for lack of capacity.
-    pub fn over(&mut self, now: Ns, id: Id, served: bool) {
+    pub fn finish(&mut self, now: Ns, id: Id, served: bool) {
         self.count(id, now, if served { 1 } else { 2 });
     }
 
     fn rate(&self, tenants: &Tenants, id: Id) -> Option<f64> {
         match (tenants.tenant(id), self.unknown) {
             (Some(tenant), _) => tenant.rate,
-            (None, Unknown::Common { rate, .. }) => rate,
-            (None, Unknown::Refused) => Some(0.0),
+            (None, UnknownCallers::Common { rate, .. }) => rate,
+            (None, UnknownCallers::Refused) => Some(0.0),
         }
     }
 
     fn share(&self, tenants: &Tenants, id: Id) -> f64 {
         match (tenants.tenant(id), self.unknown) {
             (Some(tenant), _) => tenant.share,
-            (None, Unknown::Common { share, .. }) => share,
-            (None, Unknown::Refused) => 1e-9,
+            (None, UnknownCallers::Common { share, .. }) => share,
+            (None, UnknownCallers::Refused) => 1e-9,
         }
     }
 
     /// Returns and clears this front's counts since the last call, for the controller to sum.
-    pub fn tell(&mut self) -> Vec<(Id, Sums)> {
+    pub fn take_counts(&mut self) -> Vec<(Id, UsageCounts)> {
         let changed = self.states.iter_mut().filter(|(_, s)| s.unreported != [0; 3]);
         changed.map(|(id, s)| (*id, std::mem::take(&mut s.unreported))).collect()
     }
 
     /// Applies counts summed over all fronts, which cover the time `span`.
-    pub fn told(&mut self, now: Ns, span: Ns, sums: &[(Id, Sums)]) {
+    pub fn apply_global_counts(&mut self, now: Ns, span: Ns, sums: &[(Id, UsageCounts)]) {
         let seconds = span.max(MS) as f64 / SEC as f64;
         // Exponential smoothing: the old rates count half.
         for old in self.global_rates.values_mut() {
@@ -325,7 +325,8 @@
             (rates[id][0].min(limit), self.share(tenants, *id))
         };
         let demands: Vec<(f64, f64)> = ids.iter().map(demand).collect();
-        for ((id, part), (demand, _)) in ids.iter().zip(fill(divided_rate, &demands)).zip(&demands) {
+        for ((id, part), (demand, _)) in ids.iter().zip(max_min_shares(divided_rate, &demands)).zip(&demands)
+        {
             if let Some(state) = self.states.get_mut(id) {
                 state.admit_fraction = if *demand > 0.0 { (part / demand).min(1.0) } else { 1.0 };
             }
@@ -353,7 +354,7 @@
 
     /// For the status: the divided RPCs per second, and by tenant this front's fraction and the admitted
     /// fraction.
-    pub fn view(&self) -> (Option<f64>, Vec<(Id, f64, f64)>) {
+    pub fn status(&self) -> (Option<f64>, Vec<(Id, f64, f64)>) {
         let states = self.states.iter();
         (self.divided_rate, states.map(|(id, s)| (*id, s.front_fraction, s.admit_fraction)).collect())
     }
@@ -383,7 +384,7 @@
         d
     }
 
-    const COMMON: Unknown = Unknown::Common { share: 1.0, rate: None };
+    const COMMON: UnknownCallers = UnknownCallers::Common { share: 1.0, rate: None };
 
     #[test]
     fn rate_limit_holds_without_global_sums_and_is_used_fully_with_them() {
@@ -397,12 +398,13 @@
                 let rpcs = if ms % 5 < 2 { 1 } else { 0 };
                 for _ in 0..rpcs {
                     admitted +=
-                        i32::from(fronts[0].take(now, d.version(), Some(0), 0).is_ok() && ms >= 10_000);
+                        i32::from(fronts[0].admit(now, d.version(), Some(0), 0).is_ok() && ms >= 10_000);
                 }
                 if exchange && ms % 1_000 == 0 && ms > 0 {
-                    let sums: Vec<Vec<(Id, Sums)>> = fronts.iter_mut().map(Limits::tell).collect();
-                    let all: Vec<(Id, Sums)> = sums.concat();
-                    fronts.iter_mut().for_each(|f| f.told(now, SEC, &all));
+                    let sums: Vec<Vec<(Id, UsageCounts)>> =
+                        fronts.iter_mut().map(Limits::take_counts).collect();
+                    let all: Vec<(Id, UsageCounts)> = sums.concat();
+                    fronts.iter_mut().for_each(|f| f.apply_global_counts(now, SEC, &all));
                 }
             }
             let rate = f64::from(admitted) / 10.0;
@@ -426,13 +428,13 @@
                     continue;
                 }
                 credit[tenant] -= 1.0;
-                let Ok(id) = limits.take(now, d.version(), Some(tenant as Id), 0) else { continue };
+                let Ok(id) = limits.admit(now, d.version(), Some(tenant as Id), 0) else { continue };
                 let has_capacity = budget >= 1.0;
                 if has_capacity {
                     budget -= 1.0;
                     served[tenant] += f64::from(u8::from(ms >= 10_000));
                 }
-                limits.over(now, id, has_capacity);
+                limits.finish(now, id, has_capacity);
             }
         }
         let a_second = served.map(|n| n / 20.0);
@@ -449,10 +451,10 @@
         for i in 0..60_000_i64 {
             let (now, method) = (i * MS / 2, (i % 2) as usize);
             budget = f64::min(budget + 0.6, 5.0);
-            let Ok(id) = limits.take(now, d.version(), Some(0), method) else { continue };
+            let Ok(id) = limits.admit(now, d.version(), Some(0), method) else { continue };
             let has_capacity = budget >= 1.0;
             budget -= f64::from(u8::from(has_capacity));
-            limits.over(now, id, has_capacity);
+            limits.finish(now, id, has_capacity);
             admitted[method] += i32::from(i >= 20_000);
         }
         // 20,000 RPCs of each method were sent and three fifths can be served: all of the method with the higher
@@ -468,8 +470,8 @@
             let d = directory(&[Some(rate)]);
             let mut limits = Limits::new(0, 1, COMMON, vec![1.0]);
             let admitted = |s: &i64| {
-                limits.tell();
-                limits.take(s * 3 * SEC, d.version(), Some(0), 0).is_ok()
+                limits.take_counts();
+                limits.admit(s * 3 * SEC, d.version(), Some(0), 0).is_ok()
             };
             let count = (0..100).filter(admitted).count();
             assert!((low..=high).contains(&count), "{rate}: {count}");
@@ -479,17 +481,18 @@
     #[test]
     fn unknown_callers_share_one_state() {
         let d = directory(&[None]);
-        let mut limits = Limits::new(0, 1, Unknown::Common { share: 1.0, rate: Some(10.0) }, vec![1.0]);
+        let mut limits =
+            Limits::new(0, 1, UnknownCallers::Common { share: 1.0, rate: Some(10.0) }, vec![1.0]);
         let admitted =
-            (0..1_000).filter(|i| limits.take(i * MS, d.version(), Some(50 + *i as Id), 0).is_ok()).count();
+            (0..1_000).filter(|i| limits.admit(i * MS, d.version(), Some(50 + *i as Id), 0).is_ok()).count();
         assert!((10..=16).contains(&admitted) && limits.states.len() == 1, "{admitted}");
-        let mut limits = Limits::new(0, 1, Unknown::Refused, vec![1.0]);
-        assert!(limits.take(0, d.version(), None, 0).is_err() && limits.states.is_empty());
+        let mut limits = Limits::new(0, 1, UnknownCallers::Refused, vec![1.0]);
+        assert!(limits.admit(0, d.version(), None, 0).is_err() && limits.states.is_empty());
         // The state of idle tenants is dropped.
         for s in 0..10 {
-            let _ = limits.take(s * SEC, d.version(), Some(0), 0);
-            limits.tell();
+            let _ = limits.admit(s * SEC, d.version(), Some(0), 0);
+            limits.take_counts();
         }
-        assert!(limits.take(100 * SEC, d.version(), None, 0).is_err() && limits.states.is_empty());
+        assert!(limits.admit(100 * SEC, d.version(), None, 0).is_err() && limits.states.is_empty());
     }
 }
