--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use rockpick_ldap::message::{Attribute, Entry};
 use rockpick_ldap::News;
-use rockpick_tenant::{Directory, Identity, Tenancy};
+use rockpick_tenant::{Directory, EntryMapping, Identity};
 use std::collections::HashMap;
 use std::hint::black_box;
 use std::process::ExitCode;
@@ -42,24 +42,24 @@
 impl Tenants {
     pub fn run(self) -> Result<ExitCode, Bad2> {
         let many = self.tenants * (1 + self.principals);
-        if self.tenants == 0 || many > rockpick_tenant::model::MOST_ENTRIES {
+        if self.tenants == 0 || many > rockpick_tenant::model::MAX_ENTRIES {
             return Err(Bad2("--tenants: 1 or more; a million entries in all at most".into()));
         }
         let before = held();
-        let mut directory = Directory::new(Tenancy::default());
+        let mut directory = Directory::new(EntryMapping::default());
         let began = Instant::now();
-        directory.take(0, News::Begin);
+        directory.apply(0, News::Begin);
         for n in 0..self.tenants {
             let attributes = [("objectClass", "organization".to_string()), ("o", format!("firm-{n}"))];
-            directory.take(0, entry(n, format!("o=firm-{n},dc=x"), &attributes));
+            directory.apply(0, entry(n, format!("o=firm-{n},dc=x"), &attributes));
             for p in 0..self.principals {
                 let who = n * self.principals + p;
-                directory.take(0, principal(self.tenants + who, who, n));
+                directory.apply(0, principal(self.tenants + who, who, n));
             }
         }
         let read = began.elapsed().as_secs_f64();
         let began = Instant::now();
-        directory.take(0, News::End { whole: true });
+        directory.apply(0, News::End { whole: true });
         let linked = began.elapsed().as_secs_f64();
         println!("{many} entries: read in {read:.2} s, a version made in {linked:.2} s, {:.0} MiB, {:.0} bytes an entry",
             (held() - before) / 1_048_576.0, (held() - before) / many as f64);
@@ -67,7 +67,7 @@
         let (kept, rounds) = (directory.version().clone(), 200);
         let began = Instant::now();
         for i in 0..rounds {
-            directory.take(1, principal(many + i, many + i, i % self.tenants));
+            directory.apply(1, principal(many + i, many + i, i % self.tenants));
         }
         println!(
             "one principal more: {:.0} us; the former version is still there with {} tenants",
@@ -89,7 +89,7 @@
             order.len() as f64 / began.elapsed().as_secs_f64()
         };
         if !names.is_empty() {
-            let ours = time(&|who| version.of(who));
+            let ours = time(&|who| version.tenant_of(who));
             let theirs = time(&|who| plain.get(who).copied());
             println!(
                 "lookups a second: {ours:.0}; of a plain hash map {theirs:.0}, {:.2} times as many",
--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -109,7 +109,9 @@
 
     fn whose(&self, principal: &str) -> Option<String> {
         let v = self.keeper.version();
-        v.of(&Identity::Principal(principal.into())).and_then(|t| v.tenant(t)).map(|t| t.name.to_string())
+        v.tenant_of(&Identity::Principal(principal.into()))
+            .and_then(|t| v.tenant(t))
+            .map(|t| t.name.to_string())
     }
 
     fn is(&self, principal: &str, tenant: &str) -> bool {
@@ -126,9 +128,12 @@
         assert_eq!((rig.keeper.version().len(), d.get("/status")["staying"] == 1), (8, sync));
         d.post("/entries", json!([user(101, "bob", "firm2"), firm(1, "renamed")]));
         rig.until("changes", |r| {
-            r.is("bob", "firm2") && r.keeper.version().named(r.net.now(), "renamed").is_some()
+            r.is("bob", "firm2") && r.keeper.version().tenant_by_name(r.net.now(), "renamed").is_some()
         });
-        assert!(rig.keeper.version().named(rig.net.now(), "firm1").is_some(), "the former name is good yet");
+        assert!(
+            rig.keeper.version().tenant_by_name(rig.net.now(), "firm1").is_some(),
+            "the former name is good yet"
+        );
         // Ann's entry still lies below the former DN: the tenant is no longer there.
         rig.until("moved", |r| r.whose("ann").is_none());
         d.post("/fault", json!({ "reset": true }));
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -20,7 +20,7 @@
 use rockpick_standin::schedule::Arrivals;
 use rockpick_standin::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
 use rockpick_storm::Fault as Fate;
-use rockpick_tenant::{Directory, Limits, Tenancy, Tenants, UnknownCallers};
+use rockpick_tenant::{Directory, EntryMapping, Limits, Tenants, UnknownCallers};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -183,8 +183,8 @@
 
 /// The three tenants of clients, as a directory would have them.
 fn tenants(rates: &[Option<f64>; 3]) -> Rc<Tenants> {
-    let mut directory = Directory::new(Tenancy::default());
-    directory.take(0, News::Begin);
+    let mut directory = Directory::new(EntryMapping::default());
+    directory.apply(0, News::Begin);
     for (i, rate) in rates.iter().enumerate() {
         let pair = |kind: &str, value: String| Attribute {
             kind: kind.as_bytes().to_vec().into(),
@@ -193,9 +193,9 @@
         let mut attributes = vec![pair("objectClass", "organization".into()), pair("o", format!("firm-{i}"))];
         attributes.extend(rate.map(|r| pair("rockpickRate", r.to_string())));
         let entry = Record { dn: format!("o=firm-{i}").into_bytes().into(), attributes };
-        directory.take(0, News::Entry { uuid: [i as u8; 16], entry });
+        directory.apply(0, News::Entry { uuid: [i as u8; 16], entry });
     }
-    directory.take(0, News::End { whole: true });
+    directory.apply(0, News::End { whole: true });
     Rc::new((**directory.version()).clone())
 }
 
--- a/front/src/tenants.rs
+++ b/front/src/tenants.rs
@@ -5,7 +5,7 @@
 use rockpick_net::http::Request;
 use rockpick_net::{Event, Net, Ns, MS};
 use rockpick_tenant::limit::{UsageCounts, UNKNOWN};
-use rockpick_tenant::model::{Id, Kept};
+use rockpick_tenant::model::{DirectorySnapshot, Id};
 use rockpick_tenant::{Books, Identity, Keeper, Limits, Link, Tenants};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -29,7 +29,7 @@
 /// The directory data, stored in a file beside the front's snapshot.
 #[derive(Serialize, Deserialize)]
 struct StoredTenants {
-    directory: Kept,
+    directory: DirectorySnapshot,
     /// Wall clock time in milliseconds, used only to tell the age of the file.
     saved_ms: u64,
 }
@@ -38,7 +38,7 @@
     state.as_ref().map(|dir| dir.join(format!("{name}.tenants.json")))
 }
 
-fn load(file: &Path) -> Option<(Kept, u64)> {
+fn load(file: &Path) -> Option<(DirectorySnapshot, u64)> {
     let text = match atomic_file::load_checked(file) {
         Ok(text) => text?,
         Err(err) => {
@@ -119,11 +119,11 @@
         let header = |name: &str| request.headers.get(name);
         // A presented API key decides alone: an unknown key never falls back to the other headers.
         if let Some(key) = header("authorization").and_then(|a| a.strip_prefix("Bearer ")) {
-            return tenants.of(&Identity::of_key(key.trim().as_bytes()));
+            return tenants.tenant_of(&Identity::from_key(key.trim().as_bytes()));
         }
         match header("rockpick-principal") {
-            Some(principal) => tenants.of(&Identity::Principal(principal.into())),
-            None => header("rockpick-tenant").and_then(|name| tenants.named(now, name)),
+            Some(principal) => tenants.tenant_of(&Identity::Principal(principal.into())),
+            None => header("rockpick-tenant").and_then(|name| tenants.tenant_by_name(now, name)),
         }
     }
 
@@ -161,7 +161,7 @@
         let empty = Vec::new();
         let rows = message["rows"].as_array().unwrap_or(&empty).iter().filter_map(|row| {
             let name = row.get(0)?.as_str()?;
-            let id = if name == "unknown" { UNKNOWN } else { tenants.id(&uuid(name)?)? };
+            let id = if name == "unknown" { UNKNOWN } else { tenants.id_by_uuid(&uuid(name)?)? };
             let n =
                 |i: usize| row.get(i).and_then(Value::as_u64).map_or(0, |n| n.min(u32::MAX.into()) as u32);
             Some((id, [n(1), n(2), n(3)]))
@@ -185,8 +185,8 @@
         let rows: Vec<Value> =
             rows.iter().take(MAX_STATUS_ROWS).map(|(id, part, keep)| json!([name(id), part, keep])).collect();
         json!({ "server": self.link.server().map(|s| s.to_string()), "settled": self.link.settled(),
-            "age_ms": view.fresh.map(|f| (now - f) / MS), "version": tenants.version, "tenants": tenants.len(),
-            "identities": tenants.identities(), "left_out": view.left_out,
+            "age_ms": view.refreshed_at.map(|f| (now - f) / MS), "version": tenants.version, "tenants": tenants.len(),
+            "identities": tenants.identity_count(), "left_out": view.ignored_entries,
             "suspicion": view.suspicion.map(|s| json!({ "missing": s.missing, "of": s.of, "for_ms": (now - s.since) / MS })),
             "dialled": t.dialled, "refreshes": t.bound, "failed": t.failed, "why": t.why, "divided_a_second": whole,
             "thinned": self.limits.thinned, "over_rate": self.limits.over_rate, "limits": rows })
--- a/tenant/src/books.rs
+++ b/tenant/src/books.rs
@@ -1,7 +1,7 @@
 //! The directory section of the settings: servers, credentials, the search, and the limits of callers without a
 //! tenant.
 use crate::limit::UnknownCallers;
-use crate::model::Tenancy;
+use crate::model::EntryMapping;
 use rockpick_ldap::{filter, Login, Quest};
 use rockpick_net::{Ns, MS};
 use rustls::pki_types::pem::PemObject;
@@ -36,7 +36,7 @@
     #[serde(default = "all")]
     pub filter: String,
     #[serde(default)]
-    pub tenancy: Tenancy,
+    pub tenancy: EntryMapping,
     /// Use content synchronization if the server supports it.
     #[serde(default = "yes")]
     pub sync: bool,
@@ -243,7 +243,7 @@
             sync: self.sync,
             poll: self.poll_ms as Ns * MS,
             within: self.answer_within_ms as Ns * MS,
-            most_entries: crate::model::MOST_ENTRIES,
+            most_entries: crate::model::MAX_ENTRIES,
             ..Quest::default()
         })
     }
@@ -265,7 +265,7 @@
             login: Who::Anonymous,
             base: "dc=example".into(),
             filter: all(),
-            tenancy: Tenancy::default(),
+            tenancy: EntryMapping::default(),
             sync: true,
             poll_ms: 5_000,
             answer_within_ms: 5_000,
--- a/tenant/src/keeper.rs
+++ b/tenant/src/keeper.rs
@@ -1,7 +1,7 @@
 //! The thread that builds versions from entries. Building a version of 100,000 entries takes a good part of a
 //! second and must not delay RPCs: the event loop queues the updates of a session and reads the current version
 //! without blocking (`arc-swap`).
-use crate::model::{Directory, Kept, Suspicion, Tenancy, Tenants};
+use crate::model::{Directory, DirectorySnapshot, EntryMapping, Suspicion, Tenants};
 use arc_swap::ArcSwap;
 use rockpick_ldap::News;
 use rockpick_net::{Ns, SEC};
@@ -28,8 +28,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     pub suspicion: Option<Suspicion>,
-    pub left_out: u64,
-    pub fresh: Option<Ns>,
+    pub ignored_entries: u64,
+    pub refreshed_at: Option<Ns>,
     pub cookie: Option<Vec<u8>>,
 }
 
@@ -42,14 +42,16 @@
 }
 
 /// Writes a snapshot; returns false if that failed and must be retried.
-pub type Save = Box<dyn FnMut(&Kept) -> bool + Send>;
+pub type Save = Box<dyn FnMut(&DirectorySnapshot) -> bool + Send>;
 
 impl Keeper {
     /// Starts the thread, with the content of a snapshot and its age in milliseconds.
-    pub fn begin(now: Ns, tenancy: Tenancy, kept: Option<(Kept, u64)>, save: Option<Save>) -> Keeper {
+    pub fn begin(
+        now: Ns, tenancy: EntryMapping, snapshot: Option<(DirectorySnapshot, u64)>, save: Option<Save>,
+    ) -> Keeper {
         let mut directory = Directory::new(tenancy);
-        if let Some((kept, older_ms)) = kept {
-            directory.restore(now, kept, older_ms);
+        if let Some((snapshot, older_ms)) = snapshot {
+            directory.restore(now, snapshot, older_ms);
         }
         let (commands, receiver) = sync_channel(QUEUE_CAPACITY);
         let version = Arc::new(ArcSwap::new(directory.version().clone()));
@@ -100,8 +102,8 @@
     fn of(d: &Directory) -> View {
         View {
             suspicion: d.suspicion.clone(),
-            left_out: d.left_out,
-            fresh: d.fresh,
+            ignored_entries: d.ignored_entries,
+            refreshed_at: d.refreshed_at,
             cookie: d.cookie.clone(),
         }
     }
@@ -117,7 +119,7 @@
         let (now, refresh_view, stop) = match command {
             Command::News(now, news) => {
                 let changes_view = matches!(news, News::End { .. } | News::Cookie(_));
-                (now, directory.take(now, news) || changes_view, false)
+                (now, directory.apply(now, news) || changes_view, false)
             }
             Command::Confirm(now) => (now, directory.confirm(now), false),
             Command::Tick(now) => (now, true, false),
@@ -151,7 +153,7 @@
     #[test]
     fn confirmation_fails_after_the_thread_has_ended() {
         let save: Save = Box::new(|_| panic!("on purpose"));
-        let keeper = Keeper::begin(0, Tenancy::default(), None, Some(save));
+        let keeper = Keeper::begin(0, EntryMapping::default(), None, Some(save));
         let kind = |name: &str| rockpick_ldap::message::Attribute {
             kind: name.as_bytes().to_vec().into(),
             values: vec![b"organization".to_vec().into()].into(),
--- a/tenant/src/lib.rs
+++ b/tenant/src/lib.rs
@@ -13,4 +13,4 @@
 pub use keeper::Keeper;
 pub use limit::{Limits, UnknownCallers};
 pub use link::Link;
-pub use model::{Directory, Identity, Tenancy, Tenants};
+pub use model::{Directory, EntryMapping, Identity, Tenants};
--- a/tenant/src/model.rs
+++ b/tenant/src/model.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// Maximum number of tenants and principals; further entries are ignored and counted.
-pub const MOST_ENTRIES: usize = 1_000_000;
+pub const MAX_ENTRIES: usize = 1_000_000;
 /// Maximum number of tenants at a time, including those whose former names are still valid. Their [`Id`]s are
 /// never reused.
 const MAX_TENANTS: usize = 200_000;
@@ -34,7 +34,7 @@
 /// How entries are mapped to tenants and principals; part of the settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Tenancy {
+pub struct EntryMapping {
     /// Entries of this object class are tenants; all others are principals.
     pub tenant_class: String,
     pub name: String,
@@ -60,9 +60,9 @@
     pub believe_loss: f64,
 }
 
-impl Default for Tenancy {
-    fn default() -> Tenancy {
-        Tenancy {
+impl Default for EntryMapping {
+    fn default() -> EntryMapping {
+        EntryMapping {
             tenant_class: String::from("organization"),
             name: String::from("o"),
             share: String::from("rockpickShare"),
@@ -80,7 +80,7 @@
     }
 }
 
-impl Tenancy {
+impl EntryMapping {
     /// The attributes that a search must request.
     pub fn attributes(&self) -> Vec<String> {
         let attributes = [
@@ -109,7 +109,7 @@
 
 impl Identity {
     /// The identity of an API key; only the key's hash is stored.
-    pub fn of_key(key: &[u8]) -> Identity {
+    pub fn from_key(key: &[u8]) -> Identity {
         Identity::Key(Sha256::digest(key).into())
     }
 }
@@ -139,18 +139,18 @@
 
 impl Tenants {
     /// The tenant of an identity.
-    pub fn of(&self, who: &Identity) -> Option<Id> {
+    pub fn tenant_of(&self, who: &Identity) -> Option<Id> {
         self.identities.get(who).copied()
     }
 
     /// The tenant with a current or former name.
-    pub fn named(&self, now: Ns, name: &str) -> Option<Id> {
+    pub fn tenant_by_name(&self, now: Ns, name: &str) -> Option<Id> {
         let (id, until) = self.names.get(name.to_lowercase().as_str())?;
         (*until > now).then_some(*id)
     }
 
     /// The tenant with an entryUUID.
-    pub fn id(&self, uuid: &[u8; 16]) -> Option<Id> {
+    pub fn id_by_uuid(&self, uuid: &[u8; 16]) -> Option<Id> {
         self.uuids.get(uuid).copied()
     }
 
@@ -158,7 +158,7 @@
         self.tenants.get(&id).map(|t| &**t)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (Id, &Tenant)> {
+    pub fn iter(&self) -> impl Iterator<Item = (Id, &Tenant)> {
         self.tenants.iter().map(|(id, t)| (*id, &**t))
     }
 
@@ -170,7 +170,7 @@
         self.tenants.is_empty()
     }
 
-    pub fn identities(&self) -> usize {
+    pub fn identity_count(&self) -> usize {
         self.identities.len()
     }
 }
@@ -223,7 +223,7 @@
 
 /// The entries received from the directory, and the current version built from them.
 pub struct Directory {
-    pub tenancy: Tenancy,
+    pub tenancy: EntryMapping,
     entries: BTreeMap<[u8; 16], ParsedEntry>,
     /// During a refresh: the entries that it has contained so far.
     seen: Option<BTreeSet<[u8; 16]>>,
@@ -239,9 +239,9 @@
     baseline: (Ns, BTreeSet<[u8; 16]>),
     pub suspicion: Option<Suspicion>,
     /// Number of entries that were ignored.
-    pub left_out: u64,
+    pub ignored_entries: u64,
     /// When the last refresh was completed.
-    pub fresh: Option<Ns>,
+    pub refreshed_at: Option<Ns>,
     pub cookie: Option<Vec<u8>>,
 }
 
@@ -305,7 +305,7 @@
 }
 
 impl Directory {
-    pub fn new(tenancy: Tenancy) -> Directory {
+    pub fn new(tenancy: EntryMapping) -> Directory {
         Directory {
             tenancy,
             entries: BTreeMap::new(),
@@ -318,8 +318,8 @@
             needs_rebuild: false,
             baseline: (0, BTreeSet::new()),
             suspicion: None,
-            left_out: 0,
-            fresh: None,
+            ignored_entries: 0,
+            refreshed_at: None,
             cookie: None,
         }
     }
@@ -379,7 +379,7 @@
     }
 
     /// Applies an update from a session. Returns whether there is a new version.
-    pub fn take(&mut self, now: Ns, news: News) -> bool {
+    pub fn apply(&mut self, now: Ns, news: News) -> bool {
         match news {
             News::Begin => {
                 self.seen = Some(BTreeSet::new());
@@ -390,11 +390,11 @@
                     s.insert(uuid);
                 });
                 match self.parse_entry(&entry) {
-                    Some(parsed) if self.entries.len() < MOST_ENTRIES || self.entries.contains_key(&uuid) => {
+                    Some(parsed) if self.entries.len() < MAX_ENTRIES || self.entries.contains_key(&uuid) => {
                         self.put(uuid, Some(parsed));
                     }
                     // An entry that has become invalid keeps its former content: it must not affect others.
-                    _ => self.left_out += 1,
+                    _ => self.ignored_entries += 1,
                 }
                 self.seen.is_none() && self.publish(now, false)
             }
@@ -413,7 +413,7 @@
                     let gone: Vec<_> = self.entries.keys().filter(|u| !seen.contains(*u)).copied().collect();
                     gone.into_iter().for_each(|uuid| self.put(uuid, None));
                 }
-                self.fresh = Some(now);
+                self.refreshed_at = Some(now);
                 self.publish(now, false)
             }
             News::Cookie(cookie) => {
@@ -516,7 +516,7 @@
             }
             if !self.ids.contains_key(uuid) {
                 if self.ids.len() >= MAX_TENANTS || self.next == Id::MAX {
-                    self.left_out += 1;
+                    self.ignored_entries += 1;
                     continue;
                 }
                 self.ids.insert(*uuid, self.next);
@@ -555,31 +555,31 @@
     }
 
     /// The state for a snapshot: the entries as last received, and the cookie for resuming synchronization.
-    pub fn save(&self, now: Ns) -> Kept {
+    pub fn save(&self, now: Ns) -> DirectorySnapshot {
         let entries = self.entries.iter().map(|(uuid, k)| match &k.kind {
-            Kind::Tenant { name, share, rate, members, merged } => KeptEntry {
+            Kind::Tenant { name, share, rate, members, merged } => SnapshotEntry {
                 uuid: uuid_text(uuid),
                 dn: k.dn.clone(),
                 tenant: Some((name.to_string(), *share, *rate)),
                 members: members.clone(),
                 merged: merged.iter().map(uuid_text).collect(),
-                ..KeptEntry::default()
+                ..SnapshotEntry::default()
             },
-            Kind::Principal { who, tenant } => KeptEntry {
+            Kind::Principal { who, tenant } => SnapshotEntry {
                 uuid: uuid_text(uuid),
                 dn: k.dn.clone(),
                 of: tenant.as_ref().map(|t| t.to_string()),
-                who: who.iter().map(KeptWho::of).collect(),
-                ..KeptEntry::default()
+                who: who.iter().map(SnapshotIdentity::of).collect(),
+                ..SnapshotEntry::default()
             },
         });
-        let age_ms = self.fresh.map(|f| ((now - f) / MS).max(0) as u64);
-        Kept { entries: entries.collect(), cookie: self.cookie.clone(), age_ms }
+        let age_ms = self.refreshed_at.map(|f| ((now - f) / MS).max(0) as u64);
+        DirectorySnapshot { entries: entries.collect(), cookie: self.cookie.clone(), age_ms }
     }
 
     /// Restores a snapshot that was saved `older_ms` ago.
-    pub fn restore(&mut self, now: Ns, kept: Kept, older_ms: u64) {
-        for e in kept.entries.into_iter().take(MOST_ENTRIES) {
+    pub fn restore(&mut self, now: Ns, snapshot: DirectorySnapshot, older_ms: u64) {
+        for e in snapshot.entries.into_iter().take(MAX_ENTRIES) {
             let Some(id) = uuid(&e.uuid) else { continue };
             let kind = match e.tenant {
                 Some((name, share, rate)) => Kind::Tenant {
@@ -590,14 +590,14 @@
                     merged: e.merged.iter().filter_map(|u| uuid(u)).collect(),
                 },
                 None => Kind::Principal {
-                    who: e.who.into_iter().filter_map(KeptWho::identity).collect(),
+                    who: e.who.into_iter().filter_map(SnapshotIdentity::identity).collect(),
                     tenant: e.of.map(Into::into),
                 },
             };
             self.put(id, Some(ParsedEntry { dn: e.dn, kind }));
         }
-        self.cookie = kept.cookie;
-        self.fresh = kept
+        self.cookie = snapshot.cookie;
+        self.refreshed_at = snapshot
             .age_ms
             .map(|age| now - (age.saturating_add(older_ms).min(i64::MAX as u64 / 2_000_000) as Ns) * MS);
         self.publish(now, true);
@@ -606,14 +606,14 @@
 
 /// A directory in a snapshot.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Kept {
-    pub entries: Vec<KeptEntry>,
+pub struct DirectorySnapshot {
+    pub entries: Vec<SnapshotEntry>,
     pub cookie: Option<Vec<u8>>,
     pub age_ms: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct KeptEntry {
+pub struct SnapshotEntry {
     uuid: String,
     dn: String,
     /// Name, share and rate of a tenant; `None` for a principal.
@@ -627,31 +627,31 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     of: Option<String>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    who: Vec<KeptWho>,
+    who: Vec<SnapshotIdentity>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum KeptWho {
+enum SnapshotIdentity {
     Principal(String),
     Certificate(String),
     Key(String),
 }
 
-impl KeptWho {
-    fn of(who: &Identity) -> KeptWho {
+impl SnapshotIdentity {
+    fn of(who: &Identity) -> SnapshotIdentity {
         match who {
-            Identity::Principal(p) => KeptWho::Principal(p.to_string()),
-            Identity::Certificate(c) => KeptWho::Certificate(c.to_string()),
-            Identity::Key(k) => KeptWho::Key(hex::encode(k)),
+            Identity::Principal(p) => SnapshotIdentity::Principal(p.to_string()),
+            Identity::Certificate(c) => SnapshotIdentity::Certificate(c.to_string()),
+            Identity::Key(k) => SnapshotIdentity::Key(hex::encode(k)),
         }
     }
 
     fn identity(self) -> Option<Identity> {
         match self {
-            KeptWho::Principal(p) => Some(Identity::Principal(p.into())),
-            KeptWho::Certificate(c) => Some(Identity::Certificate(c.into())),
-            KeptWho::Key(k) => parse_digest(&k).map(Identity::Key),
+            SnapshotIdentity::Principal(p) => Some(Identity::Principal(p.into())),
+            SnapshotIdentity::Certificate(c) => Some(Identity::Certificate(c.into())),
+            SnapshotIdentity::Key(k) => parse_digest(&k).map(Identity::Key),
         }
     }
 }
@@ -691,18 +691,18 @@
     }
 
     fn directory(news: Vec<News>) -> Directory {
-        let mut d = Directory::new(Tenancy::default());
-        d.take(0, News::Begin);
+        let mut d = Directory::new(EntryMapping::default());
+        d.apply(0, News::Begin);
         news.into_iter().for_each(|n| {
-            d.take(0, n);
+            d.apply(0, n);
         });
-        assert!(d.take(0, News::End { whole: true }));
+        assert!(d.apply(0, News::End { whole: true }));
         d
     }
 
     fn tenant_name(d: &Directory, uid: &str) -> Option<String> {
         let v = d.version();
-        v.of(&Identity::Principal(uid.into())).and_then(|t| v.tenant(t)).map(|t| t.name.to_string())
+        v.tenant_of(&Identity::Principal(uid.into())).and_then(|t| v.tenant(t)).map(|t| t.name.to_string())
     }
 
     #[test]
@@ -720,7 +720,7 @@
         let names = ["a", "b", "c", "d", "e", "f"].map(|u| tenant_name(&d, u));
         let expected = [Some("Acme"), Some("Acme"), Some("Bolt"), Some("Acme"), None, None];
         assert_eq!(names.map(|n| n.unwrap_or_default()), expected.map(|w| w.unwrap_or_default().to_string()));
-        let acme = d.version().named(0, "ACME").unwrap();
+        let acme = d.version().tenant_by_name(0, "ACME").unwrap();
         let acme = d.version().tenant(acme).unwrap();
         assert_eq!((acme.share, acme.rate), (3.0, Some(50.0)));
     }
@@ -728,21 +728,24 @@
     #[test]
     fn renamed_tenant_keeps_its_id_and_former_name_during_grace() {
         let mut d = directory(vec![tenant(1, "Acme", &[]), tenant(2, "Bolt", &[])]);
-        let before = (d.version().clone(), d.version().named(0, "acme").unwrap());
-        assert!(d.take(SEC, tenant(1, "Apex", &[])));
+        let before = (d.version().clone(), d.version().tenant_by_name(0, "acme").unwrap());
+        assert!(d.apply(SEC, tenant(1, "Apex", &[])));
         let v = d.version();
-        assert_eq!([v.named(SEC, "apex"), v.named(SEC, "acme")], [Some(before.1); 2]);
-        assert_eq!((v.named(602 * SEC, "apex"), v.named(602 * SEC, "acme")), (Some(before.1), None));
+        assert_eq!([v.tenant_by_name(SEC, "apex"), v.tenant_by_name(SEC, "acme")], [Some(before.1); 2]);
+        assert_eq!(
+            (v.tenant_by_name(602 * SEC, "apex"), v.tenant_by_name(602 * SEC, "acme")),
+            (Some(before.1), None)
+        );
         // An RPC keeps the version that it started with.
         assert_eq!(&*before.0.tenant(before.1).unwrap().name, "Acme");
         // A former name that another tenant takes belongs to that tenant at once, also in repeated swaps.
         for turn in 0..6 {
             let (a, b) = if turn % 2 == 0 { ("Bolt", "Apex") } else { ("Apex", "Bolt") };
-            d.take(2 * SEC, News::Begin);
-            d.take(2 * SEC, tenant(1, a, &[]));
-            d.take(2 * SEC, tenant(2, b, &[]));
-            assert!(d.take(2 * SEC, News::End { whole: true }));
-            assert_eq!(d.version().named(3 * SEC, a), Some(before.1), "turn {turn}");
+            d.apply(2 * SEC, News::Begin);
+            d.apply(2 * SEC, tenant(1, a, &[]));
+            d.apply(2 * SEC, tenant(2, b, &[]));
+            assert!(d.apply(2 * SEC, News::End { whole: true }));
+            assert_eq!(d.version().tenant_by_name(3 * SEC, a), Some(before.1), "turn {turn}");
         }
     }
 
@@ -754,30 +757,30 @@
             tenant(2, "Bolt", &[]),
             user(10, "uid=a,dc=x", "a", &[("rockpickTenant", &uuid_text(&id(1))), ("rockpickKeyHash", &key)]),
         ]);
-        let bolt = d.version().named(0, "bolt").unwrap();
-        d.take(SEC, News::Begin);
-        d.take(SEC, tenant(2, "Bolt", &[("rockpickMergedFrom", &uuid_text(&id(1)))]));
-        d.take(SEC, News::Keep(id(10)));
-        assert!(d.take(SEC, News::End { whole: true }));
+        let bolt = d.version().tenant_by_name(0, "bolt").unwrap();
+        d.apply(SEC, News::Begin);
+        d.apply(SEC, tenant(2, "Bolt", &[("rockpickMergedFrom", &uuid_text(&id(1)))]));
+        d.apply(SEC, News::Keep(id(10)));
+        assert!(d.apply(SEC, News::End { whole: true }));
         assert_eq!(
-            (tenant_name(&d, "a").as_deref(), d.version().named(2 * SEC, "acme")),
+            (tenant_name(&d, "a").as_deref(), d.version().tenant_by_name(2 * SEC, "acme")),
             (Some("Bolt"), Some(bolt))
         );
-        assert_eq!(d.version().of(&Identity::Key([0xab; 32])), Some(bolt));
-        d.take(SEC, tenant(1, "Acme", &[("rockpickMergedFrom", &uuid_text(&id(2)))]));
+        assert_eq!(d.version().tenant_of(&Identity::Key([0xab; 32])), Some(bolt));
+        d.apply(SEC, tenant(1, "Acme", &[("rockpickMergedFrom", &uuid_text(&id(2)))]));
         assert_eq!(tenant_name(&d, "a").as_deref(), Some("Acme"));
     }
 
     #[test]
     fn suspicious_loss_is_held_back_until_restored_or_confirmed() {
         let refresh = |d: &mut Directory, now: Ns, many: u8| {
-            d.take(now, News::Begin);
+            d.apply(now, News::Begin);
             (0..many).for_each(|n| {
-                d.take(now, tenant(n, &format!("t{n}"), &[]));
+                d.apply(now, tenant(n, &format!("t{n}"), &[]));
             });
-            d.take(now, News::End { whole: true })
+            d.apply(now, News::End { whole: true })
         };
-        let mut d = Directory::new(Tenancy::default());
+        let mut d = Directory::new(EntryMapping::default());
         assert!(refresh(&mut d, 0, 20));
         for (now, many) in [(1, 0), (2, 9)] {
             assert!(!refresh(&mut d, now * SEC, many));
@@ -787,7 +790,7 @@
         assert!(refresh(&mut d, 3 * SEC, 15) && d.suspicion.is_none() && d.version().len() == 15);
         // A gradual loss within a minute is as suspicious as a sudden one.
         for n in (5..15).rev() {
-            d.take(4 * SEC, News::Gone(id(n)));
+            d.apply(4 * SEC, News::Gone(id(n)));
         }
         assert!(d.suspicion.is_some() && d.version().len() >= 10, "{}", d.version().len());
         assert!(d.confirm(5 * SEC) && d.version().len() == 5 && d.suspicion.is_none());
@@ -803,12 +806,15 @@
             tenant(3, "", &[]),
         ]);
         let invalid = Entry { dn: vec![0xff, 0xfe].into(), attributes: Vec::new() };
-        d.take(0, News::Entry { uuid: id(4), entry: invalid });
-        assert_eq!((d.version().len(), d.left_out), (1, 2));
+        d.apply(0, News::Entry { uuid: id(4), entry: invalid });
+        assert_eq!((d.version().len(), d.ignored_entries), (1, 2));
         let text = serde_json::to_string(&d.save(5 * SEC)).unwrap();
-        let mut restored = Directory::new(Tenancy::default());
+        let mut restored = Directory::new(EntryMapping::default());
         restored.restore(100 * SEC, serde_json::from_str(&text).unwrap(), 2_000);
-        assert_eq!((tenant_name(&restored, "a").as_deref(), restored.fresh), (Some("Acme"), Some(93 * SEC)));
+        assert_eq!(
+            (tenant_name(&restored, "a").as_deref(), restored.refreshed_at),
+            (Some("Acme"), Some(93 * SEC))
+        );
         assert_eq!(restored.version().tenant(0).unwrap().rate, Some(9.0));
     }
 
@@ -821,12 +827,15 @@
             d.ids.insert((i << 8 | 0xff).to_be_bytes(), d.next);
             d.next += 1;
         }
-        let before = d.version().named(0, "one");
-        assert!(d.take(0, tenant(2, "two", &[])));
-        assert_eq!((d.version().named(0, "one"), d.version().len(), d.left_out), (before, 2, 0));
-        assert!(d.version().named(0, "two") > before, "an id was reused");
+        let before = d.version().tenant_by_name(0, "one");
+        assert!(d.apply(0, tenant(2, "two", &[])));
+        assert_eq!(
+            (d.version().tenant_by_name(0, "one"), d.version().len(), d.ignored_entries),
+            (before, 2, 0)
+        );
+        assert!(d.version().tenant_by_name(0, "two") > before, "an id was reused");
         // An age in the snapshot that is out of range must not overflow.
-        let kept = Kept { age_ms: Some(u64::MAX), ..d.save(0) };
-        Directory::new(Tenancy::default()).restore(0, kept, u64::MAX);
+        let snapshot = DirectorySnapshot { age_ms: Some(u64::MAX), ..d.save(0) };
+        Directory::new(EntryMapping::default()).restore(0, snapshot, u64::MAX);
     }
 }
