--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -7,8 +7,8 @@
 use rockpick_net::{Event, Net, Ns, MS, SEC};
 use rockpick_rehearse::call;
 use rockpick_standin::DirectoryServer;
-use rockpick_tenant::books::{Server, Who};
-use rockpick_tenant::{Books, Identity, Keeper, Link};
+use rockpick_tenant::settings::{Credentials, Server};
+use rockpick_tenant::{DirectorySettings, Identity, Keeper, Link};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -73,8 +73,13 @@
         self
     }
 
-    fn books(&self) -> Books {
-        Books { base: "dc=x".into(), answer_within_ms: 300, poll_ms: 200, ..Books::example(self.at) }
+    fn books(&self) -> DirectorySettings {
+        DirectorySettings {
+            base: "dc=x".into(),
+            answer_within_ms: 300,
+            poll_ms: 200,
+            ..DirectorySettings::example(self.at)
+        }
     }
 }
 
@@ -85,7 +90,7 @@
 }
 
 impl Rig {
-    fn new(books: Books) -> Rig {
+    fn new(books: DirectorySettings) -> Rig {
         assert_eq!(books.check(), []);
         let net = Net::new(1).unwrap();
         let keeper = Keeper::begin(0, books.tenancy.clone(), None, None);
@@ -123,7 +128,7 @@
 fn changes_come_by_synchronisation_and_by_polls_and_go_on_after_a_reset() {
     for sync in [true, false] {
         let d = directory(false, false).filled();
-        let mut rig = Rig::new(Books { sync, page: 3, ..d.books() });
+        let mut rig = Rig::new(DirectorySettings { sync, page: 3, ..d.books() });
         rig.until("first content", |r| r.is("ann", "firm1"));
         assert_eq!((rig.keeper.version().len(), d.get("/status")["staying"] == 1), (8, sync));
         d.post("/entries", json!([user(101, "bob", "firm2"), firm(1, "renamed")]));
@@ -207,30 +212,32 @@
         let d = directory(ldaps, false).filled();
         let keys = d.get("/authority");
         let text = |name: &str| keys[name].as_str().unwrap().to_string();
-        let books = Books {
+        let books = DirectorySettings {
             servers: vec![Server { at: d.at, name: "books.test".into(), ldaps }],
             start_tls: !ldaps,
             authorities: text("authority"),
             ..d.books()
         };
-        let external = Who::External { certificate: text("client_certificate"), key: text("client_key") };
-        let simple = |password: &str| Who::Simple { dn: "cn=front,dc=x".into(), password: password.into() };
-        for login in [Who::Anonymous, external, simple("geheim")] {
-            let mut rig = Rig::new(Books { login, ..books.clone() });
+        let external =
+            Credentials::External { certificate: text("client_certificate"), key: text("client_key") };
+        let simple =
+            |password: &str| Credentials::Simple { dn: "cn=front,dc=x".into(), password: password.into() };
+        for login in [Credentials::Anonymous, external, simple("geheim")] {
+            let mut rig = Rig::new(DirectorySettings { login, ..books.clone() });
             rig.until("content over TLS", |r| r.is("ann", "firm1"));
         }
-        let mut rig = Rig::new(Books { login: simple("wrong"), ..books.clone() });
+        let mut rig = Rig::new(DirectorySettings { login: simple("wrong"), ..books.clone() });
         rig.until("refused", |r| r.link.tolls.why.contains("bind refused: 49"));
         let server = Server { at: d.at, name: "other.test".into(), ldaps };
-        let mut rig = Rig::new(Books { servers: vec![server], ..books.clone() });
+        let mut rig = Rig::new(DirectorySettings { servers: vec![server], ..books.clone() });
         rig.until("another name", |r| r.link.tolls.why.contains("certificate"));
         let stranger = directory(ldaps, false).get("/authority")["authority"].as_str().unwrap().to_string();
-        let mut rig = Rig::new(Books { authorities: stranger, ..books.clone() });
+        let mut rig = Rig::new(DirectorySettings { authorities: stranger, ..books.clone() });
         rig.until("another authority", |r| r.link.tolls.why.contains("certificate"));
         let old = directory(ldaps, true);
         let authorities = old.get("/authority")["authority"].as_str().unwrap().to_string();
         let servers = vec![Server { at: old.at, name: "books.test".into(), ldaps }];
-        let mut rig = Rig::new(Books { servers, authorities, ..books });
+        let mut rig = Rig::new(DirectorySettings { servers, authorities, ..books });
         rig.until("out of date", |r| r.link.tolls.why.contains("expired"));
         assert!(rig.keeper.version().is_empty());
     }
@@ -255,8 +262,8 @@
     let dir = tempfile::tempdir().unwrap();
     let controller = start(&["controller"]);
     let mut charter = Settings::example(1, 2);
-    let unknown = rockpick_tenant::books::UnknownCallersSetting::Refused;
-    charter.directory = Some(Books { unknown, ..d.books() });
+    let unknown = rockpick_tenant::settings::UnknownCallersSetting::Refused;
+    charter.directory = Some(DirectorySettings { unknown, ..d.books() });
     let put = call(controller.at, "PUT", "/settings", &serde_json::to_string(&charter).unwrap()).unwrap();
     assert_eq!(put.status, 200, "{}", String::from_utf8_lossy(&put.body));
     let at = controller.at.to_string();
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -3,7 +3,7 @@
 use rockpick::{
     Control, DedupScope, FrontConfig, Idempotency, Method, Ns, Permissions, Rollout, SafetyLimits,
 };
-use rockpick_tenant::Books;
+use rockpick_tenant::DirectorySettings;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -36,7 +36,7 @@
     pub cross_zone_price: f64,
     /// The directory of tenants; without it all callers are treated alike.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub directory: Option<Books>,
+    pub directory: Option<DirectorySettings>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
@@ -289,7 +289,7 @@
             "1 to 65535",
         );
         require(share(self.cross_zone_price), "cross_zone_price".into(), "0 to 1");
-        for (field, why) in self.directory.iter().flat_map(Books::check) {
+        for (field, why) in self.directory.iter().flat_map(DirectorySettings::check) {
             require(false, format!("directory.{field}"), &why);
         }
         errors
--- a/front/src/tenants.rs
+++ b/front/src/tenants.rs
@@ -6,7 +6,7 @@
 use rockpick_net::{Event, Net, Ns, MS};
 use rockpick_tenant::limit::{UsageCounts, UNKNOWN};
 use rockpick_tenant::model::{DirectorySnapshot, Id};
-use rockpick_tenant::{Books, Identity, Keeper, Limits, Link, Tenants};
+use rockpick_tenant::{DirectorySettings, Identity, Keeper, Limits, Link, Tenants};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -18,7 +18,7 @@
 const MAX_STATUS_ROWS: usize = 100;
 
 pub struct TenantService {
-    books: Books,
+    books: DirectorySettings,
     fronts: usize,
     utilities: Vec<f64>,
     pub link: Link,
--- a/rehearse/src/books.rs
+++ b/rehearse/src/books.rs
@@ -1,6 +1,6 @@
 //! The rehearsal's directory: what it holds in the morning, and what has changed when it returns: a tenant
 //! renamed, one merged into another, one gone, one new. Clients go on naming the former ones.
-use rockpick_tenant::Books;
+use rockpick_tenant::DirectorySettings;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpListener};
 
@@ -45,7 +45,12 @@
 }
 
 /// The settings' part: nobody who is unknown is served, so that what gets lost is seen.
-pub fn books(at: SocketAddr) -> Books {
-    let unknown = rockpick_tenant::books::UnknownCallersSetting::Refused;
-    Books { base: "dc=x".into(), unknown, answer_within_ms: 2_000, ..Books::example(at) }
+pub fn books(at: SocketAddr) -> DirectorySettings {
+    let unknown = rockpick_tenant::settings::UnknownCallersSetting::Refused;
+    DirectorySettings {
+        base: "dc=x".into(),
+        unknown,
+        answer_within_ms: 2_000,
+        ..DirectorySettings::example(at)
+    }
 }
--- a/tenant/src/lib.rs
+++ b/tenant/src/lib.rs
@@ -2,15 +2,15 @@
 //! losses; [`limit`] decides which RPCs of a tenant a front admits; [`source`] decides which server to connect to,
 //! and when. These three do no I/O and read no clock. [`link`] is the connection to a server, on the caller's event
 //! loop; [`keeper`] is the thread that builds versions from entries.
-pub mod books;
 pub mod keeper;
 pub mod limit;
 pub mod link;
 pub mod model;
+pub mod settings;
 pub mod source;
 
-pub use books::Books;
 pub use keeper::Keeper;
 pub use limit::{Limits, UnknownCallers};
 pub use link::Link;
 pub use model::{Directory, EntryMapping, Identity, Tenants};
+pub use settings::DirectorySettings;
--- a/tenant/src/link.rs
+++ b/tenant/src/link.rs
@@ -1,7 +1,7 @@
 //! The connection to a directory, on the caller's event loop: connects, runs TLS and an LDAP session, and passes
 //! the session's updates to the keeper. Never blocks.
-use crate::books::Books;
 use crate::keeper::Keeper;
+use crate::settings::DirectorySettings;
 use crate::source::Source;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -27,7 +27,7 @@
 }
 
 pub struct Link {
-    books: Books,
+    settings: DirectorySettings,
     quest: Quest,
     tls: Option<Arc<ClientConfig>>,
     source: Source,
@@ -47,13 +47,13 @@
 impl Link {
     /// # Errors
     /// Invalid settings.
-    pub fn new(now: Ns, books: Books, fronts: usize, seed: u64) -> Result<Link, String> {
+    pub fn new(now: Ns, settings: DirectorySettings, fronts: usize, seed: u64) -> Result<Link, String> {
         let mut rng = StdRng::seed_from_u64(seed);
-        let tls = books.tls().map_err(|(field, why)| format!("{field}: {why}"))?;
-        let source = Source::new(now, books.servers.len(), fronts, books.binds_a_second, &mut rng);
+        let tls = settings.tls().map_err(|(field, why)| format!("{field}: {why}"))?;
+        let source = Source::new(now, settings.servers.len(), fronts, settings.binds_a_second, &mut rng);
         Ok(Link {
-            quest: books.quest()?,
-            books,
+            quest: settings.session_config()?,
+            settings,
             tls,
             source,
             rng,
@@ -74,7 +74,7 @@
 
     /// The server in use.
     pub fn server(&self) -> Option<SocketAddr> {
-        self.conn.map(|_| self.books.servers[self.server_index].at)
+        self.conn.map(|_| self.settings.servers[self.server_index].at)
     }
 
     /// Unbinds and closes the connection.
@@ -104,7 +104,7 @@
         let server = self.referral.take().unwrap_or(server);
         self.server_index = server;
         self.tolls.dialled += 1;
-        match net.dial(self.books.servers[server].at, CONNECT_TIMEOUT) {
+        match net.dial(self.settings.servers[server].at, CONNECT_TIMEOUT) {
             Ok(conn) => {
                 self.conn = Some(conn);
                 self.handshake_deadline = now + CONNECT_TIMEOUT + self.quest.within;
@@ -129,7 +129,7 @@
     }
 
     fn opened(&mut self, net: &mut Net, keeper: &Keeper) {
-        if self.books.servers[self.server_index].ldaps {
+        if self.settings.servers[self.server_index].ldaps {
             self.start_tls(net);
         } else {
             self.start_session(net.now(), false, keeper);
@@ -144,7 +144,7 @@
 
     /// Starts the TLS handshake.
     fn start_tls(&mut self, net: &mut Net) {
-        let name = ServerName::try_from(self.books.servers[self.server_index].name.clone());
+        let name = ServerName::try_from(self.settings.servers[self.server_index].name.clone());
         let connection = match (&self.tls, name) {
             (Some(tls), Ok(name)) => ClientConnection::new(tls.clone(), name).map_err(|err| err.to_string()),
             _ => Err("TLS is not configured".into()),
@@ -211,9 +211,9 @@
                 Out::Over { why, referral } => {
                     self.flush(net);
                     let configured = |url: &String| {
-                        self.books.servers.iter().position(|s| url.contains(&s.at.to_string()))
+                        self.settings.servers.iter().position(|s| url.contains(&s.at.to_string()))
                     };
-                    if self.books.follow {
+                    if self.settings.follow {
                         self.referral =
                             referral.iter().find_map(configured).filter(|to| *to != self.server_index);
                     }
@@ -241,7 +241,7 @@
     }
 
     fn failed(&mut self, net: &mut Net, why: &str) {
-        let at = self.books.servers[self.server_index].at;
+        let at = self.settings.servers[self.server_index].at;
         tracing::warn!(event = "directory lost", server = %at, why);
         self.tolls.failed += 1;
         self.tolls.why = why.chars().take(200).collect();
--- a/tenant/src/books.rs
+++ b/tenant/src/settings.rs
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Books {
+pub struct DirectorySettings {
     /// In order of preference.
     pub servers: Vec<Server>,
     /// Use StartTLS; not for `ldaps` servers, whose connections start with TLS.
@@ -30,7 +30,7 @@
     #[serde(default)]
     pub authorities: String,
     #[serde(default)]
-    pub login: Who,
+    pub login: Credentials,
     pub base: String,
     /// Which entries are tenants and principals (RFC 4515).
     #[serde(default = "all")]
@@ -71,7 +71,7 @@
 /// Credentials of the fronts.
 #[derive(Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum Who {
+pub enum Credentials {
     #[default]
     Anonymous,
     Simple {
@@ -85,12 +85,12 @@
     },
 }
 
-impl std::fmt::Debug for Who {
+impl std::fmt::Debug for Credentials {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         f.write_str(match self {
-            Who::Anonymous => "anonymous",
-            Who::Simple { .. } => "simple",
-            Who::External { .. } => "external",
+            Credentials::Anonymous => "anonymous",
+            Credentials::Simple { .. } => "simple",
+            Credentials::External { .. } => "external",
         })
     }
 }
@@ -132,7 +132,7 @@
     T::pem_slice_iter(text.as_bytes()).collect::<Result<_, _>>().map_err(|err| err.to_string())
 }
 
-impl Books {
+impl DirectorySettings {
     /// Validates the fields. Returns the path of each invalid field, relative to this section, and the reason.
     pub fn check(&self) -> Vec<(String, String)> {
         let mut errors = Vec::new();
@@ -174,11 +174,11 @@
             }
         } else {
             check(
-                !matches!(self.login, Who::External { .. }),
+                !matches!(self.login, Credentials::External { .. }),
                 "login.external",
                 "wanted: ldaps or start_tls",
             );
-            let unprotected = matches!(self.login, Who::Simple { .. }) && !self.plain;
+            let unprotected = matches!(self.login, Credentials::Simple { .. }) && !self.plain;
             check(
                 !unprotected,
                 "login.simple",
@@ -213,7 +213,7 @@
             .map_err(|err| ("start_tls", err.to_string()))?
             .with_root_certificates(roots);
         let client = match &self.login {
-            Who::External { certificate, key } => {
+            Credentials::External { certificate, key } => {
                 let chain = pem(certificate).map_err(|why| ("login.external.certificate", why))?;
                 let key = PrivateKeyDer::from_pem_slice(key.as_bytes())
                     .map_err(|err| ("login.external.key", err.to_string()))?;
@@ -227,12 +227,14 @@
     }
 
     /// The parameters of a session.
-    pub fn quest(&self) -> Result<Quest, String> {
+    pub fn session_config(&self) -> Result<Quest, String> {
         Ok(Quest {
             login: match &self.login {
-                Who::Anonymous => Login::Anonymous,
-                Who::Simple { dn, password } => Login::Simple { dn: dn.clone(), password: password.clone() },
-                Who::External { .. } => Login::External,
+                Credentials::Anonymous => Login::Anonymous,
+                Credentials::Simple { dn, password } => {
+                    Login::Simple { dn: dn.clone(), password: password.clone() }
+                }
+                Credentials::External { .. } => Login::External,
             },
             start_tls: self.start_tls,
             plain: self.plain,
@@ -256,13 +258,13 @@
     }
 
     /// Example settings: one server without TLS.
-    pub fn example(at: SocketAddr) -> Books {
-        Books {
+    pub fn example(at: SocketAddr) -> DirectorySettings {
+        DirectorySettings {
             servers: vec![Server { at, name: String::new(), ldaps: false }],
             start_tls: false,
             plain: false,
             authorities: String::new(),
-            login: Who::Anonymous,
+            login: Credentials::Anonymous,
             base: "dc=example".into(),
             filter: all(),
             tenancy: EntryMapping::default(),
@@ -283,17 +285,17 @@
 
     #[test]
     fn errors_name_the_invalid_fields() {
-        let books = Books::example(SocketAddr::from(([127, 0, 0, 1], 389)));
-        assert_eq!(books.check(), []);
-        let invalid = Books {
-            login: Who::Simple { dn: "cn=a".into(), password: "x".into() },
+        let settings = DirectorySettings::example(SocketAddr::from(([127, 0, 0, 1], 389)));
+        assert_eq!(settings.check(), []);
+        let invalid = DirectorySettings {
+            login: Credentials::Simple { dn: "cn=a".into(), password: "x".into() },
             filter: "(a".into(),
             page: 0,
-            ..books.clone()
+            ..settings.clone()
         };
         let fields: Vec<String> = invalid.check().into_iter().map(|w| w.0).collect();
         assert_eq!(fields, ["page", "filter", "login.simple"]);
-        let invalid = Books { start_tls: true, authorities: "no pem".into(), ..books };
+        let invalid = DirectorySettings { start_tls: true, authorities: "no pem".into(), ..settings };
         let fields: Vec<String> = invalid.check().into_iter().map(|w| w.0).collect();
         assert_eq!(fields, ["servers[0].name", "authorities"]);
     }
