--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -8,7 +8,7 @@
 use rockpick_rehearse::call;
 use rockpick_standin::DirectoryServer;
 use rockpick_tenant::settings::{Credentials, Server};
-use rockpick_tenant::{DirectorySettings, Identity, Keeper, Link};
+use rockpick_tenant::{DirectorySettings, DirectoryWorker, Identity, Link};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -86,14 +86,14 @@
 struct Rig {
     net: Net,
     link: Link,
-    keeper: Keeper,
+    keeper: DirectoryWorker,
 }
 
 impl Rig {
     fn new(books: DirectorySettings) -> Rig {
         assert_eq!(books.check(), []);
         let net = Net::new(1).unwrap();
-        let keeper = Keeper::begin(0, books.tenancy.clone(), None, None);
+        let keeper = DirectoryWorker::start(0, books.tenancy.clone(), None, None);
         Rig { net, link: Link::new(0, books, 1, 7).unwrap(), keeper }
     }
 
@@ -102,10 +102,10 @@
         let by = self.net.clock() + LONGEST;
         let mut events: Vec<Event> = Vec::new();
         while !fits(self) {
-            assert!(self.net.clock() < by, "{what}: {:?} {:?}", self.link.tolls, self.keeper.view());
+            assert!(self.net.clock() < by, "{what}: {:?} {:?}", self.link.stats, self.keeper.status());
             self.net.turn(&mut events, 5 * MS).unwrap();
             for event in events.drain(..) {
-                self.link.event(&mut self.net, &self.keeper, &event);
+                self.link.handle_event(&mut self.net, &self.keeper, &event);
             }
             self.link.tick(&mut self.net, &self.keeper);
             self.keeper.tick(self.net.now());
@@ -142,11 +142,11 @@
         // Ann's entry still lies below the former DN: the tenant is no longer there.
         rig.until("moved", |r| r.whose("ann").is_none());
         d.post("/fault", json!({ "reset": true }));
-        rig.until("lost", |r| !r.link.settled());
+        rig.until("lost", |r| !r.link.is_up_to_date());
         d.post("/remove", json!([id(101)]));
         assert!(rig.is("bob", "firm2"), "the last good copy stays");
         d.post("/fault", json!({}));
-        rig.until("gone", |r| r.whose("bob").is_none() && r.link.settled());
+        rig.until("gone", |r| r.whose("bob").is_none() && r.link.is_up_to_date());
     }
 }
 
@@ -167,23 +167,23 @@
     for (i, fault) in faults.into_iter().enumerate() {
         d.post("/fault", fault.clone());
         // The connection breaks, and the fault is met from the start.
-        let (failed, refreshes) = (rig.link.tolls.failed, rig.link.tolls.bound);
+        let (failed, refreshes) = (rig.link.stats.failed, rig.link.stats.refreshes);
         d.post("/fault", {
             let mut f = fault.clone();
             f["reset"] = true.into();
             f
         });
-        rig.until("lost", |r| r.link.tolls.failed > failed);
+        rig.until("lost", |r| r.link.stats.failed > failed);
         d.post("/fault", fault.clone());
-        let failed = rig.link.tolls.failed;
+        let failed = rig.link.stats.failed;
         rig.until(&fault.to_string(), |r| {
-            r.link.tolls.failed > failed || r.link.tolls.bound > refreshes && r.link.settled()
+            r.link.stats.failed > failed || r.link.stats.refreshes > refreshes && r.link.is_up_to_date()
         });
         assert!(rig.is("ann", "firm1") && rig.keeper.version().len() == 8, "{fault}");
         d.post("/fault", json!({}));
         let name = format!("u{i}");
         d.post("/entries", json!([user(200 + i, &name, "firm3")]));
-        rig.until("back", |r| r.is(&name, "firm3") && r.link.settled());
+        rig.until("back", |r| r.is(&name, "firm3") && r.link.is_up_to_date());
     }
 }
 
@@ -193,15 +193,15 @@
     let mut rig = Rig::new(d.books());
     rig.until("first content", |r| r.keeper.version().len() == 8);
     d.post("/fault", json!({ "reset": true }));
-    rig.until("lost", |r| !r.link.settled());
+    rig.until("lost", |r| !r.link.is_up_to_date());
     d.post("/fault", json!({ "empty": true, "forget": true }));
-    rig.until("suspected", |r| r.keeper.view().suspicion.is_some());
+    rig.until("suspected", |r| r.keeper.status().suspicion.is_some());
     assert_eq!(rig.keeper.version().len(), 8);
     rig.keeper.confirm(rig.net.now());
     rig.until("confirmed", |r| r.keeper.version().is_empty());
     d.post("/fault", json!({ "reset": true }));
-    let failed = rig.link.tolls.failed;
-    rig.until("lost", |r| r.link.tolls.failed > failed);
+    let failed = rig.link.stats.failed;
+    rig.until("lost", |r| r.link.stats.failed > failed);
     d.post("/fault", json!({ "forget": true }));
     rig.until("back", |r| r.keeper.version().len() == 8);
 }
@@ -227,18 +227,18 @@
             rig.until("content over TLS", |r| r.is("ann", "firm1"));
         }
         let mut rig = Rig::new(DirectorySettings { login: simple("wrong"), ..books.clone() });
-        rig.until("refused", |r| r.link.tolls.why.contains("bind refused: 49"));
+        rig.until("refused", |r| r.link.stats.last_error.contains("bind refused: 49"));
         let server = Server { at: d.at, name: "other.test".into(), ldaps };
         let mut rig = Rig::new(DirectorySettings { servers: vec![server], ..books.clone() });
-        rig.until("another name", |r| r.link.tolls.why.contains("certificate"));
+        rig.until("another name", |r| r.link.stats.last_error.contains("certificate"));
         let stranger = directory(ldaps, false).get("/authority")["authority"].as_str().unwrap().to_string();
         let mut rig = Rig::new(DirectorySettings { authorities: stranger, ..books.clone() });
-        rig.until("another authority", |r| r.link.tolls.why.contains("certificate"));
+        rig.until("another authority", |r| r.link.stats.last_error.contains("certificate"));
         let old = directory(ldaps, true);
         let authorities = old.get("/authority")["authority"].as_str().unwrap().to_string();
         let servers = vec![Server { at: old.at, name: "books.test".into(), ldaps }];
         let mut rig = Rig::new(DirectorySettings { servers, authorities, ..books });
-        rig.until("out of date", |r| r.link.tolls.why.contains("expired"));
+        rig.until("out of date", |r| r.link.stats.last_error.contains("expired"));
         assert!(rig.keeper.version().is_empty());
     }
 }
@@ -251,7 +251,7 @@
     books.servers.insert(0, Server { at: gone, name: String::new(), ldaps: false });
     let mut rig = Rig::new(books);
     rig.until("the second", |r| r.is("ann", "firm1"));
-    assert_eq!((rig.link.server(), rig.link.tolls.failed), (Some(d.at), 1));
+    assert_eq!((rig.link.server(), rig.link.stats.failed), (Some(d.at), 1));
 }
 
 /// The whole front: known callers are served from the last good copy, whether the directory is there or not,
--- a/front/src/tenants.rs
+++ b/front/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants at a front: the connection to the directory, the keeper of directory versions, and the limits.
+//! Tenants at a front: the connection to the directory, the worker that builds directory versions, and the limits.
 //! RPCs read the current version without waiting; admission is decided in `rockpick_tenant::limit`.
 use rockpick_control::{atomic_file, Settings};
 use rockpick_ldap::message::{uuid, uuid_text};
@@ -6,7 +6,7 @@
 use rockpick_net::{Event, Net, Ns, MS};
 use rockpick_tenant::limit::{UsageCounts, UNKNOWN};
 use rockpick_tenant::model::{DirectorySnapshot, Id};
-use rockpick_tenant::{DirectorySettings, Identity, Keeper, Limits, Link, Tenants};
+use rockpick_tenant::{DirectorySettings, DirectoryWorker, Identity, Limits, Link, Tenants};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
     fronts: usize,
     utilities: Vec<f64>,
     pub link: Link,
-    keeper: Keeper,
+    worker: DirectoryWorker,
     limits: Limits,
 }
 
@@ -72,7 +72,7 @@
             .ok()?;
         let file = snapshot_path(state, name);
         let kept = file.as_ref().and_then(|f| load(f));
-        let save = file.map(|file| -> rockpick_tenant::keeper::Save {
+        let save = file.map(|file| -> rockpick_tenant::worker::SaveSnapshot {
             Box::new(move |kept| {
                 let stored = StoredTenants { directory: kept.clone(), saved_ms: crate::snapshot::wall_ms() };
                 let text = serde_json::to_vec(&stored).map_err(std::io::Error::other);
@@ -84,9 +84,9 @@
                 done.is_ok()
             })
         });
-        let keeper = Keeper::begin(now, books.tenancy.clone(), kept, save);
+        let worker = DirectoryWorker::start(now, books.tenancy.clone(), kept, save);
         let limits = Limits::new(now, fronts, books.unknown_callers(), utilities(charter));
-        Some(TenantService { utilities: utilities(charter), books, fronts, link, keeper, limits })
+        Some(TenantService { utilities: utilities(charter), books, fronts, link, worker, limits })
     }
 
     /// Whether other settings leave the tenant service as it is.
@@ -98,20 +98,20 @@
 
     /// Closes the directory session and saves a last snapshot.
     pub fn shut_down(mut self, net: &mut Net) {
-        self.link.leave(net, &self.keeper);
-        if !self.keeper.end(net.now()) {
+        self.link.close(net, &self.worker);
+        if !self.worker.stop(net.now()) {
             tracing::error!(event = "tenants not kept", why = "the disk does not answer");
         }
     }
 
     /// Returns true if the event belongs to the directory connection.
     pub fn handle_event(&mut self, net: &mut Net, event: &Event) -> bool {
-        self.link.event(net, &self.keeper, event)
+        self.link.handle_event(net, &self.worker, event)
     }
 
     pub fn tick(&mut self, net: &mut Net) {
-        self.link.tick(net, &self.keeper);
-        self.keeper.tick(net.now());
+        self.link.tick(net, &self.worker);
+        self.worker.tick(net.now());
     }
 
     /// Finds the tenant of an RPC by its API key, its principal, or the tenant that it names.
@@ -132,7 +132,7 @@
     /// # Errors
     /// The time to wait before a retry.
     pub fn admit(&mut self, now: Ns, request: &Request, method: usize) -> Result<Id, Ns> {
-        let tenants: Arc<Tenants> = self.keeper.version();
+        let tenants: Arc<Tenants> = self.worker.version();
         let tenant = self.identify_tenant(now, &tenants, request);
         self.limits.admit(now, &tenants, tenant, method)
     }
@@ -143,7 +143,7 @@
 
     /// Usage sums for the controller, by entryUUID.
     pub fn usage_sums(&mut self) -> Vec<Value> {
-        let tenants = self.keeper.version();
+        let tenants = self.worker.version();
         let mut rows = self.limits.take_counts();
         rows.sort_by_key(|(id, s)| (std::cmp::Reverse(s[0]), *id));
         rows.truncate(MAX_SUM_ROWS);
@@ -156,7 +156,7 @@
 
     /// Applies the sums over all fronts that the controller sends.
     pub fn apply_sums(&mut self, now: Ns, message: &Value) {
-        let tenants = self.keeper.version();
+        let tenants = self.worker.version();
         let span = message["span_ms"].as_f64().unwrap_or(0.0).clamp(1.0, 1e9) * MS as f64;
         let empty = Vec::new();
         let rows = message["rows"].as_array().unwrap_or(&empty).iter().filter_map(|row| {
@@ -170,25 +170,25 @@
         self.limits.apply_global_counts(now, span as Ns, &sums);
     }
 
-    /// Confirms a suspicious change of the directory, and returns whether there was one. `None`: the keeper
+    /// Confirms a suspicious change of the directory, and returns whether there was one. `None`: the worker
     /// could not accept the confirmation, so it must be repeated.
     pub fn confirm(&self, now: Ns) -> Option<bool> {
-        let suspected = self.keeper.view().suspicion.is_some();
-        self.keeper.confirm(now).then_some(suspected)
+        let suspected = self.worker.status().suspicion.is_some();
+        self.worker.confirm(now).then_some(suspected)
     }
 
     pub fn status(&self, now: Ns) -> Value {
-        let (view, tenants) = (self.keeper.view(), self.keeper.version());
+        let (view, tenants) = (self.worker.status(), self.worker.version());
         let (whole, rows) = self.limits.status();
-        let t = &self.link.tolls;
+        let t = &self.link.stats;
         let name = |id: &Id| tenants.tenant(*id).map_or("unknown".to_string(), |t| t.name.to_string());
         let rows: Vec<Value> =
             rows.iter().take(MAX_STATUS_ROWS).map(|(id, part, keep)| json!([name(id), part, keep])).collect();
-        json!({ "server": self.link.server().map(|s| s.to_string()), "settled": self.link.settled(),
+        json!({ "server": self.link.server().map(|s| s.to_string()), "settled": self.link.is_up_to_date(),
             "age_ms": view.refreshed_at.map(|f| (now - f) / MS), "version": tenants.version, "tenants": tenants.len(),
             "identities": tenants.identity_count(), "left_out": view.ignored_entries,
             "suspicion": view.suspicion.map(|s| json!({ "missing": s.missing, "of": s.of, "for_ms": (now - s.since) / MS })),
-            "dialled": t.dialled, "refreshes": t.bound, "failed": t.failed, "why": t.why, "divided_a_second": whole,
+            "dialled": t.dialled, "refreshes": t.refreshes, "failed": t.failed, "why": t.last_error, "divided_a_second": whole,
             "thinned": self.limits.thinned, "over_rate": self.limits.over_rate, "limits": rows })
     }
 }
--- a/tenant/src/link.rs
+++ b/tenant/src/link.rs
@@ -1,8 +1,8 @@
 //! The connection to a directory, on the caller's event loop: connects, runs TLS and an LDAP session, and passes
-//! the session's updates to the keeper. Never blocks.
-use crate::keeper::Keeper;
+//! the session's updates to the worker. Never blocks.
+use crate::server_selector::ServerSelector;
 use crate::settings::DirectorySettings;
-use crate::source::Source;
+use crate::worker::DirectoryWorker;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rockpick_ldap::{News, Out, Quest, Session};
@@ -18,19 +18,19 @@
 
 /// Statistics for the status.
 #[derive(Clone, Debug, Default)]
-pub struct Tolls {
+pub struct LinkStats {
     pub dialled: u64,
-    pub bound: u64,
+    pub refreshes: u64,
     pub failed: u64,
     /// Reason of the last failure; empty after a completed refresh.
-    pub why: String,
+    pub last_error: String,
 }
 
 pub struct Link {
     settings: DirectorySettings,
     quest: Quest,
     tls: Option<Arc<ClientConfig>>,
-    source: Source,
+    selector: ServerSelector,
     rng: StdRng,
     conn: Option<Id>,
     /// Index of the server in use.
@@ -41,7 +41,7 @@
     session: Option<Session>,
     /// The server that a referral points to.
     referral: Option<usize>,
-    pub tolls: Tolls,
+    pub stats: LinkStats,
 }
 
 impl Link {
@@ -50,12 +50,13 @@
     pub fn new(now: Ns, settings: DirectorySettings, fronts: usize, seed: u64) -> Result<Link, String> {
         let mut rng = StdRng::seed_from_u64(seed);
         let tls = settings.tls().map_err(|(field, why)| format!("{field}: {why}"))?;
-        let source = Source::new(now, settings.servers.len(), fronts, settings.binds_a_second, &mut rng);
+        let selector =
+            ServerSelector::new(now, settings.servers.len(), fronts, settings.binds_a_second, &mut rng);
         Ok(Link {
             quest: settings.session_config()?,
             settings,
             tls,
-            source,
+            selector,
             rng,
             conn: None,
             server_index: 0,
@@ -63,12 +64,12 @@
             tls_conn: None,
             session: None,
             referral: None,
-            tolls: Tolls::default(),
+            stats: LinkStats::default(),
         })
     }
 
     /// Whether the session has completed a refresh and receives changes.
-    pub fn settled(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         self.session.as_ref().is_some_and(Session::settled)
     }
 
@@ -78,32 +79,32 @@
     }
 
     /// Unbinds and closes the connection.
-    pub fn leave(&mut self, net: &mut Net, keeper: &Keeper) {
+    pub fn close(&mut self, net: &mut Net, worker: &DirectoryWorker) {
         if let Some(session) = &mut self.session {
             session.leave();
-            self.process_session_output(net, keeper);
+            self.process_session_output(net, worker);
         }
     }
 
     /// Handles timeouts and connection attempts; to be called several times a second.
-    pub fn tick(&mut self, net: &mut Net, keeper: &Keeper) {
+    pub fn tick(&mut self, net: &mut Net, worker: &DirectoryWorker) {
         let now = net.now();
         if let Some(session) = &mut self.session {
             session.tick(now);
-            self.process_session_output(net, keeper);
+            self.process_session_output(net, worker);
         } else if self.conn.is_some() && self.handshake_deadline <= now {
             self.failed(net, "TLS handshake timed out");
         }
-        if self.source.better(now, &mut self.rng) {
+        if self.selector.fail_back(now, &mut self.rng) {
             if let Some(session) = &mut self.session {
                 session.leave();
             }
             self.disconnect(net);
         }
-        let Some(server) = self.source.dial(now) else { return };
+        let Some(server) = self.selector.next_dial(now) else { return };
         let server = self.referral.take().unwrap_or(server);
         self.server_index = server;
-        self.tolls.dialled += 1;
+        self.stats.dialled += 1;
         match net.dial(self.settings.servers[server].at, CONNECT_TIMEOUT) {
             Ok(conn) => {
                 self.conn = Some(conn);
@@ -114,11 +115,11 @@
     }
 
     /// Handles a stream event. Returns false if it belongs to another connection.
-    pub fn event(&mut self, net: &mut Net, keeper: &Keeper, event: &Event) -> bool {
+    pub fn handle_event(&mut self, net: &mut Net, worker: &DirectoryWorker, event: &Event) -> bool {
         let is_own = |conn: &Id| self.conn == Some(*conn);
         match event {
-            Event::StreamOpened { conn } if is_own(conn) => self.opened(net, keeper),
-            Event::StreamData { conn, bytes } if is_own(conn) => self.receive(net, keeper, bytes),
+            Event::StreamOpened { conn } if is_own(conn) => self.opened(net, worker),
+            Event::StreamData { conn, bytes } if is_own(conn) => self.receive(net, worker, bytes),
             Event::StreamClosed { conn, .. } if is_own(conn) => {
                 self.conn = None;
                 self.failed(net, "connection closed");
@@ -128,17 +129,17 @@
         true
     }
 
-    fn opened(&mut self, net: &mut Net, keeper: &Keeper) {
+    fn opened(&mut self, net: &mut Net, worker: &DirectoryWorker) {
         if self.settings.servers[self.server_index].ldaps {
             self.start_tls(net);
         } else {
-            self.start_session(net.now(), false, keeper);
+            self.start_session(net.now(), false, worker);
         }
-        self.process_session_output(net, keeper);
+        self.process_session_output(net, worker);
     }
 
-    fn start_session(&mut self, now: Ns, secured: bool, keeper: &Keeper) {
-        let cookie = keeper.view().cookie;
+    fn start_session(&mut self, now: Ns, secured: bool, worker: &DirectoryWorker) {
+        let cookie = worker.status().cookie;
         self.session = Some(Session::begin(now, self.quest.clone(), secured, cookie));
     }
 
@@ -155,13 +156,13 @@
         }
     }
 
-    fn receive(&mut self, net: &mut Net, keeper: &Keeper, bytes: &[u8]) {
+    fn receive(&mut self, net: &mut Net, worker: &DirectoryWorker, bytes: &[u8]) {
         let now = net.now();
         let Some(tls_conn) = &mut self.tls_conn else {
             if let Some(session) = &mut self.session {
                 session.bytes(now, bytes);
             }
-            return self.process_session_output(net, keeper);
+            return self.process_session_output(net, worker);
         };
         let mut plaintext = Vec::new();
         let decrypted = tls::decrypt(tls_conn, bytes, &mut plaintext);
@@ -176,14 +177,14 @@
         if !tls_conn.is_handshaking() {
             match &mut self.session {
                 Some(session) => session.secured(now),
-                None => self.start_session(now, true, keeper),
+                None => self.start_session(now, true, worker),
             }
         }
-        self.process_session_output(net, keeper);
+        self.process_session_output(net, worker);
     }
 
     /// Executes the session's output.
-    fn process_session_output(&mut self, net: &mut Net, keeper: &Keeper) {
+    fn process_session_output(&mut self, net: &mut Net, worker: &DirectoryWorker) {
         let now = net.now();
         let Some(session) = &mut self.session else { return self.flush(net) };
         for out in session.out() {
@@ -196,16 +197,16 @@
                 Out::StartTls => self.start_tls(net),
                 Out::News(news) => {
                     match &news {
-                        News::Begin => self.tolls.bound += 1,
+                        News::Begin => self.stats.refreshes += 1,
                         News::End { .. } => {
-                            self.source.good(now);
-                            self.tolls.why.clear();
+                            self.selector.succeeded(now);
+                            self.stats.last_error.clear();
                         }
                         _ => {}
                     }
-                    if !keeper.tell(now, news) {
+                    if !worker.submit(now, news) {
                         self.flush(net);
-                        return self.failed(net, "update queue of the keeper is full");
+                        return self.failed(net, "update queue is full");
                     }
                 }
                 Out::Over { why, referral } => {
@@ -243,9 +244,9 @@
     fn failed(&mut self, net: &mut Net, why: &str) {
         let at = self.settings.servers[self.server_index].at;
         tracing::warn!(event = "directory lost", server = %at, why);
-        self.tolls.failed += 1;
-        self.tolls.why = why.chars().take(200).collect();
+        self.stats.failed += 1;
+        self.stats.last_error = why.chars().take(200).collect();
         self.disconnect(net);
-        self.source.failed(net.now(), &mut self.rng);
+        self.selector.failed(net.now(), &mut self.rng);
     }
 }
--- a/tenant/src/source.rs
+++ b/tenant/src/server_selector.rs
@@ -13,35 +13,37 @@
 const FAIL_BACK_DELAY: Ns = 300 * SEC;
 
 #[derive(Clone, Debug)]
-pub struct Source {
+pub struct ServerSelector {
     servers: usize,
     /// Maximum binds per second of all fronts together.
     binds_a_second: f64,
     fronts: usize,
     /// Index of the server to try next, or in use.
-    pub at: usize,
+    pub server: usize,
     failures: usize,
     backoff: Ns,
     /// When the next attempt is due; `Ns::MAX` while a server is in use.
-    pub due: Ns,
+    pub due_at: Ns,
     fail_back_at: Ns,
 }
 
-impl Source {
+impl ServerSelector {
     /// The first attempt is delayed at random like any other, as the fronts of a site may start together.
-    pub fn new(now: Ns, servers: usize, fronts: usize, binds_a_second: f64, rng: &mut StdRng) -> Source {
-        let mut source = Source {
+    pub fn new(
+        now: Ns, servers: usize, fronts: usize, binds_a_second: f64, rng: &mut StdRng,
+    ) -> ServerSelector {
+        let mut selector = ServerSelector {
             servers: servers.max(1),
             binds_a_second: binds_a_second.max(0.1),
             fronts: fronts.max(1),
-            at: 0,
+            server: 0,
             failures: 0,
             backoff: FIRST_BACKOFF,
-            due: 0,
+            due_at: 0,
             fail_back_at: Ns::MAX,
         };
-        source.due = now + source.random_delay(0, rng);
-        source
+        selector.due_at = now + selector.random_delay(0, rng);
+        selector
     }
 
     /// The time in which all fronts can connect at the maximum rate.
@@ -60,18 +62,18 @@
     }
 
     /// The server to dial, if an attempt is due.
-    pub fn dial(&mut self, now: Ns) -> Option<usize> {
-        if self.due > now {
+    pub fn next_dial(&mut self, now: Ns) -> Option<usize> {
+        if self.due_at > now {
             return None;
         }
-        self.due = Ns::MAX;
-        Some(self.at)
+        self.due_at = Ns::MAX;
+        Some(self.server)
     }
 
     /// The server in use has completed a refresh.
-    pub fn good(&mut self, now: Ns) {
+    pub fn succeeded(&mut self, now: Ns) {
         (self.failures, self.backoff) = (0, FIRST_BACKOFF);
-        self.fail_back_at = if self.at == 0 { Ns::MAX } else { now + FAIL_BACK_DELAY };
+        self.fail_back_at = if self.server == 0 { Ns::MAX } else { now + FAIL_BACK_DELAY };
     }
 
     /// The server in use has failed: continues with the next one, or with a backoff if all have failed. The next
@@ -81,24 +83,24 @@
         self.fail_back_at = Ns::MAX;
         let wait = if self.failures >= self.servers {
             self.failures = 0;
-            self.at = 0;
+            self.server = 0;
             let wait = self.backoff;
             self.backoff = (2 * wait).min(MAX_BACKOFF);
             wait
         } else {
-            self.at = (self.at + 1) % self.servers;
+            self.server = (self.server + 1) % self.servers;
             0
         };
-        self.due = now + self.random_delay(wait, rng);
+        self.due_at = now + self.random_delay(wait, rng);
     }
 
     /// Returns true if it is time to leave the server in use for the preferred one.
-    pub fn better(&mut self, now: Ns, rng: &mut StdRng) -> bool {
+    pub fn fail_back(&mut self, now: Ns, rng: &mut StdRng) -> bool {
         if self.fail_back_at > now {
             return false;
         }
-        (self.at, self.failures, self.fail_back_at) = (0, 0, Ns::MAX);
-        self.due = now + self.random_delay(0, rng);
+        (self.server, self.failures, self.fail_back_at) = (0, 0, Ns::MAX);
+        self.due_at = now + self.random_delay(0, rng);
         true
     }
 }
@@ -113,20 +115,21 @@
     #[test]
     fn reconnects_after_an_outage_are_spread() {
         let mut rng = StdRng::seed_from_u64(3);
-        let mut fronts: Vec<Source> = (0..120).map(|_| Source::new(0, 2, 120, 20.0, &mut rng)).collect();
+        let mut fronts: Vec<ServerSelector> =
+            (0..120).map(|_| ServerSelector::new(0, 2, 120, 20.0, &mut rng)).collect();
         let available_at = 60 * SEC;
         let mut binds = vec![0; 200];
         let mut last = 0;
         for step in 0..2_000 {
             let now = step * SEC / 10;
             for s in &mut fronts {
-                if s.dial(now).is_some() {
+                if s.next_dial(now).is_some() {
                     if now < available_at {
                         s.failed(now, &mut rng);
                     } else {
                         binds[(now / SEC) as usize] += 1;
                         last = last.max(now);
-                        s.good(now);
+                        s.succeeded(now);
                     }
                 }
             }
@@ -139,18 +142,18 @@
     #[test]
     fn servers_are_tried_in_order_with_fail_back_to_the_first() {
         let mut rng = StdRng::seed_from_u64(3);
-        let mut s = Source::new(0, 3, 1, 1e6, &mut rng);
-        assert_eq!(s.dial(SEC), Some(0));
+        let mut s = ServerSelector::new(0, 3, 1, 1e6, &mut rng);
+        assert_eq!(s.next_dial(SEC), Some(0));
         s.failed(SEC, &mut rng);
-        assert_eq!(s.dial(SEC + SEC / 10), Some(1));
-        s.good(2 * SEC);
-        assert!(!s.better(3 * SEC, &mut rng));
-        assert!(s.better(2 * SEC + FAIL_BACK_DELAY, &mut rng) && s.at == 0);
+        assert_eq!(s.next_dial(SEC + SEC / 10), Some(1));
+        s.succeeded(2 * SEC);
+        assert!(!s.fail_back(3 * SEC, &mut rng));
+        assert!(s.fail_back(2 * SEC + FAIL_BACK_DELAY, &mut rng) && s.server == 0);
         for _ in 0..3 {
-            let now = s.due;
-            s.dial(now).unwrap();
+            let now = s.due_at;
+            s.next_dial(now).unwrap();
             s.failed(now, &mut rng);
         }
-        assert!(s.at == 0 && s.due != Ns::MAX);
+        assert!(s.server == 0 && s.due_at != Ns::MAX);
     }
 }
--- a/tenant/src/keeper.rs
+++ b/tenant/src/worker.rs
@@ -26,43 +26,44 @@
 
 /// State of the directory for status reports.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct DirectoryStatus {
     pub suspicion: Option<Suspicion>,
     pub ignored_entries: u64,
     pub refreshed_at: Option<Ns>,
     pub cookie: Option<Vec<u8>>,
 }
 
-pub struct Keeper {
+pub struct DirectoryWorker {
     commands: SyncSender<Command>,
     version: Arc<ArcSwap<Tenants>>,
-    view: Arc<Mutex<View>>,
+    status: Arc<Mutex<DirectoryStatus>>,
     /// Receives no message; disconnected when the thread has ended.
     exited: Receiver<()>,
 }
 
 /// Writes a snapshot; returns false if that failed and must be retried.
-pub type Save = Box<dyn FnMut(&DirectorySnapshot) -> bool + Send>;
+pub type SaveSnapshot = Box<dyn FnMut(&DirectorySnapshot) -> bool + Send>;
 
-impl Keeper {
+impl DirectoryWorker {
     /// Starts the thread, with the content of a snapshot and its age in milliseconds.
-    pub fn begin(
-        now: Ns, tenancy: EntryMapping, snapshot: Option<(DirectorySnapshot, u64)>, save: Option<Save>,
-    ) -> Keeper {
+    pub fn start(
+        now: Ns, tenancy: EntryMapping, snapshot: Option<(DirectorySnapshot, u64)>,
+        save: Option<SaveSnapshot>,
+    ) -> DirectoryWorker {
         let mut directory = Directory::new(tenancy);
         if let Some((snapshot, older_ms)) = snapshot {
             directory.restore(now, snapshot, older_ms);
         }
         let (commands, receiver) = sync_channel(QUEUE_CAPACITY);
         let version = Arc::new(ArcSwap::new(directory.version().clone()));
-        let view = Arc::new(Mutex::new(View::of(&directory)));
-        let (shared_version, shared_view) = (version.clone(), view.clone());
+        let status = Arc::new(Mutex::new(DirectoryStatus::of(&directory)));
+        let (shared_version, shared_status) = (version.clone(), status.clone());
         let (exit_guard, exited) = channel::<()>();
         std::thread::spawn(move || {
             let _exit_guard = exit_guard;
-            run(directory, &receiver, &shared_version, &shared_view, save);
+            run(directory, &receiver, &shared_version, &shared_status, save);
         });
-        Keeper { commands, version, view, exited }
+        DirectoryWorker { commands, version, status, exited }
     }
 
     /// The current version; an RPC keeps the one that it started with.
@@ -70,12 +71,12 @@
         self.version.load_full()
     }
 
-    pub fn view(&self) -> View {
-        self.view.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub fn status(&self) -> DirectoryStatus {
+        self.status.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Queues an update. Returns false if the queue is full: the update is lost and the session must be restarted.
-    pub fn tell(&self, now: Ns, news: News) -> bool {
+    pub fn submit(&self, now: Ns, news: News) -> bool {
         self.commands.try_send(Command::News(now, news)).is_ok()
     }
 
@@ -90,7 +91,7 @@
     }
 
     /// Writes a last snapshot and stops the thread. Returns false if the disk does not respond in time.
-    pub fn end(self, now: Ns) -> bool {
+    pub fn stop(self, now: Ns) -> bool {
         // If the queue is full, the thread ends after the commands in it.
         let _ = self.commands.try_send(Command::Stop(now));
         drop(self.commands);
@@ -98,9 +99,9 @@
     }
 }
 
-impl View {
-    fn of(d: &Directory) -> View {
-        View {
+impl DirectoryStatus {
+    fn of(d: &Directory) -> DirectoryStatus {
+        DirectoryStatus {
             suspicion: d.suspicion.clone(),
             ignored_entries: d.ignored_entries,
             refreshed_at: d.refreshed_at,
@@ -110,26 +111,26 @@
 }
 
 fn run(
-    mut directory: Directory, commands: &Receiver<Command>, version: &ArcSwap<Tenants>, view: &Mutex<View>,
-    mut save: Option<Save>,
+    mut directory: Directory, commands: &Receiver<Command>, version: &ArcSwap<Tenants>,
+    status: &Mutex<DirectoryStatus>, mut save: Option<SaveSnapshot>,
 ) {
     // The first version is saved at once, for a front that is killed soon after its start.
     let (mut saved, mut saved_at) = (directory.version().version, -SAVE_INTERVAL);
     for command in commands {
-        let (now, refresh_view, stop) = match command {
+        let (now, refresh_status, stop) = match command {
             Command::News(now, news) => {
-                let changes_view = matches!(news, News::End { .. } | News::Cookie(_));
-                (now, directory.apply(now, news) || changes_view, false)
+                let changes_status = matches!(news, News::End { .. } | News::Cookie(_));
+                (now, directory.apply(now, news) || changes_status, false)
             }
             Command::Confirm(now) => (now, directory.confirm(now), false),
             Command::Tick(now) => (now, true, false),
             Command::Stop(now) => (now, true, true),
         };
-        if refresh_view {
+        if refresh_status {
             if !Arc::ptr_eq(&version.load(), directory.version()) {
                 version.store(directory.version().clone());
             }
-            *view.lock().unwrap_or_else(PoisonError::into_inner) = View::of(&directory);
+            *status.lock().unwrap_or_else(PoisonError::into_inner) = DirectoryStatus::of(&directory);
         }
         let due = directory.version().version != saved && (now - saved_at >= SAVE_INTERVAL || stop);
         if let Some(save) = save.as_mut().filter(|_| due) {
@@ -152,8 +153,8 @@
     /// Finding 43: a confirmation was reported as accepted although the thread had ended.
     #[test]
     fn confirmation_fails_after_the_thread_has_ended() {
-        let save: Save = Box::new(|_| panic!("on purpose"));
-        let keeper = Keeper::begin(0, EntryMapping::default(), None, Some(save));
+        let save: SaveSnapshot = Box::new(|_| panic!("on purpose"));
+        let worker = DirectoryWorker::start(0, EntryMapping::default(), None, Some(save));
         let kind = |name: &str| rockpick_ldap::message::Attribute {
             kind: name.as_bytes().to_vec().into(),
             values: vec![b"organization".to_vec().into()].into(),
@@ -163,10 +164,10 @@
             attributes: vec![kind("objectClass"), kind("o")],
         };
         for news in [News::Begin, News::Entry { uuid: [1; 16], entry }, News::End { whole: true }] {
-            assert!(keeper.tell(0, news));
+            assert!(worker.submit(0, news));
         }
         // The thread panics while saving its snapshot, which disconnects the channel.
-        assert!(keeper.exited.recv().is_err());
-        assert!(!keeper.confirm(0));
+        assert!(worker.exited.recv().is_err());
+        assert!(!worker.confirm(0));
     }
 }
