--- a/front/src/tenants.rs
+++ b/front/src/tenants.rs
@@ -1,7 +1,7 @@
 //! Tenants at a front: the connection to the directory, the worker that builds directory versions, and the limits.
 //! RPCs read the current version without waiting; admission is decided in `rockpick_tenant::limit`.
 use rockpick_control::{atomic_file, Settings};
-use rockpick_ldap::message::{uuid, uuid_text};
+use rockpick_ldap::message::{format_uuid, parse_uuid};
 use rockpick_net::http::Request;
 use rockpick_net::{Event, Net, Ns, MS};
 use rockpick_tenant::limit::{UsageCounts, UNKNOWN};
@@ -148,7 +148,7 @@
         rows.sort_by_key(|(id, s)| (std::cmp::Reverse(s[0]), *id));
         rows.truncate(MAX_SUM_ROWS);
         let name = |id: Id| match tenants.tenant(id) {
-            Some(t) => Some(uuid_text(&t.uuid)),
+            Some(t) => Some(format_uuid(&t.uuid)),
             None => (id == UNKNOWN).then(|| "unknown".to_string()),
         };
         rows.into_iter().filter_map(|(id, [a, s, r])| Some(json!([name(id)?, a, s, r]))).collect()
@@ -161,7 +161,7 @@
         let empty = Vec::new();
         let rows = message["rows"].as_array().unwrap_or(&empty).iter().filter_map(|row| {
             let name = row.get(0)?.as_str()?;
-            let id = if name == "unknown" { UNKNOWN } else { tenants.id_by_uuid(&uuid(name)?)? };
+            let id = if name == "unknown" { UNKNOWN } else { tenants.id_by_uuid(&parse_uuid(name)?)? };
             let n =
                 |i: usize| row.get(i).and_then(Value::as_u64).map_or(0, |n| n.min(u32::MAX.into()) as u32);
             Some((id, [n(1), n(2), n(3)]))
--- a/ldap/src/message.rs
+++ b/ldap/src/message.rs
@@ -8,8 +8,8 @@
 };
 
 pub const START_TLS: &[u8] = b"1.3.6.1.4.1.1466.20037";
-pub const DISCONNECTION: &[u8] = b"1.3.6.1.4.1.1466.20036";
-pub const PAGED: &[u8] = b"1.2.840.113556.1.4.319";
+pub const NOTICE_OF_DISCONNECTION: &[u8] = b"1.3.6.1.4.1.1466.20036";
+pub const PAGED_RESULTS: &[u8] = b"1.2.840.113556.1.4.319";
 pub const SYNC_REQUEST: &[u8] = b"1.3.6.1.4.1.4203.1.9.1.1";
 pub const SYNC_STATE: &[u8] = b"1.3.6.1.4.1.4203.1.9.1.2";
 pub const SYNC_DONE: &[u8] = b"1.3.6.1.4.1.4203.1.9.1.3";
@@ -18,21 +18,21 @@
 /// Result codes (RFC 4511 §4.1.9; 4096: RFC 4533 §2.4).
 pub const SUCCESS: u32 = 0;
 pub const PROTOCOL_ERROR: u32 = 2;
-pub const TIME_LIMIT: u32 = 3;
-pub const SIZE_LIMIT: u32 = 4;
+pub const TIME_LIMIT_EXCEEDED: u32 = 3;
+pub const SIZE_LIMIT_EXCEEDED: u32 = 4;
 pub const AUTH_METHOD_NOT_SUPPORTED: u32 = 7;
 pub const REFERRAL: u32 = 10;
-pub const UNAVAILABLE_CRITICAL: u32 = 12;
+pub const UNAVAILABLE_CRITICAL_EXTENSION: u32 = 12;
 pub const NO_SUCH_OBJECT: u32 = 32;
 pub const INVALID_CREDENTIALS: u32 = 49;
 pub const UNAVAILABLE: u32 = 52;
-pub const UNWILLING: u32 = 53;
+pub const UNWILLING_TO_PERFORM: u32 = 53;
 pub const REFRESH_REQUIRED: u32 = 4096;
 
 /// An extensible enumerated value, such as a result code.
 #[derive(AsnType, Encode, Decode, Debug, Clone, Copy, PartialEq, Eq)]
 #[rasn(tag(universal, 10), delegate)]
-pub struct Code(pub u32);
+pub struct Enumerated(pub u32);
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 pub struct Message {
@@ -46,28 +46,28 @@
 #[rasn(choice)]
 pub enum Op {
     Bind(BindRequest),
-    Bound(Bound),
+    BindResponse(BindResponse),
     Unbind(UnbindRequest),
     Search(SearchRequest),
     Entry(Entry),
-    Done(Done),
-    Reference(Reference),
+    SearchDone(SearchDone),
+    SearchReference(SearchReference),
     Abandon(AbandonRequest),
     Extended(ExtendedRequest),
-    Extends(Extends),
-    Between(Between),
+    ExtendedResponse(ExtendedResponse),
+    IntermediateResponse(IntermediateResponse),
 }
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 #[rasn(tag(application, 1))]
-pub struct Bound {
-    pub code: Code,
-    pub matched: OctetString,
-    pub why: OctetString,
+pub struct BindResponse {
+    pub code: Enumerated,
+    pub matched_dn: OctetString,
+    pub diagnostic_message: OctetString,
     #[rasn(tag(3))]
     pub referral: Option<SequenceOf<OctetString>>,
     #[rasn(tag(7))]
-    pub sasl: Option<OctetString>,
+    pub server_sasl_credentials: Option<OctetString>,
 }
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
@@ -85,24 +85,24 @@
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 #[rasn(tag(application, 5))]
-pub struct Done {
-    pub code: Code,
-    pub matched: OctetString,
-    pub why: OctetString,
+pub struct SearchDone {
+    pub code: Enumerated,
+    pub matched_dn: OctetString,
+    pub diagnostic_message: OctetString,
     #[rasn(tag(3))]
     pub referral: Option<SequenceOf<OctetString>>,
 }
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 #[rasn(tag(application, 19), delegate)]
-pub struct Reference(pub SequenceOf<OctetString>);
+pub struct SearchReference(pub SequenceOf<OctetString>);
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 #[rasn(tag(application, 24))]
-pub struct Extends {
-    pub code: Code,
-    pub matched: OctetString,
-    pub why: OctetString,
+pub struct ExtendedResponse {
+    pub code: Enumerated,
+    pub matched_dn: OctetString,
+    pub diagnostic_message: OctetString,
     #[rasn(tag(3))]
     pub referral: Option<SequenceOf<OctetString>>,
     #[rasn(tag(10))]
@@ -113,7 +113,7 @@
 
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 #[rasn(tag(application, 25))]
-pub struct Between {
+pub struct IntermediateResponse {
     #[rasn(tag(0))]
     pub name: Option<OctetString>,
     #[rasn(tag(1))]
@@ -122,7 +122,7 @@
 
 /// The value of the paging control (RFC 2696), in requests and responses.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
-pub struct Paged {
+pub struct PagedResults {
     pub size: u32,
     pub cookie: OctetString,
 }
@@ -130,18 +130,18 @@
 /// The value of the sync request control. Modes: 1 is refreshOnly, 3 refreshAndPersist.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 pub struct SyncRequest {
-    pub mode: Code,
+    pub mode: Enumerated,
     pub cookie: Option<OctetString>,
     #[rasn(default)]
     pub reload: bool,
 }
 
-pub const REFRESH_AND_PERSIST: Code = Code(3);
+pub const REFRESH_AND_PERSIST: Enumerated = Enumerated(3);
 
 /// The value of an entry's sync state control. States: 0 present, 1 add, 2 modify, 3 delete.
 #[derive(AsnType, Encode, Decode, Debug, Clone, PartialEq)]
 pub struct SyncState {
-    pub state: Code,
+    pub state: Enumerated,
     pub uuid: OctetString,
     pub cookie: Option<OctetString>,
 }
@@ -189,17 +189,17 @@
 ///
 /// # Errors
 /// The decoder's error.
-pub fn read(bytes: &[u8]) -> Result<Message, String> {
+pub fn decode(bytes: &[u8]) -> Result<Message, String> {
     rasn::ber::decode(bytes).map_err(|err| err.to_string())
 }
 
 /// Decodes a control's value.
-pub fn value<T: rasn::Decode>(bytes: &[u8]) -> Option<T> {
+pub fn decode_value<T: rasn::Decode>(bytes: &[u8]) -> Option<T> {
     crate::frames::check(bytes).ok()?;
     rasn::ber::decode(bytes).ok()
 }
 
-pub fn write<T: rasn::Encode>(value: &T) -> Vec<u8> {
+pub fn encode<T: rasn::Encode>(value: &T) -> Vec<u8> {
     // Encoding to memory does not fail.
     rasn::ber::encode(value).unwrap_or_default()
 }
@@ -209,8 +209,8 @@
         Message { id, op, controls: None }
     }
 
-    pub fn with<T: rasn::Encode>(mut self, kind: &[u8], critical: bool, value: &T) -> Message {
-        let control = Control::new(kind.to_vec().into(), critical, Some(write(value).into()));
+    pub fn with_control<T: rasn::Encode>(mut self, kind: &[u8], critical: bool, value: &T) -> Message {
+        let control = Control::new(kind.to_vec().into(), critical, Some(encode(value).into()));
         self.controls.get_or_insert_with(Vec::new).push(control);
         self
     }
@@ -220,8 +220,8 @@
         control.control_value.as_ref().map(|v| v.as_ref())
     }
 
-    pub fn bytes(&self) -> Vec<u8> {
-        write(self)
+    pub fn encode(&self) -> Vec<u8> {
+        encode(self)
     }
 }
 
@@ -243,11 +243,11 @@
 /// Parses an entryUUID (RFC 4530).
 ///
 /// ```
-/// let uuid = rockpick_ldap::message::uuid("597ae2f6-16a6-1027-98f4-d28b5365dc14").unwrap();
+/// let uuid = rockpick_ldap::message::parse_uuid("597ae2f6-16a6-1027-98f4-d28b5365dc14").unwrap();
 /// assert_eq!((uuid[0], uuid[15]), (0x59, 0x14));
-/// assert!(rockpick_ldap::message::uuid("597ae2f6").is_none());
+/// assert!(rockpick_ldap::message::parse_uuid("597ae2f6").is_none());
 /// ```
-pub fn uuid(text: &str) -> Option<[u8; 16]> {
+pub fn parse_uuid(text: &str) -> Option<[u8; 16]> {
     if text.len() > 36 {
         return None;
     }
@@ -255,7 +255,7 @@
 }
 
 /// Formats an entryUUID.
-pub fn uuid_text(uuid: &[u8; 16]) -> String {
+pub fn format_uuid(uuid: &[u8; 16]) -> String {
     let hex = hex::encode(uuid);
     format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..])
 }
@@ -266,10 +266,10 @@
 
     #[test]
     fn unknown_result_codes_and_names_that_are_not_utf8_round_trip() {
-        let done = Done {
-            code: Code(REFRESH_REQUIRED),
-            matched: b"".to_vec().into(),
-            why: b"old".to_vec().into(),
+        let done = SearchDone {
+            code: Enumerated(REFRESH_REQUIRED),
+            matched_dn: b"".to_vec().into(),
+            diagnostic_message: b"old".to_vec().into(),
             referral: None,
         };
         let attribute = Attribute {
@@ -277,12 +277,12 @@
             values: vec![OctetString::from(vec![0xff, 0xfe])].into(),
         };
         let entry = Entry { dn: vec![0xc3, 0x28].into(), attributes: vec![attribute] };
-        for op in [Op::Done(done), Op::Entry(entry)] {
-            let state = SyncState { state: Code(1), uuid: vec![7; 16].into(), cookie: None };
-            let message = Message::new(9, op).with(SYNC_STATE, false, &state);
-            let decoded = read(&message.bytes()).unwrap();
+        for op in [Op::SearchDone(done), Op::Entry(entry)] {
+            let state = SyncState { state: Enumerated(1), uuid: vec![7; 16].into(), cookie: None };
+            let message = Message::new(9, op).with_control(SYNC_STATE, false, &state);
+            let decoded = decode(&message.encode()).unwrap();
             assert_eq!(decoded, message);
-            assert_eq!(value::<SyncState>(decoded.control(SYNC_STATE).unwrap()), Some(state));
+            assert_eq!(decode_value::<SyncState>(decoded.control(SYNC_STATE).unwrap()), Some(state));
         }
     }
 
@@ -290,18 +290,18 @@
     fn encoding_matches_the_rfc() {
         // A simple bind (RFC 4511 §4.2): version 3, name, [0] password.
         let bind = BindRequest::new(3, "cn=a".into(), AuthenticationChoice::Simple(b"pw".to_vec().into()));
-        let bytes = Message::new(1, Op::Bind(bind)).bytes();
+        let bytes = Message::new(1, Op::Bind(bind)).encode();
         let expected: &[u8] = &[
             0x30, 0x12, 0x02, 0x01, 0x01, 0x60, 0x0d, 0x02, 0x01, 0x03, 0x04, 0x04, b'c', b'n', b'=', b'a',
             0x80, 0x02, b'p', b'w',
         ];
         assert_eq!(bytes, expected);
         let sync = SyncRequest { mode: REFRESH_AND_PERSIST, cookie: None, reload: false };
-        assert_eq!(write(&sync), [0x30, 0x03, 0x0a, 0x01, 0x03]);
+        assert_eq!(encode(&sync), [0x30, 0x03, 0x0a, 0x01, 0x03]);
         assert_eq!(
-            write(&Message::new(2, Op::Unbind(UnbindRequest))),
+            encode(&Message::new(2, Op::Unbind(UnbindRequest))),
             [0x30, 0x05, 0x02, 0x01, 0x02, 0x42, 0x00]
         );
-        assert_eq!(write(&SyncInfo::Present(Refresh { cookie: None, done: true })), [0xa2, 0x00]);
+        assert_eq!(encode(&SyncInfo::Present(Refresh { cookie: None, done: true })), [0xa2, 0x00]);
     }
 }
--- a/ldap/src/session.rs
+++ b/ldap/src/session.rs
@@ -191,7 +191,7 @@
     }
 
     fn send(&mut self, message: Message) {
-        self.out.push(Out::Send(message.bytes()));
+        self.out.push(Out::Send(message.encode()));
     }
 
     fn send_request(&mut self, now: Ns, op: Op) -> u32 {
@@ -272,7 +272,7 @@
             let cookie = self.cookie.clone().map(Into::into);
             let control = SyncRequest { mode: REFRESH_AND_PERSIST, cookie, reload: false };
             let id = self.next_id();
-            self.send(Message::new(id, Op::Search(request)).with(SYNC_REQUEST, true, &control));
+            self.send(Message::new(id, Op::Search(request)).with_control(SYNC_REQUEST, true, &control));
             self.state = State::Sync { id, persisting: false };
             self.deadline = now + self.quest.within;
         } else {
@@ -293,9 +293,9 @@
             filter = Filter::And(vec![filter, Filter::GreaterOrEqual(newer)].into());
         }
         let request = self.search(&self.quest.base, true, filter, &self.requested_attributes());
-        let control = Paged { size: self.quest.page, cookie: cookie.into() };
+        let control = PagedResults { size: self.quest.page, cookie: cookie.into() };
         let id = self.next_id();
-        self.send(Message::new(id, Op::Search(request)).with(PAGED, true, &control));
+        self.send(Message::new(id, Op::Search(request)).with_control(PAGED_RESULTS, true, &control));
         self.state = State::Page { id, whole };
         self.deadline = now + self.quest.within;
     }
@@ -309,7 +309,7 @@
         loop {
             let message = match self.frames.next() {
                 Ok(None) => return,
-                Ok(Some(bytes)) => read(bytes),
+                Ok(Some(bytes)) => decode(bytes),
                 Err(why) => return self.end(format!("malformed stream: {}", why.0), Vec::new()),
             };
             match message {
@@ -326,20 +326,21 @@
 
     fn handle_message(&mut self, now: Ns, message: Message) {
         if message.id == 0 {
-            if let Op::Extends(e) = &message.op {
-                let why = format!("disconnected by the server: {} {}", e.code.0, printable(&e.why));
+            if let Op::ExtendedResponse(e) = &message.op {
+                let why =
+                    format!("disconnected by the server: {} {}", e.code.0, printable(&e.diagnostic_message));
                 return self.end(why, Vec::new());
             }
         }
         if self.probe.is_some_and(|(id, _)| id == message.id) {
-            if matches!(message.op, Op::Done(_)) {
+            if matches!(message.op, Op::SearchDone(_)) {
                 self.probe = None;
                 self.deadline = now + self.quest.poll;
             }
             return;
         }
         match (&self.state, message.op) {
-            (State::StartTls(id), Op::Extends(e)) if *id == message.id => match e.code.0 {
+            (State::StartTls(id), Op::ExtendedResponse(e)) if *id == message.id => match e.code.0 {
                 // Unencrypted bytes after the response could have been injected by anyone (RFC 4511 §4.14.1).
                 SUCCESS if self.frames.waiting() > 0 => {
                     self.end("unencrypted data after the StartTLS response", Vec::new())
@@ -349,23 +350,26 @@
                     self.out.push(Out::StartTls);
                     self.deadline = now + self.quest.within;
                 }
-                code => self.end(format!("StartTLS refused: {code} {}", printable(&e.why)), Vec::new()),
+                code => self.end(
+                    format!("StartTLS refused: {code} {}", printable(&e.diagnostic_message)),
+                    Vec::new(),
+                ),
             },
-            (State::Bind(id), Op::Bound(b)) if *id == message.id => match b.code.0 {
+            (State::Bind(id), Op::BindResponse(b)) if *id == message.id => match b.code.0 {
                 SUCCESS => {
                     let id = self.request_root_dse(now);
                     self.state = State::RootDse(id);
                 }
-                code => self.fail("bind", code, &b.why, b.referral),
+                code => self.fail("bind", code, &b.diagnostic_message, b.referral),
             },
             (State::RootDse(id), Op::Entry(entry)) if *id == message.id => {
                 let has = entry.values("supportedControl").any(|c| c == SYNC_REQUEST);
                 self.server_syncs = has && self.quest.sync;
                 self.deadline = now + self.quest.within;
             }
-            (State::RootDse(id), Op::Done(done)) if *id == message.id => match done.code.0 {
+            (State::RootDse(id), Op::SearchDone(done)) if *id == message.id => match done.code.0 {
                 SUCCESS => self.request_content(now),
-                code => self.fail("root DSE", code, &done.why, done.referral),
+                code => self.fail("root DSE", code, &done.diagnostic_message, done.referral),
             },
             (State::Sync { id, .. }, op) if *id == message.id => {
                 let state = message.controls.iter().flatten().find(|c| c.control_type.as_ref() == SYNC_STATE);
@@ -373,8 +377,9 @@
                 self.handle_sync_response(now, op, state);
             }
             (State::Page { id, .. }, op) if *id == message.id => {
-                let paged = message.controls.iter().flatten().find(|c| c.control_type.as_ref() == PAGED);
-                let paged = paged.and_then(|c| value::<Paged>(c.control_value.as_ref()?));
+                let paged =
+                    message.controls.iter().flatten().find(|c| c.control_type.as_ref() == PAGED_RESULTS);
+                let paged = paged.and_then(|c| decode_value::<PagedResults>(c.control_value.as_ref()?));
                 self.handle_page_response(now, op, paged);
             }
             _ => {
@@ -427,7 +432,7 @@
                 if !self.count_entry(now) {
                     return;
                 }
-                let Some(state) = state.and_then(|s| value::<SyncState>(&s)) else {
+                let Some(state) = state.and_then(|s| decode_value::<SyncState>(&s)) else {
                     return self.end("sync entry without a state control", Vec::new());
                 };
                 let Ok(uuid) = <[u8; 16]>::try_from(state.uuid.to_vec()) else {
@@ -441,9 +446,11 @@
                 }
                 self.update_cookie(state.cookie.map(|c| c.to_vec()));
             }
-            Op::Between(between) if between.name.as_ref().is_some_and(|n| n.as_ref() == SYNC_INFO) => {
+            Op::IntermediateResponse(between)
+                if between.name.as_ref().is_some_and(|n| n.as_ref() == SYNC_INFO) =>
+            {
                 self.deadline = now + self.quest.within;
-                let Some(info) = between.value.and_then(|v| value::<SyncInfo>(&v)) else {
+                let Some(info) = between.value.and_then(|v| decode_value::<SyncInfo>(&v)) else {
                     return self.end("invalid sync info message", Vec::new());
                 };
                 match info {
@@ -464,19 +471,19 @@
                     SyncInfo::Delete(r) => self.finish_refresh_phase(now, r, false),
                 }
             }
-            Op::Reference(_) => self.references += 1,
-            Op::Done(done) => match done.code.0 {
+            Op::SearchReference(_) => self.references += 1,
+            Op::SearchDone(done) => match done.code.0 {
                 // The server no longer knows the cookie: restart without it (RFC 4533 §3.4.2).
                 REFRESH_REQUIRED if self.cookie.is_some() => {
                     self.cookie = None;
                     self.request_content(now);
                 }
                 SUCCESS => self.end("the server ended the synchronization", Vec::new()),
-                UNAVAILABLE_CRITICAL => {
+                UNAVAILABLE_CRITICAL_EXTENSION => {
                     self.server_syncs = false;
                     self.request_content(now);
                 }
-                code => self.fail("synchronization", code, &done.why, done.referral),
+                code => self.fail("synchronization", code, &done.diagnostic_message, done.referral),
             },
             _ => self.stray_responses += 1,
         }
@@ -493,7 +500,7 @@
         }
     }
 
-    fn handle_page_response(&mut self, now: Ns, op: Op, paged: Option<Paged>) {
+    fn handle_page_response(&mut self, now: Ns, op: Op, paged: Option<PagedResults>) {
         let State::Page { whole, .. } = self.state else { return };
         match op {
             Op::Entry(entry) => {
@@ -506,19 +513,19 @@
                     self.latest_timestamp = timestamp;
                 }
                 // An entry without an entryUUID can't be tracked across a rename.
-                match entry.text("entryUUID").and_then(|t| uuid(&t)) {
+                match entry.text("entryUUID").and_then(|t| parse_uuid(&t)) {
                     Some(uuid) => self.emit(News::Entry { uuid, entry }),
                     None => self.stray_responses += 1,
                 }
             }
-            Op::Reference(_) => self.references += 1,
-            Op::Done(done) => match (done.code.0, paged.filter(|p| !p.cookie.is_empty())) {
+            Op::SearchReference(_) => self.references += 1,
+            Op::SearchDone(done) => match (done.code.0, paged.filter(|p| !p.cookie.is_empty())) {
                 (SUCCESS, Some(p)) => self.request_page(now, whole, p.cookie.to_vec()),
                 (SUCCESS, None) => {
                     self.emit(News::End { whole });
                     self.state = State::Idle { until: now + self.quest.poll };
                 }
-                (code, _) => self.fail("search", code, &done.why, done.referral),
+                (code, _) => self.fail("search", code, &done.diagnostic_message, done.referral),
             },
             _ => self.stray_responses += 1,
         }
@@ -576,24 +583,30 @@
         let out = session.out();
         out.iter()
             .filter_map(|o| match o {
-                Out::Send(b) => read(b).ok(),
+                Out::Send(b) => decode(b).ok(),
                 _ => None,
             })
             .collect()
     }
 
-    fn result(code: u32) -> Done {
-        Done {
-            code: Code(code),
-            matched: OctetString::from_static(b""),
-            why: OctetString::from_static(b""),
+    fn result(code: u32) -> SearchDone {
+        SearchDone {
+            code: Enumerated(code),
+            matched_dn: OctetString::from_static(b""),
+            diagnostic_message: OctetString::from_static(b""),
             referral: None,
         }
     }
 
     fn bound(code: u32) -> Op {
         let empty = OctetString::from_static(b"");
-        Op::Bound(Bound { code: Code(code), matched: empty.clone(), why: empty, referral: None, sasl: None })
+        Op::BindResponse(BindResponse {
+            code: Enumerated(code),
+            matched_dn: empty.clone(),
+            diagnostic_message: empty,
+            referral: None,
+            server_sasl_credentials: None,
+        })
     }
 
     fn entry(attributes: &[(&str, &str)]) -> Entry {
@@ -609,11 +622,11 @@
     fn start_search(quest: Quest, syncs: bool, cookie: Option<Vec<u8>>) -> (Session, Message) {
         let mut s = Session::begin(0, quest, false, cookie);
         let bind = sent_messages(&mut s).remove(0);
-        s.bytes(0, &Message::new(bind.id, bound(0)).bytes());
+        s.bytes(0, &Message::new(bind.id, bound(0)).encode());
         let root = sent_messages(&mut s).remove(0);
         let control = if syncs { std::str::from_utf8(SYNC_REQUEST).unwrap() } else { "1.2.3" };
-        s.bytes(0, &Message::new(root.id, Op::Entry(entry(&[("supportedControl", control)]))).bytes());
-        s.bytes(0, &Message::new(root.id, Op::Done(result(0))).bytes());
+        s.bytes(0, &Message::new(root.id, Op::Entry(entry(&[("supportedControl", control)]))).encode());
+        s.bytes(0, &Message::new(root.id, Op::SearchDone(result(0))).encode());
         let request = sent_messages(&mut s).remove(0);
         (s, request)
     }
@@ -633,18 +646,31 @@
     #[test]
     fn pages_are_followed_and_polls_filter_by_latest_timestamp() {
         let (mut s, request) = start_search(Quest::default(), false, None);
-        assert!(request.control(PAGED).is_some());
+        assert!(request.control(PAGED_RESULTS).is_some());
         let found = entry(&[("entryUUID", UUID), ("modifyTimestamp", "20261201120000Z")]);
-        s.bytes(0, &Message::new(request.id, Op::Entry(found)).bytes());
-        let more = Paged { size: 0, cookie: b"next".to_vec().into() };
-        s.bytes(0, &Message::new(request.id, Op::Done(result(0))).with(PAGED, false, &more).bytes());
+        s.bytes(0, &Message::new(request.id, Op::Entry(found)).encode());
+        let more = PagedResults { size: 0, cookie: b"next".to_vec().into() };
+        s.bytes(
+            0,
+            &Message::new(request.id, Op::SearchDone(result(0)))
+                .with_control(PAGED_RESULTS, false, &more)
+                .encode(),
+        );
         let out = s.out();
         assert!(matches!(&out[0], Out::News(News::Entry { .. })));
         let Out::Send(bytes) = &out[1] else { panic!("{out:?}") };
-        let second = read(bytes).unwrap();
-        assert_eq!(value::<Paged>(second.control(PAGED).unwrap()).unwrap().cookie.as_ref(), b"next");
-        let none = Paged { size: 0, cookie: OctetString::from_static(b"") };
-        s.bytes(0, &Message::new(second.id, Op::Done(result(0))).with(PAGED, false, &none).bytes());
+        let second = decode(bytes).unwrap();
+        assert_eq!(
+            decode_value::<PagedResults>(second.control(PAGED_RESULTS).unwrap()).unwrap().cookie.as_ref(),
+            b"next"
+        );
+        let none = PagedResults { size: 0, cookie: OctetString::from_static(b"") };
+        s.bytes(
+            0,
+            &Message::new(second.id, Op::SearchDone(result(0)))
+                .with_control(PAGED_RESULTS, false, &none)
+                .encode(),
+        );
         assert_eq!(updates(&mut s), [News::End { whole: true }]);
         assert!(s.settled() && s.wake() == 5 * SEC);
         s.tick(5 * SEC);
@@ -655,16 +681,20 @@
     #[test]
     fn unknown_cookie_restarts_the_synchronization() {
         let (mut s, request) = start_search(Quest::default(), true, Some(b"old".to_vec()));
-        let asked = value::<SyncRequest>(request.control(SYNC_REQUEST).unwrap()).unwrap();
+        let asked = decode_value::<SyncRequest>(request.control(SYNC_REQUEST).unwrap()).unwrap();
         assert_eq!(asked.cookie.unwrap().as_ref(), b"old");
-        s.bytes(0, &Message::new(request.id, Op::Done(result(REFRESH_REQUIRED))).bytes());
+        s.bytes(0, &Message::new(request.id, Op::SearchDone(result(REFRESH_REQUIRED))).encode());
         let again = sent_messages(&mut s).remove(0);
-        assert_eq!(value::<SyncRequest>(again.control(SYNC_REQUEST).unwrap()).unwrap().cookie, None);
-        let state = SyncState { state: Code(1), uuid: vec![7; 16].into(), cookie: None };
-        s.bytes(0, &Message::new(again.id, Op::Entry(entry(&[]))).with(SYNC_STATE, false, &state).bytes());
+        assert_eq!(decode_value::<SyncRequest>(again.control(SYNC_REQUEST).unwrap()).unwrap().cookie, None);
+        let state = SyncState { state: Enumerated(1), uuid: vec![7; 16].into(), cookie: None };
+        s.bytes(
+            0,
+            &Message::new(again.id, Op::Entry(entry(&[]))).with_control(SYNC_STATE, false, &state).encode(),
+        );
         let done = SyncInfo::Present(Refresh { cookie: Some(b"new".to_vec().into()), done: true });
-        let info = Between { name: Some(SYNC_INFO.to_vec().into()), value: Some(write(&done).into()) };
-        s.bytes(0, &Message::new(again.id, Op::Between(info)).bytes());
+        let info =
+            IntermediateResponse { name: Some(SYNC_INFO.to_vec().into()), value: Some(encode(&done).into()) };
+        s.bytes(0, &Message::new(again.id, Op::IntermediateResponse(info)).encode());
         let got = updates(&mut s);
         assert!(matches!(got[0], News::Entry { uuid: [7, ..], .. }));
         assert_eq!(got[1..], [News::Cookie(b"new".to_vec()), News::End { whole: true }]);
@@ -681,13 +711,13 @@
     fn too_many_entries_stray_responses_and_timeouts_end_the_session() {
         let (mut s, request) = start_search(Quest { most_entries: 3, ..Quest::default() }, false, None);
         for _ in 0..10 {
-            s.bytes(0, &Message::new(request.id, Op::Entry(entry(&[("entryUUID", UUID)]))).bytes());
+            s.bytes(0, &Message::new(request.id, Op::Entry(entry(&[("entryUUID", UUID)]))).encode());
         }
         let out = s.out();
         let sends: Vec<Message> = out
             .iter()
             .filter_map(|o| match o {
-                Out::Send(b) => read(b).ok(),
+                Out::Send(b) => decode(b).ok(),
                 _ => None,
             })
             .collect();
@@ -695,7 +725,7 @@
         assert!(matches!(out.last(), Some(Out::Over { why, .. }) if why.contains("3 entries")));
         let (mut s, _) = start_search(Quest::default(), false, None);
         for _ in 0..=MAX_STRAY {
-            s.bytes(0, &Message::new(77, Op::Done(result(0))).bytes());
+            s.bytes(0, &Message::new(77, Op::SearchDone(result(0))).encode());
         }
         assert!(s.over());
         let (mut s, _) = start_search(Quest::default(), false, None);
@@ -703,7 +733,7 @@
         assert!(matches!(s.out().last(), Some(Out::Over { why, .. }) if why == "response timed out"));
         // A size limit of the server does not complete a refresh: no entry may count as deleted.
         let (mut s, request) = start_search(Quest::default(), false, None);
-        s.bytes(0, &Message::new(request.id, Op::Done(result(SIZE_LIMIT))).bytes());
+        s.bytes(0, &Message::new(request.id, Op::SearchDone(result(SIZE_LIMIT_EXCEEDED))).encode());
         let out = s.out();
         assert!(!out.contains(&Out::News(News::End { whole: true })) && s.over());
     }
@@ -721,17 +751,17 @@
         let mut s = Session::begin(0, Quest { start_tls: true, ..quest }, false, None);
         let id = sent_messages(&mut s).remove(0).id;
         let empty = OctetString::from_static(b"");
-        let yes = Extends {
-            code: Code(0),
-            matched: empty.clone(),
-            why: empty,
+        let yes = ExtendedResponse {
+            code: Enumerated(0),
+            matched_dn: empty.clone(),
+            diagnostic_message: empty,
             referral: None,
             name: None,
             value: None,
         };
-        let yes = Message::new(id, Op::Extends(yes)).bytes();
+        let yes = Message::new(id, Op::ExtendedResponse(yes)).encode();
         // The StartTLS response followed by a forged bind response without encryption.
-        let forged = [yes.clone(), Message::new(id + 1, bound(0)).bytes()].concat();
+        let forged = [yes.clone(), Message::new(id + 1, bound(0)).encode()].concat();
         s.bytes(0, &forged);
         assert!(s.over());
     }
@@ -745,7 +775,7 @@
             x ^= x << 17;
             x % n
         };
-        let good = Message::new(3, Op::Entry(entry(&[("entryUUID", UUID), ("cn", "abc")]))).bytes();
+        let good = Message::new(3, Op::Entry(entry(&[("entryUUID", UUID), ("cn", "abc")]))).encode();
         for _ in 0..20_000 {
             let (mut s, request) = (Session::begin(0, Quest::default(), false, None), 1);
             let mut bytes = good.clone();
@@ -760,7 +790,7 @@
                     break;
                 }
             }
-            s.bytes(0, &Message::new(request, bound(0)).bytes());
+            s.bytes(0, &Message::new(request, bound(0)).encode());
             s.bytes(0, &bytes);
         }
     }
--- a/standin/src/directory.rs
+++ b/standin/src/directory.rs
@@ -237,9 +237,13 @@
 
 fn done(id: u32, code: u32, why: &str) -> Message {
     let empty = Vec::new();
-    let result =
-        Done { code: Code(code), matched: empty.into(), why: why.as_bytes().to_vec().into(), referral: None };
-    Message::new(id, Op::Done(result))
+    let result = SearchDone {
+        code: Enumerated(code),
+        matched_dn: empty.into(),
+        diagnostic_message: why.as_bytes().to_vec().into(),
+        referral: None,
+    };
+    Message::new(id, Op::SearchDone(result))
 }
 
 impl Process {
@@ -298,7 +302,7 @@
             let Some(peer) = self.peers.get_mut(&conn) else { return };
             let message = match peer.frames.next() {
                 Ok(None) => break,
-                Ok(Some(bytes)) => read(bytes).map_err(|_| ()),
+                Ok(Some(bytes)) => decode(bytes).map_err(|_| ()),
                 Err(_) => Err(()),
             };
             match message {
@@ -306,16 +310,16 @@
                 Err(()) => {
                     // Notice of disconnection (RFC 4511 §4.4.1).
                     let (empty, why) = (Vec::new(), b"no message".to_vec());
-                    let name = Some(DISCONNECTION.to_vec().into());
-                    let notice = Extends {
-                        code: Code(PROTOCOL_ERROR),
-                        matched: empty.into(),
-                        why: why.into(),
+                    let name = Some(NOTICE_OF_DISCONNECTION.to_vec().into());
+                    let notice = ExtendedResponse {
+                        code: Enumerated(PROTOCOL_ERROR),
+                        matched_dn: empty.into(),
+                        diagnostic_message: why.into(),
                         referral: None,
                         name,
                         value: None,
                     };
-                    self.send(conn, &Message::new(0, Op::Extends(notice)));
+                    self.send(conn, &Message::new(0, Op::ExtendedResponse(notice)));
                     self.flush(conn);
                     return self.drop(conn);
                 }
@@ -334,7 +338,7 @@
         if wrong_ids && message.id != 0 {
             message.id += 1_000;
         }
-        let bytes = message.bytes();
+        let bytes = message.encode();
         if half {
             self.put(conn, &bytes[..bytes.len() / 2]);
             self.flush(conn);
@@ -383,21 +387,21 @@
                 let secured = self.peers.get(&conn).is_some_and(|p| p.secure.is_some());
                 let code = if tls && !secured { SUCCESS } else { PROTOCOL_ERROR };
                 let (name, empty) = (Some(request.request_name.to_vec().into()), Vec::new());
-                let answer = Extends {
-                    code: Code(code),
-                    matched: empty.clone().into(),
-                    why: empty.into(),
+                let answer = ExtendedResponse {
+                    code: Enumerated(code),
+                    matched_dn: empty.clone().into(),
+                    diagnostic_message: empty.into(),
                     referral: None,
                     name,
                     value: None,
                 };
-                self.send(conn, &Message::new(id, Op::Extends(answer)));
+                self.send(conn, &Message::new(id, Op::ExtendedResponse(answer)));
                 if let Some(peer) = self.peers.get_mut(&conn).filter(|_| code == SUCCESS) {
                     peer.secure = ServerConnection::new(self.tls.clone()).ok().map(Box::new);
                 }
             }
             Op::Search(request) => self.search(conn, &message, request.clone()),
-            _ => self.send(conn, &done(id, UNWILLING, "not a request that is known here")),
+            _ => self.send(conn, &done(id, UNWILLING_TO_PERFORM, "not a request that is known here")),
         }
     }
 
@@ -436,9 +440,14 @@
             _ => AUTH_METHOD_NOT_SUPPORTED,
         };
         let (empty, why) = (Vec::new(), Vec::new());
-        let answer =
-            Bound { code: Code(code), matched: empty.into(), why: why.into(), referral: None, sasl: None };
-        self.send(conn, &Message::new(id, Op::Bound(answer)));
+        let answer = BindResponse {
+            code: Enumerated(code),
+            matched_dn: empty.into(),
+            diagnostic_message: why.into(),
+            referral: None,
+            server_sasl_credentials: None,
+        };
+        self.send(conn, &Message::new(id, Op::BindResponse(answer)));
     }
 
     fn search(&mut self, conn: Id, message: &Message, request: SearchRequest) {
@@ -449,7 +458,7 @@
             let text = |list: &[&[u8]]| {
                 list.iter().map(|v| v.to_vec().into()).collect::<Vec<rasn::types::OctetString>>()
             };
-            let sync = [PAGED, SYNC_REQUEST];
+            let sync = [PAGED_RESULTS, SYNC_REQUEST];
             let controls = if self.fault.no_sync { &sync[..1] } else { &sync[..] };
             let rows = [
                 ("supportedLDAPVersion", text(&[b"3"])),
@@ -469,15 +478,17 @@
         if !self.dns.keys().any(below) && !self.items.is_empty() {
             return self.send(conn, &done(id, NO_SUCH_OBJECT, "no such base"));
         }
-        let paged = message.control(PAGED).and_then(value::<Paged>);
-        let sync =
-            message.control(SYNC_REQUEST).filter(|_| !self.fault.no_sync).and_then(value::<SyncRequest>);
+        let paged = message.control(PAGED_RESULTS).and_then(decode_value::<PagedResults>);
+        let sync = message
+            .control(SYNC_REQUEST)
+            .filter(|_| !self.fault.no_sync)
+            .and_then(decode_value::<SyncRequest>);
         let mut running = Running { id, request, next: Some([0; 16]), found: 0, page: None, sync: None };
         if let Some(paged) = paged {
             running.page = Some(paged.size.max(1) as usize);
             if !paged.cookie.is_empty() {
                 let Ok(from) = <[u8; 16]>::try_from(paged.cookie.to_vec()) else {
-                    return self.send(conn, &done(id, UNWILLING, "the cookie is not known"));
+                    return self.send(conn, &done(id, UNWILLING_TO_PERFORM, "the cookie is not known"));
                 };
                 running.next = Some(from);
             }
@@ -513,7 +524,7 @@
             SearchRequestScope::SingleLevel => dn.split_once(',').is_some_and(|(_, above)| above == base),
             _ => base.is_empty() || dn == base || dn.ends_with(&format!(",{base}")),
         };
-        let own = [("entryUUID", uuid_text(uuid)), ("modifyTimestamp", item.stamp.clone())];
+        let own = [("entryUUID", format_uuid(uuid)), ("modifyTimestamp", item.stamp.clone())];
         let values = |name: &str| -> Vec<Vec<u8>> {
             let fits = |k: &str| k.eq_ignore_ascii_case(name);
             let of_own = own.iter().filter(|(k, _)| fits(k)).map(|(_, v)| v.clone().into_bytes());
@@ -597,8 +608,8 @@
                 continue;
             };
             if running.page.is_some_and(|p| running.found >= p) {
-                let more = Paged { size: 0, cookie: uuid.to_vec().into() };
-                self.send(conn, &done(id, SUCCESS, "").with(PAGED, false, &more));
+                let more = PagedResults { size: 0, cookie: uuid.to_vec().into() };
+                self.send(conn, &done(id, SUCCESS, "").with_control(PAGED_RESULTS, false, &more));
                 return true;
             }
             let next = u128::from_be_bytes(uuid).checked_add(1).map(u128::to_be_bytes);
@@ -608,15 +619,15 @@
             }
             let Some(entry) = self.shown(&uuid, &running.request) else { continue };
             if running.found >= limit {
-                self.send(conn, &done(id, SIZE_LIMIT, "more than may be"));
+                self.send(conn, &done(id, SIZE_LIMIT_EXCEEDED, "more than may be"));
                 running.sync = None;
                 return true;
             }
             running.found += 1;
             let mut message = Message::new(id, Op::Entry(entry));
             if running.sync.is_some() {
-                let state = SyncState { state: Code(1), uuid: uuid.to_vec().into(), cookie: None };
-                message = message.with(SYNC_STATE, false, &state);
+                let state = SyncState { state: Enumerated(1), uuid: uuid.to_vec().into(), cookie: None };
+                message = message.with_control(SYNC_STATE, false, &state);
             }
             self.send(conn, &message);
         }
@@ -624,7 +635,11 @@
             None => {
                 let mut message = done(id, SUCCESS, "");
                 if running.page.is_some() {
-                    message = message.with(PAGED, false, &Paged { size: 0, cookie: Vec::new().into() });
+                    message = message.with_control(
+                        PAGED_RESULTS,
+                        false,
+                        &PagedResults { size: 0, cookie: Vec::new().into() },
+                    );
                 }
                 self.send(conn, &message);
             }
@@ -650,8 +665,9 @@
     }
 
     fn note(&mut self, conn: Id, id: u32, info: &SyncInfo) {
-        let between = Between { name: Some(SYNC_INFO.to_vec().into()), value: Some(write(info).into()) };
-        self.send(conn, &Message::new(id, Op::Between(between)));
+        let between =
+            IntermediateResponse { name: Some(SYNC_INFO.to_vec().into()), value: Some(encode(info).into()) };
+        self.send(conn, &Message::new(id, Op::IntermediateResponse(between)));
     }
 
     /// Tells all who wait for changes.
@@ -667,9 +683,12 @@
                 (None, _) => 3,
             };
             let entry = shown.unwrap_or(Entry { dn: Vec::new().into(), attributes: Vec::new() });
-            let state =
-                SyncState { state: Code(state), uuid: uuid.to_vec().into(), cookie: Some(self.cookie()) };
-            self.send(conn, &Message::new(id, Op::Entry(entry)).with(SYNC_STATE, false, &state));
+            let state = SyncState {
+                state: Enumerated(state),
+                uuid: uuid.to_vec().into(),
+                cookie: Some(self.cookie()),
+            };
+            self.send(conn, &Message::new(id, Op::Entry(entry)).with_control(SYNC_STATE, false, &state));
         }
     }
 
@@ -717,7 +736,7 @@
         let mut read = Vec::new();
         for (i, v) in list.iter().enumerate() {
             let wrong = |what: &str| format!("[{i}].{what}: wanted");
-            let id = v["uuid"].as_str().and_then(uuid).ok_or_else(|| wrong("uuid"))?;
+            let id = v["uuid"].as_str().and_then(parse_uuid).ok_or_else(|| wrong("uuid"))?;
             let dn = v["dn"].as_str().ok_or_else(|| wrong("dn"))?;
             let mut attributes = Vec::new();
             for (name, values) in v["attributes"].as_object().ok_or_else(|| wrong("attributes"))? {
@@ -746,7 +765,7 @@
 
     fn remove(&mut self, body: &Value) -> Result<Value, String> {
         let ids = body.as_array().ok_or("a list of uuids is wanted")?;
-        for id in ids.iter().filter_map(|v| uuid(v.as_str()?)) {
+        for id in ids.iter().filter_map(|v| parse_uuid(v.as_str()?)) {
             if let Some(item) = self.items.remove(&id) {
                 self.serial += 1;
                 self.dns.remove(&lower(&item.dn));
--- a/tenant/src/model.rs
+++ b/tenant/src/model.rs
@@ -6,7 +6,7 @@
 //! If a refresh is empty or misses most tenants, it is treated as suspicious: the current version stays in use
 //! until the content is back or an operator confirms the loss.
 use imbl::{HashMap, OrdMap};
-use rockpick_ldap::message::{uuid, uuid_text, Entry};
+use rockpick_ldap::message::{format_uuid, parse_uuid, Entry};
 use rockpick_ldap::News;
 use rockpick_net::{Ns, MS, SEC};
 use serde::{Deserialize, Serialize};
@@ -293,7 +293,7 @@
             // An explicit tenant that does not exist must not fall back to another tenant.
             return (self.names.get(&text.to_lowercase()).copied())
                 .or_else(|| self.dns.get(&normalize_dn(text)).copied())
-                .or_else(|| uuid(text));
+                .or_else(|| parse_uuid(text));
         }
         if let Some(uuid) = self.members.get(&parsed.dn) {
             return Some(*uuid);
@@ -350,7 +350,7 @@
                 return None;
             }
             let members = texts(&t.member).iter().take(MAX_MEMBERS).map(|dn| normalize_dn(dn)).collect();
-            let merged = texts(&t.merged).iter().filter_map(|u| uuid(u)).collect();
+            let merged = texts(&t.merged).iter().filter_map(|u| parse_uuid(u)).collect();
             let share = number(&t.share).filter(|s| *s > 0.0).unwrap_or(1.0);
             Kind::Tenant { name, share, rate: number(&t.rate), members, merged }
         } else {
@@ -558,15 +558,15 @@
     pub fn save(&self, now: Ns) -> DirectorySnapshot {
         let entries = self.entries.iter().map(|(uuid, k)| match &k.kind {
             Kind::Tenant { name, share, rate, members, merged } => SnapshotEntry {
-                uuid: uuid_text(uuid),
+                uuid: format_uuid(uuid),
                 dn: k.dn.clone(),
                 tenant: Some((name.to_string(), *share, *rate)),
                 members: members.clone(),
-                merged: merged.iter().map(uuid_text).collect(),
+                merged: merged.iter().map(format_uuid).collect(),
                 ..SnapshotEntry::default()
             },
             Kind::Principal { who, tenant } => SnapshotEntry {
-                uuid: uuid_text(uuid),
+                uuid: format_uuid(uuid),
                 dn: k.dn.clone(),
                 of: tenant.as_ref().map(|t| t.to_string()),
                 who: who.iter().map(SnapshotIdentity::of).collect(),
@@ -580,14 +580,14 @@
     /// Restores a snapshot that was saved `older_ms` ago.
     pub fn restore(&mut self, now: Ns, snapshot: DirectorySnapshot, older_ms: u64) {
         for e in snapshot.entries.into_iter().take(MAX_ENTRIES) {
-            let Some(id) = uuid(&e.uuid) else { continue };
+            let Some(id) = parse_uuid(&e.uuid) else { continue };
             let kind = match e.tenant {
                 Some((name, share, rate)) => Kind::Tenant {
                     name: name.into(),
                     share: Some(share).filter(|s| *s > 0.0 && *s <= 1e9).unwrap_or(1.0),
                     rate: rate.filter(|r| (0.0..=1e9).contains(r)),
                     members: e.members,
-                    merged: e.merged.iter().filter_map(|u| uuid(u)).collect(),
+                    merged: e.merged.iter().filter_map(|u| parse_uuid(u)).collect(),
                 },
                 None => Kind::Principal {
                     who: e.who.into_iter().filter_map(SnapshotIdentity::identity).collect(),
@@ -755,11 +755,16 @@
         let mut d = directory(vec![
             tenant(1, "Acme", &[]),
             tenant(2, "Bolt", &[]),
-            user(10, "uid=a,dc=x", "a", &[("rockpickTenant", &uuid_text(&id(1))), ("rockpickKeyHash", &key)]),
+            user(
+                10,
+                "uid=a,dc=x",
+                "a",
+                &[("rockpickTenant", &format_uuid(&id(1))), ("rockpickKeyHash", &key)],
+            ),
         ]);
         let bolt = d.version().tenant_by_name(0, "bolt").unwrap();
         d.apply(SEC, News::Begin);
-        d.apply(SEC, tenant(2, "Bolt", &[("rockpickMergedFrom", &uuid_text(&id(1)))]));
+        d.apply(SEC, tenant(2, "Bolt", &[("rockpickMergedFrom", &format_uuid(&id(1)))]));
         d.apply(SEC, News::Keep(id(10)));
         assert!(d.apply(SEC, News::End { whole: true }));
         assert_eq!(
@@ -767,7 +772,7 @@
             (Some("Bolt"), Some(bolt))
         );
         assert_eq!(d.version().tenant_of(&Identity::Key([0xab; 32])), Some(bolt));
-        d.apply(SEC, tenant(1, "Acme", &[("rockpickMergedFrom", &uuid_text(&id(2)))]));
+        d.apply(SEC, tenant(1, "Acme", &[("rockpickMergedFrom", &format_uuid(&id(2)))]));
         assert_eq!(tenant_name(&d, "a").as_deref(), Some("Acme"));
     }
 
