--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -21,7 +21,7 @@
 use rockpick_standin::schedule::Arrivals;
 use rockpick_standin::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
 use rockpick_storm::Fault as StormFault;
-use rockpick_tenant::{Directory, Limits, Tenancy, Tenants, Unknown};
+use rockpick_tenant::{Directory, EntryMapping, Limits, Tenants, UnknownCallers};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -213,8 +213,8 @@
 
 /// The three tenants of the clients, loaded as from an LDAP directory.
 fn tenants(rates: &[Option<f64>; 3]) -> Rc<Tenants> {
-    let mut directory = Directory::new(Tenancy::default());
-    directory.take(0, News::Begin);
+    let mut directory = Directory::new(EntryMapping::default());
+    directory.apply(0, News::Begin);
     for (i, rate) in rates.iter().enumerate() {
         let attribute = |kind: &str, value: String| Attribute {
             kind: kind.as_bytes().to_vec().into(),
@@ -224,9 +224,9 @@
             vec![attribute("objectClass", "organization".into()), attribute("o", format!("firm-{i}"))];
         attributes.extend(rate.map(|r| attribute("rockpickRate", r.to_string())));
         let entry = LdapEntry { dn: format!("o=firm-{i}").into_bytes().into(), attributes };
-        directory.take(0, News::Entry { uuid: [i as u8; 16], entry });
+        directory.apply(0, News::Entry { uuid: [i as u8; 16], entry });
     }
-    directory.take(0, News::End { whole: true });
+    directory.apply(0, News::End { whole: true });
     Rc::new((**directory.version()).clone())
 }
 
@@ -586,7 +586,7 @@
             Event::TenantSums(front, incarnation, span, rows) => {
                 let (now, node) = (self.now, &mut self.fronts[front as usize]);
                 if let Some(limits) = node.limits.as_mut().filter(|_| node.incarnation == incarnation) {
-                    limits.told(now, span, &rows);
+                    limits.apply_global_counts(now, span, &rows);
                 }
             }
             Event::Vote(front, incarnation, build, stage, verdict, id) => {
@@ -727,7 +727,7 @@
         let (last_status, roster, zone) = (node.last_status, std::mem::take(&mut node.roster), node.zone);
         *node =
             FrontNode { incarnation: node.incarnation + 1, started_at: now, zone, ..FrontNode::default() };
-        let common = Unknown::Common { share: 1.0, rate: None };
+        let common = UnknownCallers::Common { share: 1.0, rate: None };
         node.limits = self.tenants.is_some().then(|| {
             let utilities = self.charter.methods.iter().map(|m| m.utility).collect();
             Limits::new(now, self.charter.fronts.len(), common, utilities)
@@ -871,7 +871,7 @@
         let (deadline, incarnation, now) = (t.announced_deadline, node.incarnation, self.now);
         let mut tenant = None;
         if let (Some(limits), Some(tenants)) = (&mut node.limits, &self.tenants) {
-            match limits.take(now, tenants, Some(tenant_key), method) {
+            match limits.admit(now, tenants, Some(tenant_key), method) {
                 Ok(id) => tenant = Some(id),
                 Err(wait) => {
                     let latency = self.with_jitter(self.wires.client);
@@ -942,7 +942,7 @@
             _ => None,
         };
         if let (Some(limits), Some(tenant), Some(served)) = (&mut node.limits, tenant, served) {
-            limits.over(self.now, tenant, served);
+            limits.finish(self.now, tenant, served);
         }
         node.rpc_ids.finish(rpc);
         // No reply is sent once the deadline has passed.
@@ -1322,7 +1322,7 @@
                 }
             }
             for node in self.fronts.iter_mut().filter(|_| self.share_tenant_sums) {
-                for (id, s) in node.limits.as_mut().map_or(Vec::new(), Limits::tell) {
+                for (id, s) in node.limits.as_mut().map_or(Vec::new(), Limits::take_counts) {
                     let sums = self.tenant_sums.entry(id).or_default();
                     (0..3).for_each(|i| sums[i] += s[i]);
                 }
