--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -5,7 +5,7 @@
 use rockpick_emu::parts::PARTS;
 use rockpick_emu::study::{self, Lines};
 use rockpick_emu::{experiment, fit, report, Line, Study, World};
-use rockpick_rehearse::judge::Written;
+use rockpick_rehearse::judge::RawRecords;
 use rockpick_rehearse::Plan;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -109,7 +109,7 @@
                 tried.change(&change).map_err(Bad2)?;
                 match self.shape_at {
                     None => day.load = tried,
-                    Some(at) => day.script.push((at, rockpick_rehearse::day::Act::Load(change))),
+                    Some(at) => day.script.push((at, rockpick_rehearse::day::Action::Load(change))),
                 }
             }
             day.limits = match self.limits.as_deref() {
@@ -150,7 +150,7 @@
         let (line, judgement) =
             experiment::play("emulated", &self.plan, &self.set, self.plan.seed).map_err(Bad2)?;
         let took = began.elapsed().as_secs_f64();
-        rockpick_rehearse::print(&judgement, "emulated");
+        rockpick_rehearse::print_judgement(&judgement, "emulated");
         eprintln!("{} events in {took:.2} s", line.events);
         Ok(if judgement.breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) })
     }
@@ -200,13 +200,13 @@
 }
 
 /// A rehearsal's plan and records.
-fn rehearsal(dir: &Path) -> Result<(Plan, Written), Bad2> {
+fn rehearsal(dir: &Path) -> Result<(Plan, RawRecords), Bad2> {
     let at = dir.join("plan.json");
     let say = |err: &dyn std::fmt::Display| Bad2(format!("{}: {err}", at.display()));
     let text = std::fs::read(&at).map_err(|err| say(&err))?;
     let plan: Plan = serde_json::from_slice(&text).map_err(|err| say(&err))?;
     plan.check().map_err(|why| say(&why))?;
-    Ok((plan, rockpick_rehearse::written(dir).map_err(Bad2)?))
+    Ok((plan, rockpick_rehearse::read_records(dir).map_err(Bad2)?))
 }
 
 fn show(study: Option<&Study>, lines: &[Line]) -> Result<ExitCode, Bad2> {
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -2,11 +2,11 @@
 
 /// In place of the standard one, which ends the process by a panic when nobody reads.
 macro_rules! println {
-    ($($words:tt)*) => { rockpick_rehearse::out(format_args!("{}\n", format_args!($($words)*))) };
+    ($($words:tt)*) => { rockpick_rehearse::write_stdout(format_args!("{}\n", format_args!($($words)*))) };
 }
 
 macro_rules! print {
-    ($($words:tt)*) => { rockpick_rehearse::out(format_args!($($words)*)) };
+    ($($words:tt)*) => { rockpick_rehearse::write_stdout(format_args!($($words)*)) };
 }
 
 mod ask;
@@ -481,7 +481,7 @@
         rockpick_files::inject_faults_from(file);
     }
     rockpick_net::set_clock_skew(cli.clock_ppm.unwrap_or(0));
-    let end = act(cli.what).and_then(|code| match rockpick_rehearse::out_lost() {
+    let end = act(cli.what).and_then(|code| match rockpick_rehearse::stdout_error() {
         None => Ok(code),
         Some(why) => Err(Bad2(format!("standard output: {why}"))),
     });
--- a/emu/src/experiment.rs
+++ b/emu/src/experiment.rs
@@ -61,7 +61,7 @@
     let plan: Plan = serde_json::from_value(json).map_err(|err| format!("plan: {err}"))?;
     plan.check()?;
     let (script, seconds) = rockpick_rehearse::day::script(&plan)?;
-    let charter = vary(&rockpick_rehearse::day::charter(&plan)?, changes)?;
+    let charter = vary(&rockpick_rehearse::day::settings(&plan)?, changes)?;
     let load = Load { rate: plan.rate, ..Load::default() };
     Ok(Day {
         charter,
--- a/emu/src/fit.rs
+++ b/emu/src/fit.rs
@@ -4,7 +4,7 @@
 use crate::line::{Line, P50, P99};
 use crate::world::Wires;
 use rockpick_net::{Ns, MS};
-use rockpick_rehearse::judge::{self, Written};
+use rockpick_rehearse::judge::{self, RawRecords};
 use rockpick_rehearse::Plan;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// A record with too few such RPCs.
-pub fn wires(written: &Written) -> Result<Wires, String> {
+pub fn wires(written: &RawRecords) -> Result<Wires, String> {
     let id = |v: &Value| -> Option<(String, String)> {
         Some((v["rpc"].as_str()?.to_string(), v["try"].as_str()?.to_string()))
     };
@@ -66,10 +66,10 @@
 }
 
 /// What a rehearsal's records come to, as a line.
-pub fn line(plan: &Plan, written: &Written) -> Result<Line, String> {
-    let charter = rockpick_rehearse::day::charter(plan)?;
+pub fn line(plan: &Plan, written: &RawRecords) -> Result<Line, String> {
+    let charter = rockpick_rehearse::day::settings(plan)?;
     let (script, _) = rockpick_rehearse::day::script(plan)?;
-    let evidence = judge::read(&charter, written);
+    let evidence = judge::parse_records(&charter, written);
     let judgement = judge::judge(&charter, &evidence);
     let line = Line::of(&charter, &evidence, &judgement, &script);
     Ok(Line { how: "loopback".into(), seed: plan.seed, ..line })
@@ -136,7 +136,7 @@
 
     #[test]
     fn wires_are_read_from_rpcs_with_one_pick() {
-        let mut written = Written::default();
+        let mut written = RawRecords::default();
         for i in 0..200 {
             let (t, rpc) = (1_000 * MS + i * 10 * MS, format!("1-{i}"));
             let line = |event: &str, at: Ns| json!({ "event": event, "rpc": rpc, "try": "1", "t": t + at });
--- a/emu/src/line.rs
+++ b/emu/src/line.rs
@@ -1,8 +1,8 @@
 //! A day's result, as it is kept: a line of JSON each. Emulated days, rehearsals and load have the same lines,
 //! all drawn from what clients and machines saw.
 use rockpick_control::Settings;
-use rockpick_rehearse::day::Act;
-use rockpick_rehearse::judge::{Evidence, Judgement, Saw};
+use rockpick_rehearse::day::Action;
+use rockpick_rehearse::judge::{ClientEvent, Evidence, Judgement};
 use rockpick_standin::shop::Did;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -58,13 +58,15 @@
     }
 
     /// Sums up a day that was judged; `script` tells which builds were bad.
-    pub fn of(charter: &Settings, evidence: &Evidence, judgement: &Judgement, script: &[(f64, Act)]) -> Line {
+    pub fn of(
+        charter: &Settings, evidence: &Evidence, judgement: &Judgement, script: &[(f64, Action)],
+    ) -> Line {
         // To twelve places, which are read back from text to the bit: a cut-off run goes on to the same end.
         let service = (judgement.service * 1e12).round() / 1e12;
         let mut line = Line { service, broken: Some(judgement.breaches.len()), ..Line::default() };
-        let picks: u64 = judgement.rows.values().map(|r| r.picks).sum();
+        let picks: u64 = judgement.methods.values().map(|r| r.picks).sum();
         line.exposure = judgement.trial_picks as f64 / picks.max(1) as f64;
-        for (name, row) in &judgement.rows {
+        for (name, row) in &judgement.methods {
             let utility = charter.method_index(name).map_or(0.0, |m| charter.methods[m].utility);
             line.asked += utility * row.rpcs as f64;
             line.ok += row.ok;
@@ -77,9 +79,9 @@
         let second = |t: i64| (t - begin) as f64 / 1e9;
         line.clients(charter, evidence, begin);
         let mut newest: Vec<[f64; 2]> = Vec::new();
-        let mut told = evidence.told.iter().peekable();
+        let mut told = evidence.stages.iter().peekable();
         let mut build = charter.first_build;
-        let mut arrived: Vec<_> = evidence.machines.iter().filter(|m| m.did == Did::Arrived).collect();
+        let mut arrived: Vec<_> = evidence.machines.iter().filter(|m| m.event == Did::Arrived).collect();
         arrived.sort_by_key(|m| m.t);
         for m in arrived {
             while let Some(t) = told.next_if(|t| t.t <= m.t) {
@@ -93,7 +95,7 @@
             newest[at] = [newest[at][0] + 1.0, newest[at][1] + on];
         }
         line.newest = newest.into_iter().map(|[all, on]| on / f64::max(all, 1.0)).collect();
-        for p in evidence.told.windows(2) {
+        for p in evidence.stages.windows(2) {
             if (p[0].build, p[0].stage, p[0].phase) != (p[1].build, p[1].stage, p[1].phase) {
                 let cap = [p[1].cap, 1.0, 0.0][usize::from(p[1].phase).min(2)];
                 line.caps.push((second(p[1].t), cap));
@@ -106,7 +108,7 @@
             line.stages.iter().find(fits).map(|m| m.0)
         };
         for (_, act) in script {
-            let Act::Offer { build, bad } = act else { continue };
+            let Action::Offer { build, bad } = act else { continue };
             let (back, released) = (when(*build, Some("back")), when(*build, Some("released")));
             if line.back_after.is_none() {
                 line.back_after = back.and_then(|at| Some(at - when(*build, None)?));
@@ -130,7 +132,7 @@
         let (mut first, mut times) = (BTreeMap::new(), Vec::new());
         for l in &evidence.clients {
             let row = &charter.methods[l.method as usize];
-            if matches!(l.saw, Saw::Sent { .. }) {
+            if matches!(l.event, ClientEvent::Sent { .. }) {
                 first.entry(l.rpc).or_insert_with(|| {
                     let bucket = ((l.t - begin) / 1_000_000_000).max(0) as usize;
                     if sums.len() <= bucket {
@@ -139,7 +141,7 @@
                     sums[bucket][0] += row.utility;
                     (l.t, bucket)
                 });
-            } else if let (Saw::Ok { right }, Some((began, bucket))) = (l.saw, first.get(&l.rpc)) {
+            } else if let (ClientEvent::Ok { right }, Some((began, bucket))) = (l.event, first.get(&l.rpc)) {
                 times.push((l.t - began) as f64 / 1e6);
                 if right && l.t - began <= row.soft_deadline_ms as i64 * 1_000_000 {
                     sums[*bucket][1] += row.utility;
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -14,8 +14,10 @@
 use rockpick_ldap::message::{Attribute, Entry as Record};
 use rockpick_ldap::News;
 use rockpick_net::{MS, SEC};
-use rockpick_rehearse::day::{Act, Carried};
-use rockpick_rehearse::judge::{ClientLine, Deed, Evidence, MachineLine, Saw, Told};
+use rockpick_rehearse::day::{Action, DatagramFaults};
+use rockpick_rehearse::judge::{
+    ClientEvent, ClientRecord, Evidence, MachineRecord, ProcessAction, StageRecord,
+};
 use rockpick_standin::crowd::{Crowd, How, Load, Next, Rpc, Tolls};
 use rockpick_standin::schedule::Arrivals;
 use rockpick_standin::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
@@ -159,7 +161,7 @@
     pub work_ms: f64,
     pub retries: u32,
     /// Acts by the second, from when clients begin.
-    pub script: Vec<(f64, Act)>,
+    pub script: Vec<(f64, Action)>,
     pub seconds: f64,
     pub seed: u64,
     /// Keep all lines for the checker.
@@ -229,7 +231,7 @@
     controller_still: Ns,
     bad: BTreeMap<u32, Bad>,
     shared: f64,
-    carried: Carried,
+    carried: DatagramFaults,
     parted: bool,
     wires: Wires,
     /// The tenants, where limits are kept; sums of them on their way.
@@ -242,7 +244,7 @@
     firm_seconds: Vec<[[f64; 2]; 3]>,
     watch: Watch,
     fault_all: Option<Fault>,
-    script: Vec<(f64, Act)>,
+    script: Vec<(f64, Action)>,
     lasts: Ns,
     check: bool,
     plain: bool,
@@ -274,7 +276,7 @@
     machine: u32,
     run: u32,
     build: u32,
-    lines: Option<&'a mut Vec<MachineLine>>,
+    lines: Option<&'a mut Vec<MachineRecord>>,
     replies: Vec<(u64, Tag, Reply)>,
     wakes: Vec<(Ns, u64)>,
     fell: Option<(f64, f64, Ns)>,
@@ -283,7 +285,7 @@
 impl Yard<Tag> for Street<'_> {
     fn say(&mut self, did: Did, tag: &Tag) {
         if let Some(lines) = &mut self.lines {
-            lines.push(MachineLine {
+            lines.push(MachineRecord {
                 t: self.now,
                 machine: self.machine,
                 build: self.build,
@@ -292,7 +294,7 @@
                 method: tag.method,
                 front: tag.front as u16,
                 key: Some(tag.key),
-                did,
+                event: did,
             });
         }
     }
@@ -361,7 +363,7 @@
             controller_still: 0,
             bad: BTreeMap::new(),
             shared: 0.0,
-            carried: Carried::default(),
+            carried: DatagramFaults::default(),
             parted: false,
             wires,
             tenants: limits.as_ref().map(|l| tenants(&l.rates)),
@@ -375,7 +377,7 @@
             lasts: (seconds * SEC as f64) as Ns,
             check,
             plain,
-            evidence: Evidence { whole: true, ..Evidence::default() },
+            evidence: Evidence { clients_complete: true, ..Evidence::default() },
             events: 0,
             notes: Vec::new(),
             cold: false,
@@ -434,9 +436,9 @@
             self.watch.lap(part);
         }
         if !self.tries.is_empty() {
-            self.evidence.whole = false;
+            self.evidence.clients_complete = false;
         }
-        self.evidence.names = self.machines.iter().map(|m| (m.name.clone(), Some(m.place))).collect();
+        self.evidence.machine_names = self.machines.iter().map(|m| (m.name.clone(), Some(m.place))).collect();
         Outcome {
             tolls: self.crowd.tolls.clone(),
             evidence: self.evidence,
@@ -563,11 +565,11 @@
 
     // ---- clients
 
-    fn line(&mut self, rpc: &Rpc, front: u32, saw: Saw, late: bool) {
+    fn line(&mut self, rpc: &Rpc, front: u32, event: ClientEvent, late: bool) {
         if self.check {
             let (t, attempt, method) = (self.now, rpc.tries, rpc.method as u16);
             let front = front as u16;
-            self.evidence.clients.push(ClientLine { t, rpc: rpc.id, attempt, method, front, saw, late });
+            self.evidence.clients.push(ClientRecord { t, rpc: rpc.id, attempt, method, front, event, late });
         }
     }
 
@@ -591,7 +593,7 @@
     fn send(&mut self, mut rpc: Rpc) {
         let Some(sending) = self.crowd.begin(self.now, &mut rpc) else { return };
         let front = rpc.front as u32;
-        self.line(&rpc, front, Saw::Sent { leaves: rpc.leave }, false);
+        self.line(&rpc, front, ClientEvent::Sent { leaves: rpc.leave }, false);
         self.attempts += 1;
         let id = self.attempts;
         let life = self.seats[front as usize].life;
@@ -609,13 +611,13 @@
     fn answered(&mut self, attempt: u64, how: How, wait: Ns) {
         let Some(t) = self.tries.remove(&attempt) else { return };
         let saw = match how {
-            How::Ok { right } => Saw::Ok { right },
-            How::PushedBack => Saw::PushedBack,
-            How::Aborted => Saw::Aborted,
-            How::NotTaken => Saw::NotTaken,
-            How::Unreachable => Saw::Unreachable,
-            How::Broken => Saw::Broken,
-            How::GaveUp => Saw::GaveUp,
+            How::Ok { right } => ClientEvent::Ok { right },
+            How::PushedBack => ClientEvent::PushedBack,
+            How::Aborted => ClientEvent::Aborted,
+            How::NotTaken => ClientEvent::Rejected,
+            How::Unreachable => ClientEvent::Unreachable,
+            How::Broken => ClientEvent::ConnectionLost,
+            How::GaveUp => ClientEvent::GaveUp,
         };
         let row = self.crowd.row(&t.rpc);
         if how == (How::Ok { right: true }) && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS {
@@ -644,7 +646,7 @@
 
     fn give_up(&mut self, attempt: u64) {
         let Some(t) = self.tries.remove(&attempt) else { return };
-        self.line(&t.rpc, t.front, Saw::GaveUp, false);
+        self.line(&t.rpc, t.front, ClientEvent::GaveUp, false);
         let wire = self.jitter(self.wires.client);
         self.at(self.now + wire, Ev::Gone(t.front, t.life, attempt));
         self.after(t.rpc, How::GaveUp, None);
@@ -954,7 +956,7 @@
         if let Some((sent, budget, age)) = fell {
             let name = &self.machines[machine as usize].name;
             let what = format!("{name} fell over at {} ms: sent {sent:.3} of {budget:.3}", age / MS);
-            self.evidence.fell.push(what);
+            self.evidence.failed_machines.push(what);
         }
         for (at, serial) in wakes {
             self.at(at, Ev::MachineWake(machine, run, serial));
@@ -1186,7 +1188,7 @@
             self.told_serial = self.roster.serial;
             if self.check {
                 let moves = lines.iter().map(|l| (now, l.machine as u32, l.state == State::Up));
-                self.evidence.moves.extend(moves);
+                self.evidence.roster_changes.extend(moves);
             }
             for front in 0..self.seats.len() as u32 {
                 let (life, wire) = (self.seats[front as usize].life, self.jitter(self.wires.told));
@@ -1234,7 +1236,7 @@
             _ => 2,
         };
         let (t, build, stage, cap) = (self.now, news.build, news.stage, news.cap);
-        self.evidence.told.push(Told { t, build, stage, phase, cap });
+        self.evidence.stages.push(StageRecord { t, build, stage, phase, cap });
         for front in 0..self.seats.len() as u32 {
             let (life, wire) = (self.seats[front as usize].life, self.jitter(self.wires.told));
             self.at(self.now + wire, Ev::Stage(front, life, news));
@@ -1263,7 +1265,7 @@
     // ---- the day
 
     fn deed(&mut self, act: &str, who: &str) {
-        self.evidence.acts.push(Deed { t: self.now, act: act.into(), who: who.into() });
+        self.evidence.actions.push(ProcessAction { t: self.now, action: act.into(), target: who.into() });
     }
 
     /// Machines that run, in order of their names.
@@ -1274,10 +1276,10 @@
         up
     }
 
-    fn act(&mut self, act: &Act) {
+    fn act(&mut self, act: &Action) {
         let now = self.now;
         match act {
-            Act::Offer { build, bad } => {
+            Action::Offer { build, bad } => {
                 if let Some(bad) = bad.as_deref().and_then(Bad::read) {
                     self.bad.insert(*build, bad);
                     if let Bad::Shared(size) = bad {
@@ -1288,14 +1290,14 @@
                     self.tell_stage();
                 }
             }
-            Act::Leave(nth) => {
+            Action::DrainMachine(nth) => {
                 let up = self.running();
                 if let Some(m) = up.get(nth % up.len().max(1)) {
                     self.machines[*m as usize].leaving = true;
                     self.beat(*m);
                 }
             }
-            Act::KillFront { front, down_ms } => {
+            Action::KillFront { front, down_ms } => {
                 let name = self.charter.fronts[*front].name.clone();
                 self.deed("kill", &name);
                 let seat = &mut self.seats[*front];
@@ -1326,29 +1328,33 @@
                 }
                 self.at(now + *down_ms as Ns * MS, Ev::Start(*front as u32));
             }
-            Act::StopFront { front, ms } => {
+            Action::StopFront { front, ms } => {
                 let name = self.charter.fronts[*front].name.clone();
                 let until = now + *ms as Ns * MS;
                 self.deed("stop", &name);
-                self.evidence.acts.push(Deed { t: until, act: "cont".into(), who: name });
+                self.evidence.actions.push(ProcessAction { t: until, action: "cont".into(), target: name });
                 self.seats[*front].still = until;
             }
-            Act::StopController { ms } | Act::KillController { down_ms: ms } => {
+            Action::StopController { ms } | Action::KillController { down_ms: ms } => {
                 let until = now + *ms as Ns * MS;
                 self.deed("stop", "controller");
-                self.evidence.acts.push(Deed { t: until, act: "cont".into(), who: "controller".into() });
+                self.evidence.actions.push(ProcessAction {
+                    t: until,
+                    action: "cont".into(),
+                    target: "controller".into(),
+                });
                 self.controller_still = until;
             }
             // Builds run on without their agents; nothing else of them is emulated.
-            Act::KillAgents { .. } => {}
-            Act::Vanish { machine, ms } => {
+            Action::KillAgents { .. } => {}
+            Action::Vanish { machine, ms } => {
                 let up = self.running();
                 if let Some(m) = up.get(machine % up.len().max(1)).copied() {
                     self.machines[m as usize].silent = true;
                     self.at(now + *ms as Ns * MS, Ev::Kill(m));
                 }
             }
-            Act::Fault { share, fault } => {
+            Action::Fault { share, fault } => {
                 let Ok(fault) = Fault::read(fault) else { return };
                 let up = self.running();
                 let many = (share * up.len() as f64).ceil() as usize;
@@ -1360,7 +1366,7 @@
                 }
                 self.fault_all = (*share >= 1.0).then_some(fault);
             }
-            Act::Heal => {
+            Action::Heal => {
                 self.fault_all = None;
                 for m in 0..self.machines.len() {
                     if let Some(shop) = &mut self.machines[m].shop {
@@ -1369,25 +1375,25 @@
                     self.cut_off(m);
                 }
             }
-            Act::Load(load) => {
+            Action::Load(load) => {
                 let _ = self.crowd.schedule.load.change(load);
             }
             // The emulator's fronts keep no company: of a storm they are stopped and killed.
-            Act::Storm { deed, begins: true, .. } => {
-                let ms = ((deed.until - deed.from) / MS) as u64;
-                match deed.fault {
-                    Fate::Stop { who } => self.act(&Act::StopFront { front: who, ms }),
+            Action::Storm { fault, begins: true, .. } => {
+                let ms = ((fault.until - fault.from) / MS) as u64;
+                match fault.fault {
+                    Fate::Stop { who } => self.act(&Action::StopFront { front: who, ms }),
                     Fate::Kill { who, .. } | Fate::Leave { who } => {
-                        self.act(&Act::KillFront { front: who, down_ms: ms })
+                        self.act(&Action::KillFront { front: who, down_ms: ms })
                     }
                     Fate::Links { .. } | Fate::Clock { .. } | Fate::Disk { .. } => {}
                 }
             }
-            Act::Storm { begins: false, .. } => {}
+            Action::Storm { begins: false, .. } => {}
             // Fronts go on with what they have; the emulator has no directory to lose.
-            Act::Directory(_) => {}
-            Act::Notes(carried) => self.carried = *carried,
-            Act::Part(parted) => {
+            Action::Directory(_) => {}
+            Action::Datagrams(carried) => self.carried = *carried,
+            Action::Partition(parted) => {
                 self.parted = *parted;
                 for m in 0..self.machines.len() {
                     self.cut_off(m);
--- a/emu/tests/days.rs
+++ b/emu/tests/days.rs
@@ -68,10 +68,10 @@
     let plan = plan("quiet");
     let played = day(&plan, &["rollout.caps.0=0.9".into(), "rollout.free=30".into()], 2, true).unwrap();
     let outcome = World::new(played).unwrap().run();
-    let mut told = rockpick_rehearse::day::charter(&plan).unwrap();
+    let mut told = rockpick_rehearse::day::settings(&plan).unwrap();
     (told.rollout.caps[0], told.rollout.free) = (0.0, 0.0);
     let mut evidence = outcome.evidence;
-    evidence.told.iter_mut().filter(|t| t.phase == 0).for_each(|t| t.cap = 0.05);
+    evidence.stages.iter_mut().filter(|t| t.phase == 0).for_each(|t| t.cap = 0.05);
     let breaches = rockpick_rehearse::judge::judge(&told, &evidence).breaches;
     assert!(breaches.iter().any(|b| b.rule == 5), "{breaches:?}");
 }
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/crew.rs
@@ -1,8 +1,8 @@
 //! The processes of a rehearsal: started, stopped and killed by the script; a host that starts the machines
 //! which the controller wants; the clients; and the judgement at the end.
 use crate::books;
-use crate::day::{self, Act, Plan};
-use crate::judge::{self, Judgement, Written};
+use crate::day::{self, Action, Plan};
+use crate::judge::{self, Judgement, RawRecords};
 use crate::{call, watch};
 use rockpick_control::Settings;
 use rockpick_standin::record::{clock, Record};
@@ -135,7 +135,7 @@
     /// Seats for notes, by front, and then for peers.
     relay: Relay,
     /// What becomes of notes, and the fronts' zones while they are parted.
-    carried: day::Carried,
+    carried: day::DatagramFaults,
     zones: Vec<u32>,
     /// The storm of a day of peers: which acts are on; by front, how often it is stopped and down.
     storm: Option<rockpick_storm::Plan>,
@@ -177,7 +177,7 @@
         return Err("on loopback --fronts 200, --machines 500 and --rate 100000 at most".into());
     }
     let (script, lasts) = day::script(&plan)?;
-    let charter = day::charter(&plan)?;
+    let charter = day::settings(&plan)?;
     let out = plan.out.clone().unwrap_or_else(|| {
         std::env::temp_dir().join(format!("rockpick-rehearsal-{}-{}", std::process::id(), clock() / SEC))
     });
@@ -197,7 +197,7 @@
         let say = |err: std::io::Error| err.to_string();
         let acts = Record::open(Some(&out.join("acts.jsonl"))).map_err(say)?;
         let relay = Relay::begin(2 * plan.fronts, plan.seed).map_err(say)?;
-        let storm = plan.is_of_peers().then(|| day::storm(&plan));
+        let storm = plan.is_peers_day().then(|| day::storm(&plan));
         if let Some(storm) = &storm {
             std::fs::write(out.join("storm.jsonl"), storm.write()).map_err(say)?;
             std::fs::write(out.join("peers.key"), "the key of a rehearsal's fronts").map_err(say)?;
@@ -222,7 +222,7 @@
             fault: None,
             shared: 0.0,
             relay,
-            carried: day::Carried::default(),
+            carried: day::DatagramFaults::default(),
             zones: Vec::new(),
             storm,
             on: Vec::new(),
@@ -374,7 +374,7 @@
         if self.storm.is_some() && self.plan.faulty.is_none() {
             let lies = self.out.join(format!("{name}.lies"));
             args.extend(words(&["--disk-lies", &lies.to_string_lossy()]));
-            args.push(format!("--clock-ppm={}", day::pace(&self.plan, front)));
+            args.push(format!("--clock-ppm={}", day::clock_ppm(&self.plan, front)));
         }
         let company = self.storm.is_some() && !self.plan.alone;
         let seat = |front: usize| self.relay.seats[self.plan.fronts + front].to_string();
@@ -407,9 +407,9 @@
     fn links(&self) {
         let fronts = self.plan.fronts;
         let carried = Way {
-            lost: self.carried.lost,
-            doubled: self.carried.twice,
-            jitter: self.carried.late_ms as i64 * 1_000_000,
+            lost: self.carried.loss,
+            doubled: self.carried.duplication,
+            jitter: self.carried.max_delay_ms as i64 * 1_000_000,
             ..Way::default()
         };
         for (from, to) in (0..fronts).flat_map(|a| (0..fronts).map(move |b| (a, b))).filter(|(a, b)| a != b) {
@@ -711,11 +711,11 @@
         self.acts.put(json!({ "act": act, "who": who }));
     }
 
-    fn act(&mut self, act: &Act) -> Result<(), String> {
+    fn act(&mut self, act: &Action) -> Result<(), String> {
         let now = clock();
         let after = |ms: u64| now + ms as i64 * 1_000_000;
         match act {
-            Act::Offer { build, bad } => {
+            Action::Offer { build, bad } => {
                 if let Some(bad) = bad {
                     self.bad.insert(*build, bad.clone());
                     if let Some(size) = bad.strip_prefix("shared:") {
@@ -729,14 +729,14 @@
                 let _ = call(self.control_at, "POST", "/builds", &body);
                 self.note("offer", &format!("build {build}"));
             }
-            Act::Leave(nth) => {
+            Action::DrainMachine(nth) => {
                 let names: Vec<String> = self.machines().into_keys().collect();
                 if let Some(name) = names.get(nth % names.len().max(1)) {
                     self.signal(name, Signal::TERM);
                     self.note("leave", name);
                 }
             }
-            Act::KillAgents { share, down_ms } => {
+            Action::KillAgents { share, down_ms } => {
                 let many = (share * self.agents.len() as f64).ceil() as usize;
                 for place in 0..many {
                     if let Some(mut agent) = self.agents[place].take() {
@@ -746,13 +746,13 @@
                 }
                 self.note("kill", &format!("{many} agents"));
             }
-            Act::KillFront { front, down_ms } => {
+            Action::KillFront { front, down_ms } => {
                 let name = self.charter.fronts[*front].name.clone();
                 self.note("kill", &name);
                 self.fronts[*front] = None;
                 self.pending.push((after(*down_ms), Pending::StartFront(*front)));
             }
-            Act::StopFront { front, ms } => {
+            Action::StopFront { front, ms } => {
                 if let Some(proc) = &self.fronts[*front] {
                     proc.signal(Signal::STOP);
                     let name = self.charter.fronts[*front].name.clone();
@@ -760,19 +760,19 @@
                     self.pending.push((after(*ms), Pending::ContFront(*front)));
                 }
             }
-            Act::StopController { ms } => {
+            Action::StopController { ms } => {
                 if let Some(proc) = &self.controller {
                     proc.signal(Signal::STOP);
                     self.note("stop", "controller");
                     self.pending.push((after(*ms), Pending::ContController));
                 }
             }
-            Act::KillController { down_ms } => {
+            Action::KillController { down_ms } => {
                 self.note("kill", "controller");
                 self.controller = None;
                 self.pending.push((after(*down_ms), Pending::StartController));
             }
-            Act::Vanish { machine, ms } => {
+            Action::Vanish { machine, ms } => {
                 let names: Vec<String> = self.machines().into_keys().collect();
                 if let Some(name) = names.get(machine % names.len().max(1)).cloned() {
                     self.signal(&name, Signal::STOP);
@@ -780,7 +780,7 @@
                     self.pending.push((after(*ms), Pending::KillMachine(name)));
                 }
             }
-            Act::Fault { share, fault } => {
+            Action::Fault { share, fault } => {
                 let machines = self.machines();
                 let many = (share * machines.len() as f64).ceil() as usize;
                 self.note("fault", &fault.to_string());
@@ -790,7 +790,7 @@
                 }
                 self.fault = (*share >= 1.0).then(|| fault.clone());
             }
-            Act::Heal => {
+            Action::Heal => {
                 self.fault = None;
                 self.faults.clear();
                 self.note("heal", "all");
@@ -798,18 +798,22 @@
                     let _ = call(at, "POST", "/fault", &self.behind(&name, &json!({})).to_string());
                 }
             }
-            Act::Load(load) => {
+            Action::Load(load) => {
                 self.note("load", &load.to_string());
                 if let Some(clients) = &self.clients {
                     let _ = call(clients.at, "POST", "/load", &load.to_string());
                 }
             }
-            Act::Notes(carried) => {
-                self.note(&format!("{carried:?}"), "fronts");
+            Action::Datagrams(carried) => {
+                // The record keeps the names that it had before the type was renamed.
+                let day::DatagramFaults { loss, duplication, max_delay_ms } = carried;
+                let text =
+                    format!("Carried {{ lost: {loss:?}, twice: {duplication:?}, late_ms: {max_delay_ms} }}");
+                self.note(&text, "fronts");
                 self.carried = *carried;
                 self.links();
             }
-            Act::Directory(back) => {
+            Action::Directory(back) => {
                 self.note(if *back { "start" } else { "kill" }, "directory");
                 if *back {
                     self.start_directory(true)?;
@@ -818,8 +822,8 @@
                     self.directory = None;
                 }
             }
-            Act::Storm { act, begins, .. } => self.storm(*act, *begins)?,
-            Act::Part(parted) => {
+            Action::Storm { act, begins, .. } => self.storm(*act, *begins)?,
+            Action::Partition(parted) => {
                 self.note(if *parted { "part" } else { "join" }, "zones");
                 let zones = self.charter.fronts.iter().map(|f| self.charter.zone_index(&f.zone));
                 let zones = if *parted { zones.collect() } else { Vec::new() };
@@ -901,7 +905,7 @@
         }
     }
 
-    fn day(&mut self, script: &[(f64, Act)], lasts: f64) -> Result<bool, String> {
+    fn day(&mut self, script: &[(f64, Action)], lasts: f64) -> Result<bool, String> {
         let stop = Arc::new(AtomicBool::new(false));
         let (at, file, flag) = (self.control_at, self.out.join("watch.jsonl"), stop.clone());
         let watcher = std::thread::spawn(move || watch::watch(at, &file, flag));
@@ -970,8 +974,8 @@
         std::thread::sleep(Duration::from_millis(300));
         let mut differ = None;
         if self.storm.is_some() && !self.plan.alone {
-            let evidence = judge::read(&self.charter, &written(&self.out)?);
-            let bound = judge::kept_keys(&self.charter, &evidence);
+            let evidence = judge::parse_records(&self.charter, &read_records(&self.out)?);
+            let bound = judge::trial_answered_keys(&self.charter, &evidence);
             let by = clock() + SETTLES;
             loop {
                 differ = self.copies(&bound);
@@ -997,9 +1001,9 @@
         self.end_agents();
         self.controller = None;
         self.fronts.iter_mut().for_each(|f| *f = None);
-        let evidence = judge::read(&self.charter, &written(&self.out)?);
+        let evidence = judge::parse_records(&self.charter, &read_records(&self.out)?);
         let judgement = judge::judge(&self.charter, &evidence);
-        print(&judgement, "loopback");
+        print_judgement(&judgement, "loopback");
         let mut good = judgement.breaches.is_empty() && differ.is_none();
         if let Some([_, control]) = self.books {
             let status = call(control, "GET", "/status", "")?;
@@ -1056,8 +1060,8 @@
 ///
 /// # Errors
 /// Names the file and the line that is none.
-pub fn written(out: &Path) -> Result<Written, String> {
-    let mut evidence = Written::default();
+pub fn read_records(out: &Path) -> Result<RawRecords, String> {
+    let mut evidence = RawRecords::default();
     let entries = std::fs::read_dir(out).map_err(|err| err.to_string())?;
     let mut files: Vec<PathBuf> = entries.flatten().map(|e| e.path()).collect();
     files.sort();
@@ -1065,7 +1069,7 @@
         let name = file.file_name().and_then(|n| n.to_str()).unwrap_or("").to_string();
         let into = match name.as_str() {
             "clients.jsonl" => &mut evidence.clients,
-            "acts.jsonl" => &mut evidence.acts,
+            "acts.jsonl" => &mut evidence.actions,
             "watch.jsonl" => &mut evidence.watch,
             _ if name.starts_with("machine-") && name.ends_with(".jsonl") => &mut evidence.machines,
             _ => continue,
@@ -1085,7 +1089,7 @@
 }
 
 /// Prints stages, the table of methods, and breaches; `how` says where the figures come from.
-pub fn print(judgement: &Judgement, how: &str) {
+pub fn print_judgement(judgement: &Judgement, how: &str) {
     println!("\nstages as told:");
     for (at, build, stage, phase) in &judgement.stages {
         println!("{:6.1} s  build {build} stage {stage} {phase}", *at as f64 / SEC as f64);
@@ -1094,7 +1098,7 @@
         "\n{:<10} {:>7} {:>7} {:>8} {:>12} {:>8} {:>11} {:>7}",
         "method", "RPCs", "ok", "in time", "pushed back", "aborted", "unanswered", "picks"
     );
-    for (method, r) in &judgement.rows {
+    for (method, r) in &judgement.methods {
         println!(
             "{method:<10} {:>7} {:>7} {:>8} {:>12} {:>8} {:>11} {:>7}",
             r.rpcs, r.ok, r.in_time, r.pushed_back, r.aborted, r.unanswered, r.picks
@@ -1105,7 +1109,7 @@
     let many = judgement.breaches.len();
     for rule in 1..=5u8 {
         let ours: Vec<&judge::Breach> = judgement.breaches.iter().filter(|b| b.rule == rule).collect();
-        ours.iter().take(SHOWN).for_each(|b| println!("rule {rule}: {}", b.what));
+        ours.iter().take(SHOWN).for_each(|b| println!("rule {rule}: {}", b.description));
         if ours.len() > SHOWN {
             println!("rule {rule}: ... and {} more", ours.len() - SHOWN);
         }
--- a/rehearse/src/day.rs
+++ b/rehearse/src/day.rs
@@ -2,7 +2,7 @@
 use clap::Args;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_storm::plan::{Act as Deed, Plan as Storm, Range};
+use rockpick_storm::plan::{Act as StormFault, Plan as Storm, Range};
 use rockpick_storm::SEC;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -68,13 +68,13 @@
 
 /// One thing that the rehearsal does.
 #[derive(Clone, Debug)]
-pub enum Act {
+pub enum Action {
     Offer {
         build: u32,
         bad: Option<String>,
     },
     /// A machine is asked to leave (a drain); a front to go down and come up.
-    Leave(usize),
+    DrainMachine(usize),
     KillFront {
         front: usize,
         down_ms: u64,
@@ -107,38 +107,38 @@
     Heal,
     Load(Value),
     /// What becomes of notes between fronts from now on.
-    Notes(Carried),
+    Datagrams(DatagramFaults),
     /// Fronts and machines of different zones reach each other no more, or again.
-    Part(bool),
+    Partition(bool),
     /// The directory is killed; or is back, with other content.
     Directory(bool),
     /// A fault of the day's storm begins, or ends.
     Storm {
         act: usize,
-        deed: Deed,
+        fault: StormFault,
         begins: bool,
     },
 }
 
 /// How notes between fronts, datagrams, are carried.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Carried {
+pub struct DatagramFaults {
     /// Shares lost and sent twice.
-    pub lost: f64,
-    pub twice: f64,
+    pub loss: f64,
+    pub duplication: f64,
     /// Each comes up to this much later, ms, so that they overtake each other.
-    pub late_ms: u64,
+    pub max_delay_ms: u64,
 }
 
-impl Carried {
+impl DatagramFaults {
     /// What becomes of one note: how much later each copy comes that gets through, ns.
     pub fn copies(&self, chance: &mut StdRng) -> [Option<i64>; 2] {
         let mut odds = |p: f64| p > 0.0 && chance.random::<f64>() < p;
-        let twice = odds(self.twice);
+        let twice = odds(self.duplication);
         [true, twice].map(|sent| {
-            let lost = !sent || self.lost > 0.0 && chance.random::<f64>() < self.lost;
-            let span = 0..=self.late_ms as i64 * 1_000_000;
-            (!lost).then(|| if self.late_ms > 0 { chance.random_range(span) } else { 0 })
+            let lost = !sent || self.loss > 0.0 && chance.random::<f64>() < self.loss;
+            let span = 0..=self.max_delay_ms as i64 * 1_000_000;
+            (!lost).then(|| if self.max_delay_ms > 0 { chance.random_range(span) } else { 0 })
         })
     }
 }
@@ -177,12 +177,12 @@
 
 impl Plan {
     /// A day of fronts that keep company, under a storm.
-    pub fn is_of_peers(&self) -> bool {
+    pub fn is_peers_day(&self) -> bool {
         self.day == "peers" && self.trouble.is_empty()
     }
 
     /// A soak of the live node.
-    pub fn is_of_node(&self) -> bool {
+    pub fn is_node_soak(&self) -> bool {
         self.day == "node" && self.trouble.is_empty()
     }
 
@@ -219,7 +219,7 @@
         longest,
         settles: 30 * SEC,
         kills: true,
-        // Each front's clock has a pace of its own all day (see `pace`).
+        // Each front's clock has a pace of its own all day (see `clock_ppm`).
         clocks: false,
         disks: &rockpick_files::FAULT_NAMES,
     };
@@ -227,7 +227,7 @@
 }
 
 /// By how many parts of a million a front's clock runs fast on a day of peers: up to a hundredth, or slow.
-pub fn pace(plan: &Plan, front: usize) -> i64 {
+pub fn clock_ppm(plan: &Plan, front: usize) -> i64 {
     StdRng::seed_from_u64(plan.seed ^ (front as u64 + 1) << 40).random_range(-10_000..=10_000)
 }
 
@@ -235,43 +235,45 @@
 ///
 /// # Errors
 /// Names the argument that makes no sense.
-pub fn charter(plan: &Plan) -> Result<rockpick_control::Settings, String> {
+pub fn settings(plan: &Plan) -> Result<rockpick_control::Settings, String> {
     let mut charter = rockpick_control::Settings::example(plan.fronts, plan.machines);
     let control = serde_json::from_value(json!(plan.control));
     let unknown = |_| format!("--control {}: first-voice, by-count or automatic", plan.control);
     charter.rollout.control = control.map_err(unknown)?;
     charter.rollout.step_ms = 4_000;
-    let one_way = plan.one_way || plan.is_of_peers();
+    let one_way = plan.one_way || plan.is_peers_day();
     (charter.rollout.parallel, charter.rollout.one_way) = (!plan.in_place, one_way);
     Ok(charter)
 }
 
 /// The acts of a trouble from second `at`, and when it is over.
-fn trouble(name: &str, plan: &Plan, at: f64, chance: &mut StdRng) -> Option<Vec<(f64, Act)>> {
-    let fault = |share: f64, fault: Value| vec![(at, Act::Fault { share, fault }), (at + 10.0, Act::Heal)];
-    let load = |on: Value, off: Value, long: f64| vec![(at, Act::Load(on)), (at + long, Act::Load(off))];
+fn trouble(name: &str, plan: &Plan, at: f64, chance: &mut StdRng) -> Option<Vec<(f64, Action)>> {
+    let fault =
+        |share: f64, fault: Value| vec![(at, Action::Fault { share, fault }), (at + 10.0, Action::Heal)];
+    let load =
+        |on: Value, off: Value, long: f64| vec![(at, Action::Load(on)), (at + long, Action::Load(off))];
     let machines = plan.machines.max(1);
     let some: usize = chance.random_range(0..machines);
     let names: Vec<String> = (0..plan.fronts).map(|i| format!("f{i}")).collect();
     Some(match name {
         "answer_lost" => fault(0.6, json!({ "lost": 0.2, "reset": chance.random::<bool>() })),
-        "agent_down" => vec![(at, Act::KillAgents { share: 0.5, down_ms: 3_000 })],
+        "agent_down" => vec![(at, Action::KillAgents { share: 0.5, down_ms: 3_000 })],
         "bad_build" => Vec::new(),
         "balancer_roll" => {
             let batch = plan.fronts.div_ceil(3);
             let down_ms = chance.random_range(200..1_200);
-            let kill = |f: usize| (at + 4.0 * (f / batch) as f64, Act::KillFront { front: f, down_ms });
+            let kill = |f: usize| (at + 4.0 * (f / batch) as f64, Action::KillFront { front: f, down_ms });
             (0..plan.fronts).map(kill).collect()
         }
         "balancer_stall" => {
             let most = (plan.fronts * 3).div_ceil(4);
             let turn =
-                |i: usize| (at + 3.0 * (i / most) as f64, Act::StopFront { front: i % most, ms: 1_000 });
+                |i: usize| (at + 3.0 * (i / most) as f64, Action::StopFront { front: i % most, ms: 1_000 });
             (0..3 * most).map(turn).collect()
         }
         "burst" => load(json!({ "rate": 2.0 * plan.rate }), json!({ "rate": plan.rate }), 5.0),
         "conn_squeeze" => fault(0.8, json!({ "connections": 2 * plan.fronts })),
-        "control_down" => vec![(at, Act::StopController { ms: 9_000 })],
+        "control_down" => vec![(at, Action::StopController { ms: 9_000 })],
         "fast_errors" => fault(0.2, json!({ "errors": 0.8 })),
         "give_up" => load(json!({ "hasty": 0.6, "patience": 0.4, "leave": 1 }), json!({ "hasty": 0 }), 10.0),
         "heavy_tail" => load(json!({ "tail": 0.02, "tail_times": 15 }), json!({ "tail": 0 }), 10.0),
@@ -280,13 +282,13 @@
         "neighbour" => fault(0.5, json!({ "neighbour": 0.55, "turn_ms": 2_000 })),
         "one_sided" => fault(0.5, json!({ "lost": 0.8, "fronts": [names[0]] })),
         "datagrams" => {
-            let carried = Carried { lost: 0.3, twice: 0.2, late_ms: 400 };
-            vec![(at, Act::Notes(carried)), (at + 12.0, Act::Notes(Carried::default()))]
+            let carried = DatagramFaults { loss: 0.3, duplication: 0.2, max_delay_ms: 400 };
+            vec![(at, Action::Datagrams(carried)), (at + 12.0, Action::Datagrams(DatagramFaults::default()))]
         }
-        "partition" => vec![(at, Act::Part(true)), (at + 8.0, Act::Part(false))],
+        "partition" => vec![(at, Action::Partition(true)), (at + 8.0, Action::Partition(false))],
         "peer_down" => {
-            let lost = Carried { lost: 1.0, ..Carried::default() };
-            vec![(at, Act::Notes(lost)), (at + 12.0, Act::Notes(Carried::default()))]
+            let lost = DatagramFaults { loss: 1.0, ..DatagramFaults::default() };
+            vec![(at, Action::Datagrams(lost)), (at + 12.0, Action::Datagrams(DatagramFaults::default()))]
         }
         "probe_fail" => fault(0.7, json!({ "probes": 1.0 })),
         "shared_slow" => fault(1.0, json!({ "slow": 2.0 })),
@@ -298,17 +300,17 @@
         }
         "vanish" => {
             let many = machines.div_ceil(10);
-            (0..many).map(|i| (at, Act::Vanish { machine: (some + i) % machines, ms: 8_000 })).collect()
+            (0..many).map(|i| (at, Action::Vanish { machine: (some + i) % machines, ms: 8_000 })).collect()
         }
         _ => return None,
     })
 }
 
 /// The acts of a plan in order of time, and how long its traffic lasts, s.
-pub fn script(plan: &Plan) -> Result<(Vec<(f64, Act)>, f64), String> {
+pub fn script(plan: &Plan) -> Result<(Vec<(f64, Action)>, f64), String> {
     let mut chance = StdRng::seed_from_u64(plan.seed);
     let offer =
-        |at: f64, build: u32, bad: bool| (at, Act::Offer { build, bad: bad.then(|| plan.bad.clone()) });
+        |at: f64, build: u32, bad: bool| (at, Action::Offer { build, bad: bad.then(|| plan.bad.clone()) });
     let (mut acts, lasts) = if !plan.trouble.is_empty() {
         let mut acts = vec![offer(3.0, 2, plan.trouble.iter().any(|t| t == "bad_build"))];
         for name in &plan.trouble {
@@ -329,17 +331,17 @@
                     vec![
                         offer(3.0, 2, false),
                         // A burst arrives just as a machine drains.
-                        (10.0, Act::Leave(0)),
-                        (10.0, Act::Load(burst)),
-                        (14.0, Act::Load(json!({ "rate": plan.rate }))),
-                        (22.0, Act::Vanish { machine: 1, ms: 8_000 }),
+                        (10.0, Action::DrainMachine(0)),
+                        (10.0, Action::Load(burst)),
+                        (14.0, Action::Load(json!({ "rate": plan.rate }))),
+                        (22.0, Action::Vanish { machine: 1, ms: 8_000 }),
                         offer(26.0, 3, true),
-                        (31.0, Act::KillFront { front, down_ms: 800 }),
-                        (35.0, Act::KillAgents { share: 0.5, down_ms: 3_000 }),
-                        (46.0, Act::StopController { ms: 6_000 }),
+                        (31.0, Action::KillFront { front, down_ms: 800 }),
+                        (35.0, Action::KillAgents { share: 0.5, down_ms: 3_000 }),
+                        (46.0, Action::StopController { ms: 6_000 }),
                         offer(54.0, 4, false),
-                        (58.0, Act::KillFront { front: 0, down_ms: 300 }),
-                        (61.0, Act::KillController { down_ms: 1_000 }),
+                        (58.0, Action::KillFront { front: 0, down_ms: 300 }),
+                        (61.0, Action::KillController { down_ms: 1_000 }),
                     ],
                     70.0,
                 )
@@ -347,39 +349,39 @@
             "quiet" => (vec![offer(3.0, 2, false)], 26.0),
             "calm" => (Vec::new(), 26.0),
             "stop" => {
-                let stop = Act::Fault { share: 1.0, fault: json!({ "slow": 100 }) };
-                (vec![(8.0, stop), (13.0, Act::Heal)], 40.0)
+                let stop = Action::Fault { share: 1.0, fault: json!({ "slow": 100 }) };
+                (vec![(8.0, stop), (13.0, Action::Heal)], 40.0)
             }
             "cold" => {
                 // All machines are gone at once and come back cold; the tier has to bring them up.
-                let vanish = |machine: usize| (8.0, Act::Vanish { machine, ms: 1_000 });
+                let vanish = |machine: usize| (8.0, Action::Vanish { machine, ms: 1_000 });
                 ((0..plan.machines).map(vanish).collect(), 40.0)
             }
             "directory" => {
                 let burst = json!({ "rate": 2.0 * plan.rate });
                 let acts = vec![
-                    (8.0, Act::Load(burst)),
+                    (8.0, Action::Load(burst)),
                     // In the middle of a burst.
-                    (9.0, Act::Directory(false)),
-                    (12.0, Act::Load(json!({ "rate": plan.rate }))),
+                    (9.0, Action::Directory(false)),
+                    (12.0, Action::Load(json!({ "rate": plan.rate }))),
                     offer(13.0, 2, false),
-                    (16.0, Act::KillFront { front: 0, down_ms: 300 }),
-                    (20.0, Act::Directory(true)),
+                    (16.0, Action::KillFront { front: 0, down_ms: 300 }),
+                    (20.0, Action::Directory(true)),
                 ];
                 (acts, 50.0)
             }
             "peers" => {
                 // Few keys draw most of the traffic, so that many fronts meet each of them.
                 let keys = json!({ "hot": 0.6, "hot_keys": 60 });
-                let mut acts = vec![(0.0, Act::Load(keys)), offer(2.0, 2, false), offer(25.0, 3, false)];
+                let mut acts = vec![(0.0, Action::Load(keys)), offer(2.0, 2, false), offer(25.0, 3, false)];
                 let storm = storm(plan);
                 for (at, act, begins) in storm.edges() {
-                    let deed = storm.acts[act].clone();
-                    acts.push((4.0 + at as f64 / SEC as f64, Act::Storm { act, deed, begins }));
+                    let fault = storm.acts[act].clone();
+                    acts.push((4.0 + at as f64 / SEC as f64, Action::Storm { act, fault, begins }));
                 }
                 (acts, 44.0)
             }
-            "short" => (vec![offer(2.0, 2, false), (4.0, Act::Leave(0))], 11.0),
+            "short" => (vec![offer(2.0, 2, false), (4.0, Action::DrainMachine(0))], 11.0),
             other => return Err(format!("--day {other}: one of {}", days().join(", "))),
         }
     };
--- a/rehearse/src/judge.rs
+++ b/rehearse/src/judge.rs
@@ -1,6 +1,6 @@
 //! Judges a day by what clients and machines saw at their ends of the sockets, what the controller told a
 //! watcher, and what the rehearsal itself did to processes. A front's own word counts for nothing. A rehearsal's
-//! records are read from JSON ([`read`]); the emulator hands over the same lines as they happen.
+//! records are read from JSON ([`parse_records`]); the emulator hands over the same lines as they happen.
 //!
 //! Times are one clock's, in ns: the machine's monotonic one, which all records share, or the emulator's. What
 //! two processes saw of one thing differs by their scheduling: [`SKEW`] is granted for that, never more.
@@ -25,12 +25,12 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
     pub rule: u8,
-    pub what: String,
+    pub description: String,
 }
 
 /// What a client saw of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Saw {
+pub enum ClientEvent {
     /// Sent; `leaves`: it will leave before its deadline without having said so.
     Sent {
         leaves: bool,
@@ -41,29 +41,29 @@
     PushedBack,
     Aborted,
     /// Refused as malformed or unknown.
-    NotTaken,
+    Rejected,
     /// An answer that does not say which it is.
-    Nameless,
+    Unlabelled,
     Unreachable,
-    Broken,
+    ConnectionLost,
     GaveUp,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct ClientLine {
+pub struct ClientRecord {
     pub t: Ns,
     pub rpc: u64,
     pub attempt: u32,
     /// Indices into the charter.
     pub method: u16,
     pub front: u16,
-    pub saw: Saw,
+    pub event: ClientEvent,
     /// It came after the deadline and the grace.
     pub late: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct MachineLine {
+pub struct MachineRecord {
     pub t: Ns,
     pub machine: u32,
     pub build: u32,
@@ -72,12 +72,12 @@
     pub method: u16,
     pub front: u16,
     pub key: Option<u64>,
-    pub did: Did,
+    pub event: Did,
 }
 
 /// A stage as it was told.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct StageRecord {
     pub t: Ns,
     pub build: u32,
     pub stage: u32,
@@ -88,35 +88,35 @@
 
 /// What was done to a process.
 #[derive(Clone, Debug)]
-pub struct Deed {
+pub struct ProcessAction {
     pub t: Ns,
-    pub act: String,
-    pub who: String,
+    pub action: String,
+    pub target: String,
 }
 
 /// All records of a day.
 #[derive(Default)]
 pub struct Evidence {
     /// Machines by index: name and place.
-    pub names: Vec<(String, Option<usize>)>,
-    pub clients: Vec<ClientLine>,
-    pub machines: Vec<MachineLine>,
+    pub machine_names: Vec<(String, Option<usize>)>,
+    pub clients: Vec<ClientRecord>,
+    pub machines: Vec<MachineRecord>,
     /// Machines that fell over, with how.
-    pub fell: Vec<String>,
-    pub told: Vec<Told>,
+    pub failed_machines: Vec<String>,
+    pub stages: Vec<StageRecord>,
     /// When each machine was told as up, or as not.
-    pub moves: Vec<(Ns, u32, bool)>,
-    pub acts: Vec<Deed>,
+    pub roster_changes: Vec<(Ns, u32, bool)>,
+    pub actions: Vec<ProcessAction>,
     /// Words that clients got after an answer; whether their record came to its end.
-    pub stray: u64,
-    pub whole: bool,
+    pub extra_messages: u64,
+    pub clients_complete: bool,
     /// The fronts keep company: keys hold over fronts and lives.
-    pub company: bool,
+    pub peers_enabled: bool,
 }
 
 /// Service by method.
 #[derive(Clone, Debug, Default)]
-pub struct Row {
+pub struct MethodSummary {
     pub rpcs: u64,
     pub ok: u64,
     pub in_time: u64,
@@ -128,7 +128,7 @@
 
 pub struct Judgement {
     pub breaches: Vec<Breach>,
-    pub rows: BTreeMap<String, Row>,
+    pub methods: BTreeMap<String, MethodSummary>,
     pub service: f64,
     /// Time, build, stage and phase of each move that was told.
     pub stages: Vec<(Ns, u32, u32, String)>,
@@ -140,11 +140,11 @@
 struct Downs(BTreeMap<String, Vec<(Ns, Ns, bool)>>);
 
 impl Downs {
-    fn of(acts: &[Deed]) -> Downs {
+    fn of(acts: &[ProcessAction]) -> Downs {
         let mut downs = Downs::default();
         for act in acts {
-            let spans = downs.0.entry(act.who.clone()).or_default();
-            match act.act.as_str() {
+            let spans = downs.0.entry(act.target.clone()).or_default();
+            match act.action.as_str() {
                 "kill" => spans.push((act.t, Ns::MAX, true)),
                 "stop" | "cut" => spans.push((act.t, Ns::MAX, false)),
                 "start" | "cont" | "join" => {
@@ -187,7 +187,7 @@
 }
 
 struct Stages<'a> {
-    told: Vec<Told>,
+    told: Vec<StageRecord>,
     first: f64,
     grace: Ns,
     downs: &'a Downs,
@@ -209,7 +209,7 @@
     }
 
     /// What may have been told to a front at a time, as far as rules still bind by it: newest last.
-    fn around(&self, front: &str, at: Ns) -> &[Told] {
+    fn around(&self, front: &str, at: Ns) -> &[StageRecord] {
         let from = self.index(at - self.grace - SKEW - self.late(front, at)).saturating_sub(1);
         let to = self.index(at + SKEW);
         &self.told[from.min(to)..to]
@@ -236,7 +236,7 @@
     /// Since when the present, lowered cap of a build binds: picks count anew from there.
     fn lowered(&self, build: u32, at: Ns) -> Ns {
         let lines = &self.told[..self.index(at)];
-        let cap = |l: &Told| if l.phase == 0 { l.cap } else { 0.0 };
+        let cap = |l: &StageRecord| if l.phase == 0 { l.cap } else { 0.0 };
         let falls = lines
             .windows(2)
             .filter(|p| p[1].build == build && p[0].build == build && cap(&p[1]) < cap(&p[0]));
@@ -252,13 +252,13 @@
 
 /// The records of a rehearsal as they were written.
 #[derive(Default)]
-pub struct Written {
+pub struct RawRecords {
     pub clients: Vec<Value>,
     pub machines: Vec<Value>,
     /// Lines of a watch of the controller, `t` when each came.
     pub watch: Vec<Value>,
     /// What the rehearsal did: kill, stop, cont, start, of a front or the controller.
-    pub acts: Vec<Value>,
+    pub actions: Vec<Value>,
 }
 
 fn s<'a>(v: &'a Value, name: &str) -> &'a str {
@@ -270,7 +270,7 @@
 }
 
 /// Reads what a rehearsal's processes have written; lines of other kinds are passed over.
-pub fn read(charter: &Settings, written: &Written) -> Evidence {
+pub fn parse_records(charter: &Settings, records: &RawRecords) -> Evidence {
     let mut day = Evidence::default();
     let fronts: BTreeMap<&str, u16> =
         charter.fronts.iter().zip(0..).map(|(f, i)| (f.name.as_str(), i)).collect();
@@ -282,26 +282,34 @@
         *rpcs.entry(s(v, "rpc").to_string()).or_insert(next)
     };
     let attempt = |v: &Value| s(v, "try").parse().unwrap_or(0);
-    for v in &written.clients {
-        let saw = match (s(v, "event"), s(v, "answer")) {
-            ("sent", _) => Saw::Sent { leaves: v["leaves"] == true },
-            ("answer", "ok") => Saw::Ok { right: v["right"] != false },
-            ("answer", "pushed-back") => Saw::PushedBack,
-            ("answer", "aborted") => Saw::Aborted,
-            ("answer", "not-taken") => Saw::NotTaken,
-            ("answer", _) => Saw::Nameless,
-            ("not taken", _) => Saw::Unreachable,
-            ("broken", _) => Saw::Broken,
-            ("gave up", _) => Saw::GaveUp,
+    for v in &records.clients {
+        let event = match (s(v, "event"), s(v, "answer")) {
+            ("sent", _) => ClientEvent::Sent { leaves: v["leaves"] == true },
+            ("answer", "ok") => ClientEvent::Ok { right: v["right"] != false },
+            ("answer", "pushed-back") => ClientEvent::PushedBack,
+            ("answer", "aborted") => ClientEvent::Aborted,
+            ("answer", "not-taken") => ClientEvent::Rejected,
+            ("answer", _) => ClientEvent::Unlabelled,
+            ("not taken", _) => ClientEvent::Unreachable,
+            ("broken", _) => ClientEvent::ConnectionLost,
+            ("gave up", _) => ClientEvent::GaveUp,
             ("end", _) => {
-                (day.whole, day.stray) = (true, v["stray"].as_u64().unwrap_or(0));
+                (day.clients_complete, day.extra_messages) = (true, v["stray"].as_u64().unwrap_or(0));
                 continue;
             }
             _ => continue,
         };
         let (Some(front), Some(method)) = (front(v), method(v)) else { continue };
         let late = v["late"] == true;
-        day.clients.push(ClientLine { t: t(v), rpc: rpc(v), attempt: attempt(v), method, front, saw, late });
+        day.clients.push(ClientRecord {
+            t: t(v),
+            rpc: rpc(v),
+            attempt: attempt(v),
+            method,
+            front,
+            event,
+            late,
+        });
     }
     let mut known: BTreeMap<String, u32> = BTreeMap::new();
     let mut names = Vec::new();
@@ -312,8 +320,8 @@
             names.len() as u32 - 1
         })
     };
-    for v in &written.machines {
-        let did = match s(v, "event") {
+    for v in &records.machines {
+        let event = match s(v, "event") {
             "arrived" => Did::Arrived,
             "began" => Did::Began,
             "ok" => Did::Ok,
@@ -326,7 +334,7 @@
                 let (sent, budget) = (&v["sent"], &v["budget"]);
                 let what =
                     format!("{} fell over at {} ms: sent {sent} of {budget}", s(v, "machine"), v["age_ms"]);
-                day.fell.push(what);
+                day.failed_machines.push(what);
                 continue;
             }
             _ => continue,
@@ -336,9 +344,9 @@
         let key = s(v, "key").parse().ok();
         let machine = machine(s(v, "machine"));
         let (rpc, attempt) = (rpc(v), attempt(v));
-        day.machines.push(MachineLine { t: t(v), machine, build, rpc, attempt, method, front, key, did });
+        day.machines.push(MachineRecord { t: t(v), machine, build, rpc, attempt, method, front, key, event });
     }
-    for v in &written.watch {
+    for v in &records.watch {
         let l = &v["line"]["stage"];
         if let (Some(build), Some(stage), Some(cap)) =
             (l["build"].as_u64(), l["stage"].as_u64(), l["cap"].as_f64())
@@ -348,69 +356,69 @@
                 "released" => 1,
                 _ => 2,
             };
-            day.told.push(Told { t: t(v), build: build as u32, stage: stage as u32, phase, cap });
+            day.stages.push(StageRecord { t: t(v), build: build as u32, stage: stage as u32, phase, cap });
         }
         for m in v["line"]["roster"]["members"].as_array().into_iter().flatten() {
-            day.moves.push((t(v), machine(s(m, "name")), s(m, "state") == "up"));
+            day.roster_changes.push((t(v), machine(s(m, "name")), s(m, "state") == "up"));
         }
     }
-    day.names = names;
-    let deed = |v: &Value| Deed { t: t(v), act: s(v, "act").into(), who: s(v, "who").into() };
-    day.acts = written.acts.iter().map(deed).collect();
-    day.company = day.acts.iter().any(|act| act.act == "company");
+    day.machine_names = names;
+    let deed = |v: &Value| ProcessAction { t: t(v), action: s(v, "act").into(), target: s(v, "who").into() };
+    day.actions = records.actions.iter().map(deed).collect();
+    day.peers_enabled = day.actions.iter().any(|act| act.action == "company");
     day
 }
 
 /// Keys that the newest build answered while it was on trial, in calm: no front may have lost them at the end of the day.
-pub fn kept_keys(charter: &Settings, day: &Evidence) -> BTreeMap<u64, u32> {
-    let downs = Downs::of(&day.acts);
-    let Some(newest) = day.told.iter().max_by_key(|l| l.t).filter(|l| l.phase < 2) else {
+pub fn trial_answered_keys(charter: &Settings, day: &Evidence) -> BTreeMap<u64, u32> {
+    let downs = Downs::of(&day.actions);
+    let Some(newest) = day.stages.iter().max_by_key(|l| l.t).filter(|l| l.phase < 2) else {
         return BTreeMap::new();
     };
     let on_trial = |at: Ns| {
-        let told = day.told.iter().filter(|l| l.t + SKEW < at).max_by_key(|l| l.t);
+        let told = day.stages.iter().filter(|l| l.t + SKEW < at).max_by_key(|l| l.t);
         told.is_some_and(|l| l.build == newest.build && l.phase == 0)
     };
     let end = day.machines.iter().map(|l| l.t).max().unwrap_or(0);
     let lines = day
         .machines
         .iter()
-        .filter(|l| l.did == Did::Ok && l.build == newest.build && charter.rollout.one_way);
+        .filter(|l| l.event == Did::Ok && l.build == newest.build && charter.rollout.one_way);
     let kept = lines.filter(|l| l.t + TELLS < end && on_trial(l.t) && !downs.any(l.t - SKEW, l.t + TELLS));
     kept.filter_map(|l| Some((l.key?, l.build))).collect()
 }
 
 pub fn judge(charter: &Settings, day: &Evidence) -> Judgement {
-    let downs = Downs::of(&day.acts);
+    let downs = Downs::of(&day.actions);
     let grace = charter.guard.drain_grace_ms as Ns * MS;
     let first = charter.rollout.caps.first().copied().unwrap_or(0.0);
-    let mut told = day.told.clone();
+    let mut told = day.stages.clone();
     told.sort_by_key(|l| l.t);
     told.dedup_by(|b, a| (a.build, a.stage, a.phase) == (b.build, b.stage, b.phase));
     let stages = Stages { told, first, grace, downs: &downs };
-    let mut machines: Vec<&MachineLine> = day.machines.iter().collect();
+    let mut machines: Vec<&MachineRecord> = day.machines.iter().collect();
     machines.sort_by_key(|l| l.t);
     let mut judge = Judge { charter, day, machines, downs: &downs, breaches: Vec::new() };
     judge.one_answer();
     judge.no_second_effect();
     judge.drains();
-    for what in &day.fell {
+    for what in &day.failed_machines {
         judge.broke(4, what.clone());
     }
     let trial_picks = judge.exposure(&stages);
-    let (rows, service) = judge.rows();
+    let (methods, service) = judge.rows();
     let began = day.clients.iter().map(|l| l.t).min().unwrap_or(0);
     let phase = ["on trial", "released", "back"];
     let moves =
         stages.told.iter().map(|l| (l.t - began, l.build, l.stage, phase[l.phase as usize].to_string()));
-    Judgement { breaches: judge.breaches, rows, service, stages: moves.collect(), trial_picks }
+    Judgement { breaches: judge.breaches, methods, service, stages: moves.collect(), trial_picks }
 }
 
 struct Judge<'a> {
     charter: &'a Settings,
     day: &'a Evidence,
     /// In order of time.
-    machines: Vec<&'a MachineLine>,
+    machines: Vec<&'a MachineRecord>,
     downs: &'a Downs,
     breaches: Vec<Breach>,
 }
@@ -427,8 +435,8 @@
 }
 
 impl Judge<'_> {
-    fn broke(&mut self, rule: u8, what: String) {
-        self.breaches.push(Breach { rule, what });
+    fn broke(&mut self, rule: u8, description: String) {
+        self.breaches.push(Breach { rule, description });
     }
 
     fn front(&self, front: u16) -> &str {
@@ -436,20 +444,20 @@
     }
 
     fn machine(&self, machine: u32) -> &str {
-        &self.day.names[machine as usize].0
+        &self.day.machine_names[machine as usize].0
     }
 
     fn one_answer(&mut self) {
-        let mut sent: BTreeMap<(u64, u32), &ClientLine> = BTreeMap::new();
+        let mut sent: BTreeMap<(u64, u32), &ClientRecord> = BTreeMap::new();
         let day = self.day;
-        if day.stray > 0 {
-            self.broke(1, format!("{} words came after an answer", day.stray));
+        if day.extra_messages > 0 {
+            self.broke(1, format!("{} words came after an answer", day.extra_messages));
         }
-        if !day.whole {
+        if !day.clients_complete {
             self.broke(1, "the clients' record is cut short".into());
         }
         for l in &day.clients {
-            if matches!(l.saw, Saw::Sent { .. }) {
+            if matches!(l.event, ClientEvent::Sent { .. }) {
                 sent.insert((l.rpc, l.attempt), l);
                 continue;
             }
@@ -458,19 +466,22 @@
                 continue;
             };
             let front = self.front(l.front);
-            let fault = match l.saw {
-                Saw::GaveUp => began.saw != (Saw::Sent { leaves: true }),
-                Saw::Broken | Saw::Nameless => true,
-                Saw::Unreachable => false,
+            let fault = match l.event {
+                ClientEvent::GaveUp => began.event != (ClientEvent::Sent { leaves: true }),
+                ClientEvent::ConnectionLost | ClientEvent::Unlabelled => true,
+                ClientEvent::Unreachable => false,
                 _ => l.late,
             };
-            let excused = match l.saw {
-                Saw::Broken => self.downs.killed(front, began.t - SKEW, l.t + SKEW),
+            let excused = match l.event {
+                ClientEvent::ConnectionLost => self.downs.killed(front, began.t - SKEW, l.t + SKEW),
                 _ => self.downs.within(front, began.t - SKEW, l.t),
             };
             if fault && !excused {
                 let took = (l.t - began.t) / MS;
-                self.broke(1, format!("{} try {} at {front}: {:?} after {took} ms", l.rpc, l.attempt, l.saw));
+                self.broke(
+                    1,
+                    format!("{} try {} at {front}: {:?} after {took} ms", l.rpc, l.attempt, l.event),
+                );
             }
         }
         for (rpc, attempt) in sent.into_keys() {
@@ -482,21 +493,21 @@
         let mut rpcs: BTreeMap<u64, (u16, Vec<Seen>)> = BTreeMap::new();
         for l in &self.machines {
             let (_, picks) = rpcs.entry(l.rpc).or_insert_with(|| (l.method, Vec::new()));
-            if l.did == Did::Arrived {
+            if l.event == Did::Arrived {
                 let (machine, attempt, front) = (l.machine, l.attempt, l.front);
                 picks.push(Seen { machine, arrived: l.t, began: None, ended: None, attempt, front });
                 continue;
             }
             let ours = |p: &&mut Seen| p.machine == l.machine && p.ended.is_none();
             let Some(p) = picks.iter_mut().rev().find(ours) else { continue };
-            match l.did {
+            match l.event {
                 Did::Began => p.began = Some(l.t),
                 Did::Unheard | Did::Arrived => {}
                 _ => p.ended = Some(l.t),
             }
         }
         let charter = self.charter;
-        let place = |m: u32| self.day.names[m as usize].1.map(|p| &charter.places[p]);
+        let place = |m: u32| self.day.machine_names[m as usize].1.map(|p| &charter.places[p]);
         let mut found = Vec::new();
         for (rpc, (method, picks)) in &rpcs {
             let row = &charter.methods[*method as usize];
@@ -530,7 +541,7 @@
                 }
             }
         }
-        for l in self.day.clients.iter().filter(|l| l.saw == Saw::PushedBack) {
+        for l in self.day.clients.iter().filter(|l| l.event == ClientEvent::PushedBack) {
             let Some((method, picks)) = rpcs.get(&l.rpc) else { continue };
             let row = &charter.methods[*method as usize];
             let narrow = row.repeat == RepeatKind::Tokened && row.group != GroupKind::All;
@@ -545,14 +556,14 @@
     fn drains(&mut self) {
         let grace = self.charter.guard.drain_grace_ms as Ns * MS;
         let mut told: BTreeMap<u32, Vec<(Ns, bool)>> = BTreeMap::new();
-        for (at, machine, up) in &self.day.moves {
+        for (at, machine, up) in &self.day.roster_changes {
             let moves = told.entry(*machine).or_default();
             if moves.last().is_none_or(|l| l.1 != *up) {
                 moves.push((*at, *up));
             }
         }
         let (mut said, mut found) = (BTreeSet::new(), Vec::new());
-        for l in self.machines.iter().filter(|l| l.did == Did::Arrived) {
+        for l in self.machines.iter().filter(|l| l.event == Did::Arrived) {
             let Some(moves) = told.get(&l.machine) else { continue };
             let n = moves.partition_point(|m| m.0 <= l.t);
             let Some((since, false)) = n.checked_sub(1).map(|i| moves[i]) else { continue };
@@ -577,7 +588,7 @@
         let scope = |method: u16| if r.cap_per_method { method } else { 0 };
         // What each front took: all that clients sent it, when it ran.
         let mut taken: BTreeMap<(u16, u16), Vec<Ns>> = BTreeMap::new();
-        for l in self.day.clients.iter().filter(|l| matches!(l.saw, Saw::Sent { .. })) {
+        for l in self.day.clients.iter().filter(|l| matches!(l.event, ClientEvent::Sent { .. })) {
             let at = self.downs.after(self.front(l.front), l.t);
             taken.entry((l.front, scope(l.method))).or_default().push(at);
         }
@@ -590,17 +601,17 @@
         let mut known: BTreeMap<u64, (u32, Ns)> = BTreeMap::new();
         for l in &self.machines {
             let (front, build, at) = (self.front(l.front), l.build, l.t);
-            if let Some(key) = l.key.filter(|_| r.one_way && l.did == Did::Ok) {
+            if let Some(key) = l.key.filter(|_| r.one_way && l.event == Did::Ok) {
                 let kept = bound.entry((l.front, key)).or_insert((build, at));
                 if build > kept.0 {
                     *kept = (build, at);
                 }
-                if self.day.company && !self.downs.any(at - SKEW, at + TELLS) {
+                if self.day.peers_enabled && !self.downs.any(at - SKEW, at + TELLS) {
                     let kept = known.entry(key).or_insert((build, at));
                     *kept = if build > kept.0 { (build, at) } else { *kept };
                 }
             }
-            if l.did != Did::Arrived {
+            if l.event != Did::Arrived {
                 continue;
             }
             if let Some((b, since)) = l.key.and_then(|key| bound.get(&(l.front, key))) {
@@ -650,13 +661,13 @@
         trial_picks
     }
 
-    fn rows(&self) -> (BTreeMap<String, Row>, f64) {
-        let mut rows: Vec<Row> = vec![Row::default(); self.charter.methods.len()];
+    fn rows(&self) -> (BTreeMap<String, MethodSummary>, f64) {
+        let mut rows: Vec<MethodSummary> = vec![MethodSummary::default(); self.charter.methods.len()];
         let mut first: BTreeMap<u64, (u16, Ns)> = BTreeMap::new();
-        let mut last: BTreeMap<u64, &ClientLine> = BTreeMap::new();
+        let mut last: BTreeMap<u64, &ClientRecord> = BTreeMap::new();
         for l in &self.day.clients {
-            match l.saw {
-                Saw::Sent { .. } => drop(first.entry(l.rpc).or_insert((l.method, l.t))),
+            match l.event {
+                ClientEvent::Sent { .. } => drop(first.entry(l.rpc).or_insert((l.method, l.t))),
                 _ => drop(last.insert(l.rpc, l)),
             }
         }
@@ -667,20 +678,20 @@
             row.rpcs += 1;
             asked += m.utility;
             let Some(l) = last.get(rpc) else { continue };
-            match l.saw {
-                Saw::Ok { right } => {
+            match l.event {
+                ClientEvent::Ok { right } => {
                     row.ok += 1;
                     if l.t - began <= m.soft_deadline_ms as Ns * MS && right {
                         row.in_time += 1;
                         served += m.utility;
                     }
                 }
-                Saw::PushedBack | Saw::NotTaken => row.pushed_back += 1,
-                Saw::Aborted => row.aborted += 1,
+                ClientEvent::PushedBack | ClientEvent::Rejected => row.pushed_back += 1,
+                ClientEvent::Aborted => row.aborted += 1,
                 _ => row.unanswered += 1,
             }
         }
-        for l in self.machines.iter().filter(|l| l.did == Did::Arrived) {
+        for l in self.machines.iter().filter(|l| l.event == Did::Arrived) {
             rows[l.method as usize].picks += 1;
         }
         let named = self.charter.methods.iter().map(|m| m.name.clone()).zip(rows);
@@ -706,20 +717,21 @@
         json!({ "t": t, "line": { "stage": { "build": build, "stage": 0, "phase": phase, "cap": cap } } })
     }
 
-    fn rules(written: &Written) -> Vec<u8> {
-        let mut rules: Vec<u8> = judge(&Settings::example(2, 4), &read(&Settings::example(2, 4), written))
-            .breaches
-            .iter()
-            .map(|b| b.rule)
-            .collect();
+    fn rules(records: &RawRecords) -> Vec<u8> {
+        let mut rules: Vec<u8> =
+            judge(&Settings::example(2, 4), &parse_records(&Settings::example(2, 4), records))
+                .breaches
+                .iter()
+                .map(|b| b.rule)
+                .collect();
         rules.dedup();
         rules
     }
 
     const NONE: [u8; 0] = [];
 
-    fn clean() -> Written {
-        Written {
+    fn clean() -> RawRecords {
+        RawRecords {
             clients: vec![
                 client(SEC, "sent", "a", "f0"),
                 client(2 * SEC, "answer", "a", "f0"),
@@ -730,7 +742,7 @@
                 machine(SEC + 2 * MS, "began", "p0..1", "a"),
             ],
             watch: vec![stage(0, 1, "released", 1.0)],
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -740,9 +752,9 @@
         assert_eq!(rules(&day), NONE);
         day.clients[1] = client(4 * SEC, "gave up", "a", "f0");
         assert_eq!(rules(&day), [1]);
-        day.acts = vec![json!({ "t": 2 * SEC, "act": "kill", "who": "f0" })];
+        day.actions = vec![json!({ "t": 2 * SEC, "act": "kill", "who": "f0" })];
         assert_eq!(rules(&day), NONE);
-        day.acts[0]["who"] = "f1".into();
+        day.actions[0]["who"] = "f1".into();
         day.clients[1] = client(4 * SEC, "broken", "a", "f0");
         assert_eq!(rules(&day), [1]);
     }
@@ -788,8 +800,12 @@
             charter.rollout.one_way = true;
             charter
         };
-        let rules = |day: &Written| -> Vec<String> {
-            judge(&charter(), &read(&charter(), day)).breaches.iter().map(|b| b.what.clone()).collect()
+        let rules = |day: &RawRecords| -> Vec<String> {
+            judge(&charter(), &parse_records(&charter(), day))
+                .breaches
+                .iter()
+                .map(|b| b.description.clone())
+                .collect()
         };
         let mut day = clean();
         day.watch.push(stage(SEC / 2, 2, "on-trial", 1.0));
@@ -804,12 +820,12 @@
         at(20 * SEC, "arrived", "f1", 1, "late");
         assert_eq!(rules(&day), [""; 0], "they keep no company");
         let deed = |t: Ns, act: &str, who: &str| json!({ "t": t, "act": act, "who": who });
-        day.acts.push(deed(0, "company", "fronts"));
+        day.actions.push(deed(0, "company", "fronts"));
         assert!(rules(&day).len() == 1 && rules(&day)[0].contains("another front"), "{:?}", rules(&day));
-        day.acts.extend([deed(15 * SEC, "cut", "link 0"), deed(16 * SEC, "join", "link 0")]);
+        day.actions.extend([deed(15 * SEC, "cut", "link 0"), deed(16 * SEC, "join", "link 0")]);
         assert_eq!(rules(&day), [""; 0], "the cut has just ended");
-        day.acts.truncate(1);
-        day.acts.extend([deed(3 * SEC, "kill", "f0"), deed(4 * SEC, "start", "f0")]);
+        day.actions.truncate(1);
+        day.actions.extend([deed(3 * SEC, "kill", "f0"), deed(4 * SEC, "start", "f0")]);
         assert_eq!(rules(&day), [""; 0], "killed before it was told");
     }
 
@@ -823,7 +839,7 @@
         late["method"] = "lookup".into();
         day.machines.push(late);
         assert_eq!(rules(&day), [3]);
-        day.acts = vec![
+        day.actions = vec![
             json!({ "t": SEC, "act": "stop", "who": "f0" }),
             json!({ "t": SEC + 1_150 * MS, "act": "cont", "who": "f0" }),
         ];
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -3,7 +3,7 @@
 
 /// In place of the standard one, which ends the process by a panic when nobody reads.
 macro_rules! println {
-    ($($words:tt)*) => { crate::out(format_args!("{}\n", format_args!($($words)*))) };
+    ($($words:tt)*) => { crate::write_stdout(format_args!("{}\n", format_args!($($words)*))) };
 }
 
 mod books;
@@ -13,7 +13,7 @@
 pub mod node_soak;
 mod watch;
 
-pub use crew::{print, written};
+pub use crew::{print_judgement, read_records};
 pub use day::Plan;
 use rockpick_net::http::{self, Response};
 use rockpick_net::{Call, CallEnd, Event, Net, MS, SEC};
@@ -26,7 +26,7 @@
 static LOST: Mutex<Option<std::io::ErrorKind>> = Mutex::new(None);
 
 /// Writes to standard output; what can't be written is remembered, and what runs goes on.
-pub fn out(words: std::fmt::Arguments) {
+pub fn write_stdout(words: std::fmt::Arguments) {
     let mut out = std::io::stdout().lock();
     if let Err(err) = out.write_fmt(words).and_then(|()| out.flush()) {
         LOST.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert(err.kind());
@@ -34,7 +34,7 @@
 }
 
 /// Why something could not be written to standard output, if it could not.
-pub fn out_lost() -> Option<std::io::ErrorKind> {
+pub fn stdout_error() -> Option<std::io::ErrorKind> {
     *LOST.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -83,7 +83,7 @@
 /// # Errors
 /// A plan that makes no sense, processes that can't be started.
 pub fn run(plan: Plan) -> Result<bool, String> {
-    if plan.is_of_node() {
+    if plan.is_node_soak() {
         plan.check()?;
         return node_soak::play(plan.seed, plan.seconds, plan.out);
     }
