--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -15,8 +15,10 @@
 use rockpick_ldap::message::{Attribute, Entry as LdapEntry};
 use rockpick_ldap::News;
 use rockpick_net::{MS, SEC};
-use rockpick_rehearse::day::{Act, Carried};
-use rockpick_rehearse::judge::{ClientLine, Deed, Evidence, MachineLine, Saw, Told};
+use rockpick_rehearse::day::{Action as ScriptAction, DatagramFaults};
+use rockpick_rehearse::judge::{
+    ClientEvent, ClientRecord, Evidence, MachineRecord, ProcessAction, StageRecord,
+};
 use rockpick_standin::crowd::{Crowd, How, Load, Next, Rpc, Tolls};
 use rockpick_standin::schedule::Arrivals;
 use rockpick_standin::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
@@ -187,7 +189,7 @@
     pub work_ms: f64,
     pub retries: u32,
     /// Acts and their times in seconds from the first client arrival.
-    pub script: Vec<(f64, Act)>,
+    pub script: Vec<(f64, ScriptAction)>,
     pub seconds: f64,
     pub seed: u64,
     /// Record all client and machine events for the checker.
@@ -266,7 +268,7 @@
     controller_stopped_until: Ns,
     bad_builds: BTreeMap<u32, Bad>,
     shared_slowdown: f64,
-    note_delivery: Carried,
+    note_delivery: DatagramFaults,
     partitioned: bool,
     wires: Wires,
     /// The tenants; none if they are not limited.
@@ -279,7 +281,7 @@
     firm_seconds: Vec<[[f64; 2]; 3]>,
     watch: Watch,
     fleet_fault: Option<Fault>,
-    script: Vec<(f64, Act)>,
+    script: Vec<(f64, ScriptAction)>,
     duration: Ns,
     check: bool,
     plain: bool,
@@ -313,7 +315,7 @@
     machine: u32,
     run: u32,
     build: u32,
-    lines: Option<&'a mut Vec<MachineLine>>,
+    lines: Option<&'a mut Vec<MachineRecord>>,
     replies: Vec<(u64, PickTag, Reply)>,
     wakes: Vec<(Ns, u64)>,
     fell: Option<(f64, f64, Ns)>,
@@ -322,7 +324,7 @@
 impl Yard<PickTag> for MachineContext<'_> {
     fn say(&mut self, did: Did, tag: &PickTag) {
         if let Some(lines) = &mut self.lines {
-            lines.push(MachineLine {
+            lines.push(MachineRecord {
                 t: self.now,
                 machine: self.machine,
                 build: self.build,
@@ -331,7 +333,7 @@
                 method: tag.method,
                 front: tag.front as u16,
                 key: Some(tag.key),
-                did,
+                event: did,
             });
         }
     }
@@ -400,7 +402,7 @@
             controller_stopped_until: 0,
             bad_builds: BTreeMap::new(),
             shared_slowdown: 0.0,
-            note_delivery: Carried::default(),
+            note_delivery: DatagramFaults::default(),
             partitioned: false,
             wires,
             tenants: limits.as_ref().map(|l| tenants(&l.rates)),
@@ -414,7 +416,7 @@
             duration: (seconds * SEC as f64) as Ns,
             check,
             plain,
-            evidence: Evidence { whole: true, ..Evidence::default() },
+            evidence: Evidence { clients_complete: true, ..Evidence::default() },
             events: 0,
             log: Vec::new(),
             start_cold: false,
@@ -473,9 +475,9 @@
             self.watch.lap(component);
         }
         if !self.attempts.is_empty() {
-            self.evidence.whole = false;
+            self.evidence.clients_complete = false;
         }
-        self.evidence.names = self.machines.iter().map(|m| (m.name.clone(), Some(m.place))).collect();
+        self.evidence.machine_names = self.machines.iter().map(|m| (m.name.clone(), Some(m.place))).collect();
         Outcome {
             tolls: self.crowd.tolls.clone(),
             evidence: self.evidence,
@@ -619,11 +621,11 @@
 
     // Clients
 
-    fn record_client(&mut self, rpc: &Rpc, front: u32, saw: Saw, late: bool) {
+    fn record_client(&mut self, rpc: &Rpc, front: u32, event: ClientEvent, late: bool) {
         if self.check {
             let (t, attempt, method) = (self.now, rpc.tries, rpc.method as u16);
             let front = front as u16;
-            self.evidence.clients.push(ClientLine { t, rpc: rpc.id, attempt, method, front, saw, late });
+            self.evidence.clients.push(ClientRecord { t, rpc: rpc.id, attempt, method, front, event, late });
         }
     }
 
@@ -647,7 +649,7 @@
     fn send(&mut self, mut rpc: Rpc) {
         let Some(sending) = self.crowd.begin(self.now, &mut rpc) else { return };
         let front = rpc.front as u32;
-        self.record_client(&rpc, front, Saw::Sent { leaves: rpc.leave }, false);
+        self.record_client(&rpc, front, ClientEvent::Sent { leaves: rpc.leave }, false);
         self.last_id += 1;
         let id = self.last_id;
         let incarnation = self.fronts[front as usize].incarnation;
@@ -675,13 +677,13 @@
     fn reply_received(&mut self, attempt: u64, how: How, wait: Ns) {
         let Some(t) = self.attempts.remove(&attempt) else { return };
         let saw = match how {
-            How::Ok { right } => Saw::Ok { right },
-            How::PushedBack => Saw::PushedBack,
-            How::Aborted => Saw::Aborted,
-            How::NotTaken => Saw::NotTaken,
-            How::Unreachable => Saw::Unreachable,
-            How::Broken => Saw::Broken,
-            How::GaveUp => Saw::GaveUp,
+            How::Ok { right } => ClientEvent::Ok { right },
+            How::PushedBack => ClientEvent::PushedBack,
+            How::Aborted => ClientEvent::Aborted,
+            How::NotTaken => ClientEvent::Rejected,
+            How::Unreachable => ClientEvent::Unreachable,
+            How::Broken => ClientEvent::ConnectionLost,
+            How::GaveUp => ClientEvent::GaveUp,
         };
         let row = self.crowd.row(&t.rpc);
         if how == (How::Ok { right: true }) && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS {
@@ -710,7 +712,7 @@
 
     fn client_timed_out(&mut self, attempt: u64) {
         let Some(t) = self.attempts.remove(&attempt) else { return };
-        self.record_client(&t.rpc, t.front, Saw::GaveUp, false);
+        self.record_client(&t.rpc, t.front, ClientEvent::GaveUp, false);
         let latency = self.with_jitter(self.wires.client);
         self.schedule(self.now + latency, Event::ClientDisconnected(t.front, t.incarnation, attempt));
         self.attempt_ended(t.rpc, How::GaveUp, None);
@@ -1056,7 +1058,7 @@
         if let Some((sent, budget, age)) = fell {
             let name = &self.machines[machine as usize].name;
             let text = format!("{name} fell over at {} ms: sent {sent:.3} of {budget:.3}", age / MS);
-            self.evidence.fell.push(text);
+            self.evidence.failed_machines.push(text);
         }
         for (at, serial) in wakes {
             self.schedule(at, Event::MachineTimer(machine, run, serial));
@@ -1301,7 +1303,7 @@
             self.sent_roster_serial = self.roster.serial;
             if self.check {
                 let moves = members.iter().map(|l| (now, l.machine as u32, l.state == State::Up));
-                self.evidence.moves.extend(moves);
+                self.evidence.roster_changes.extend(moves);
             }
             for front in 0..self.fronts.len() as u32 {
                 let (incarnation, latency) =
@@ -1355,7 +1357,7 @@
             _ => 2,
         };
         let (t, build, stage, cap) = (self.now, status.build, status.stage, status.cap);
-        self.evidence.told.push(Told { t, build, stage, phase, cap });
+        self.evidence.stages.push(StageRecord { t, build, stage, phase, cap });
         for front in 0..self.fronts.len() as u32 {
             let (incarnation, latency) =
                 (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
@@ -1385,7 +1387,7 @@
     // The day's script
 
     fn record_act(&mut self, act: &str, who: &str) {
-        self.evidence.acts.push(Deed { t: self.now, act: act.into(), who: who.into() });
+        self.evidence.actions.push(ProcessAction { t: self.now, action: act.into(), target: who.into() });
     }
 
     /// Machines with a running process, ordered by name.
@@ -1396,10 +1398,10 @@
         up
     }
 
-    fn run_act(&mut self, act: &Act) {
+    fn run_act(&mut self, act: &ScriptAction) {
         let now = self.now;
         match act {
-            Act::Offer { build, bad } => {
+            ScriptAction::Offer { build, bad } => {
                 if let Some(bad) = bad.as_deref().and_then(Bad::read) {
                     self.bad_builds.insert(*build, bad);
                     if let Bad::Shared(size) = bad {
@@ -1410,14 +1412,14 @@
                     self.send_status();
                 }
             }
-            Act::Leave(nth) => {
+            ScriptAction::DrainMachine(nth) => {
                 let up = self.running_machines();
                 if let Some(m) = up.get(nth % up.len().max(1)) {
                     self.machines[*m as usize].leaving = true;
                     self.heartbeat(*m);
                 }
             }
-            Act::KillFront { front, down_ms } => {
+            ScriptAction::KillFront { front, down_ms } => {
                 let name = self.charter.fronts[*front].name.clone();
                 self.record_act("kill", &name);
                 let node = &mut self.fronts[*front];
@@ -1448,29 +1450,33 @@
                 }
                 self.schedule(now + *down_ms as Ns * MS, Event::FrontStart(*front as u32));
             }
-            Act::StopFront { front, ms } => {
+            ScriptAction::StopFront { front, ms } => {
                 let name = self.charter.fronts[*front].name.clone();
                 let until = now + *ms as Ns * MS;
                 self.record_act("stop", &name);
-                self.evidence.acts.push(Deed { t: until, act: "cont".into(), who: name });
+                self.evidence.actions.push(ProcessAction { t: until, action: "cont".into(), target: name });
                 self.fronts[*front].stopped_until = until;
             }
-            Act::StopController { ms } | Act::KillController { down_ms: ms } => {
+            ScriptAction::StopController { ms } | ScriptAction::KillController { down_ms: ms } => {
                 let until = now + *ms as Ns * MS;
                 self.record_act("stop", "controller");
-                self.evidence.acts.push(Deed { t: until, act: "cont".into(), who: "controller".into() });
+                self.evidence.actions.push(ProcessAction {
+                    t: until,
+                    action: "cont".into(),
+                    target: "controller".into(),
+                });
                 self.controller_stopped_until = until;
             }
             // Agents are not emulated: builds keep running without them.
-            Act::KillAgents { .. } => {}
-            Act::Vanish { machine, ms } => {
+            ScriptAction::KillAgents { .. } => {}
+            ScriptAction::Vanish { machine, ms } => {
                 let up = self.running_machines();
                 if let Some(m) = up.get(machine % up.len().max(1)).copied() {
                     self.machines[m as usize].silent = true;
                     self.schedule(now + *ms as Ns * MS, Event::MachineKill(m));
                 }
             }
-            Act::Fault { share, fault } => {
+            ScriptAction::Fault { share, fault } => {
                 let Ok(fault) = Fault::read(fault) else { return };
                 let up = self.running_machines();
                 let count = (share * up.len() as f64).ceil() as usize;
@@ -1482,7 +1488,7 @@
                 }
                 self.fleet_fault = (*share >= 1.0).then_some(fault);
             }
-            Act::Heal => {
+            ScriptAction::Heal => {
                 self.fleet_fault = None;
                 for m in 0..self.machines.len() {
                     if let Some(shop) = &mut self.machines[m].shop {
@@ -1491,25 +1497,25 @@
                     self.apply_partition(m);
                 }
             }
-            Act::Load(load) => {
+            ScriptAction::Load(load) => {
                 let _ = self.crowd.schedule.load.change(load);
             }
             // The emulator's fronts form no peer group: of a storm's faults only stops and kills apply.
-            Act::Storm { deed, begins: true, .. } => {
-                let ms = ((deed.until - deed.from) / MS) as u64;
-                match deed.fault {
-                    StormFault::Stop { who } => self.run_act(&Act::StopFront { front: who, ms }),
+            ScriptAction::Storm { fault, begins: true, .. } => {
+                let ms = ((fault.until - fault.from) / MS) as u64;
+                match fault.fault {
+                    StormFault::Stop { who } => self.run_act(&ScriptAction::StopFront { front: who, ms }),
                     StormFault::Kill { who, .. } | StormFault::Leave { who } => {
-                        self.run_act(&Act::KillFront { front: who, down_ms: ms })
+                        self.run_act(&ScriptAction::KillFront { front: who, down_ms: ms })
                     }
                     StormFault::Links { .. } | StormFault::Clock { .. } | StormFault::Disk { .. } => {}
                 }
             }
-            Act::Storm { begins: false, .. } => {}
+            ScriptAction::Storm { begins: false, .. } => {}
             // Directory failures have no effect: there is no directory server in the emulator.
-            Act::Directory(_) => {}
-            Act::Notes(delivery) => self.note_delivery = *delivery,
-            Act::Part(partitioned) => {
+            ScriptAction::Directory(_) => {}
+            ScriptAction::Datagrams(delivery) => self.note_delivery = *delivery,
+            ScriptAction::Partition(partitioned) => {
                 self.partitioned = *partitioned;
                 for m in 0..self.machines.len() {
                     self.apply_partition(m);
--- a/emu/tests/days.rs
+++ b/emu/tests/days.rs
@@ -68,10 +68,10 @@
     let plan = plan("quiet");
     let altered = day(&plan, &["rollout.caps.0=0.9".into(), "rollout.free=30".into()], 2, true).unwrap();
     let outcome = World::new(altered).unwrap().run();
-    let mut strict = rockpick_rehearse::day::charter(&plan).unwrap();
+    let mut strict = rockpick_rehearse::day::settings(&plan).unwrap();
     (strict.rollout.caps[0], strict.rollout.free) = (0.0, 0.0);
     let mut evidence = outcome.evidence;
-    evidence.told.iter_mut().filter(|t| t.phase == 0).for_each(|t| t.cap = 0.05);
+    evidence.stages.iter_mut().filter(|t| t.phase == 0).for_each(|t| t.cap = 0.05);
     let breaches = rockpick_rehearse::judge::judge(&strict, &evidence).breaches;
     assert!(breaches.iter().any(|b| b.rule == 5), "{breaches:?}");
 }
