--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -554,10 +554,10 @@
             if !(2..=50).contains(&peers) {
                 return Err(Bad2("--peers: 2 to 50".into()));
             }
-            let read = |file: PathBuf| -> Result<rockpick_storm::Plan, Bad2> {
+            let read = |file: PathBuf| -> Result<rockpick_fault_injection::Plan, Bad2> {
                 let named = |why: String| Bad2(format!("{}: {why}", file.display()));
                 let text = std::fs::read_to_string(&file).map_err(|err| named(err.to_string()))?;
-                rockpick_storm::Plan::read(&text).map_err(named)
+                rockpick_fault_injection::Plan::read(&text).map_err(named)
             };
             let plan = plan.map(read).transpose()?;
             let kept = storms::Storms { fronts: peers, first, seeds, lanes, plan, shrinks: shrink }.run()?;
--- a/cli/src/storms.rs
+++ b/cli/src/storms.rs
@@ -1,10 +1,10 @@
 //! Storms upon real processes: fronts that keep company, faults between them by a plan, and a judge that knows who runs
 //! because it started and stopped them. What each front holds of the others is held against that.
 use crate::Bad2;
+use rockpick_fault_injection::plan::Range;
+use rockpick_fault_injection::relay::Relay;
+use rockpick_fault_injection::{shrink, Fault, Plan, Way};
 use rockpick_net::SEC;
-use rockpick_storm::plan::Range;
-use rockpick_storm::relay::Relay;
-use rockpick_storm::{shrink, Fault, Plan, Way};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
--- a/cli/tests/front_peers.rs
+++ b/cli/tests/front_peers.rs
@@ -3,8 +3,8 @@
 
 use peers::*;
 use rockpick_control::Settings;
-use rockpick_storm::relay::Relay;
-use rockpick_storm::Way;
+use rockpick_fault_injection::relay::Relay;
+use rockpick_fault_injection::Way;
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io::Write;
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -10,6 +10,7 @@
 use rockpick_control::release::{Release, Running};
 use rockpick_control::roster::{Heartbeat, Order, Roster};
 use rockpick_control::Settings;
+use rockpick_fault_injection::Fault as Fate;
 use rockpick_front::restart;
 use rockpick_ldap::message::{Attribute, Entry as Record};
 use rockpick_ldap::News;
@@ -19,7 +20,6 @@
 use rockpick_standin::crowd::{Crowd, How, Load, Next, Rpc, Tolls};
 use rockpick_standin::schedule::Arrivals;
 use rockpick_standin::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
-use rockpick_storm::Fault as Fate;
 use rockpick_tenant::{Directory, Limits, Tenancy, Tenants, Unknown};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
--- a/membership/tests/measurements.rs
+++ b/membership/tests/measurements.rs
@@ -2,10 +2,10 @@
 //! nothing. Run with `cargo test --release -p rockpick-membership --test measurements -- --ignored --nocapture`.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use rockpick_fault_injection::plan::Act as PlannedFault;
+use rockpick_fault_injection::virt::{Out, Part, World};
+use rockpick_fault_injection::{Fault, Plan, Return, Way};
 use rockpick_membership::*;
-use rockpick_storm::plan::Act as PlannedFault;
-use rockpick_storm::virt::{Out, Part, World};
-use rockpick_storm::{Fault, Plan, Return, Way};
 use std::net::SocketAddr;
 
 fn at(who: usize) -> SocketAddr {
--- a/membership/tests/simulation.rs
+++ b/membership/tests/simulation.rs
@@ -1,10 +1,10 @@
 //! Runs members in virtual time under generated fault plans and compares what each holds of the others with who is running.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use rockpick_fault_injection::plan::{Act as PlannedFault, Range};
+use rockpick_fault_injection::virt::{Out, Part, World};
+use rockpick_fault_injection::{shrink, Fault, Plan, Return, Way};
 use rockpick_membership::*;
-use rockpick_storm::plan::{Act as PlannedFault, Range};
-use rockpick_storm::virt::{Out, Part, World};
-use rockpick_storm::{shrink, Fault, Plan, Return, Way};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/raft/tests/simulation.rs
+++ b/raft/tests/simulation.rs
@@ -2,10 +2,10 @@
 //! a record kept outside of them. One node's disk is faulty: it loses synced writes, or returns an old or empty state.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use rockpick_fault_injection::plan::Range;
+use rockpick_fault_injection::virt::{Out, Part, World};
+use rockpick_fault_injection::{shrink, Fault, Plan, Return, Way};
 use rockpick_raft::*;
-use rockpick_storm::plan::Range;
-use rockpick_storm::virt::{Out, Part, World};
-use rockpick_storm::{shrink, Fault, Plan, Return, Way};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -420,7 +420,7 @@
     let seen = history.clone();
     world.play(20 * MS, make, |world| {
         clock.set(world.now());
-        let on = |act: &&rockpick_storm::Act| (act.from..act.until).contains(&world.now());
+        let on = |act: &&rockpick_fault_injection::Act| (act.from..act.until).contains(&world.now());
         faulty.set(plan.acts.iter().filter(on).any(|act| matches!(act.fault, Fault::Disk { .. })));
         if world.now() % (5 * SEC) == 0 {
             for disk in &disks {
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/crew.rs
@@ -5,9 +5,9 @@
 use crate::judge::{self, Judgement, Written};
 use crate::{call, watch};
 use rockpick_control::Settings;
+use rockpick_fault_injection::relay::Relay;
+use rockpick_fault_injection::{Fault, Return, Way};
 use rockpick_standin::record::{clock, Record};
-use rockpick_storm::relay::Relay;
-use rockpick_storm::{Fault, Return, Way};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -138,7 +138,7 @@
     carried: day::Carried,
     zones: Vec<u32>,
     /// The storm of a day of peers: which acts are on; by front, how often it is stopped and down.
-    storm: Option<rockpick_storm::Plan>,
+    storm: Option<rockpick_fault_injection::Plan>,
     on: Vec<usize>,
     stopped: Vec<u32>,
     down: Vec<u32>,
--- a/rehearse/src/day.rs
+++ b/rehearse/src/day.rs
@@ -2,8 +2,8 @@
 use clap::Args;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_storm::plan::{Act as Deed, Plan as Storm, Range};
-use rockpick_storm::SEC;
+use rockpick_fault_injection::plan::{Act as Deed, Plan as Storm, Range};
+use rockpick_fault_injection::SEC;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::path::PathBuf;
--- a/replication/tests/measurements.rs
+++ b/replication/tests/measurements.rs
@@ -1,9 +1,9 @@
 //! Measures the initial transfer in virtual time; prints the results and asserts nothing. Run with
 //! `cargo test --release -p rockpick-replication --test measurements -- --ignored --nocapture`.
+use rockpick_fault_injection::plan::Act as PlannedFault;
+use rockpick_fault_injection::virt::{Out, Part, World};
+use rockpick_fault_injection::{Fault, Plan, Return, Way};
 use rockpick_replication::*;
-use rockpick_storm::plan::Act as PlannedFault;
-use rockpick_storm::virt::{Out, Part, World};
-use rockpick_storm::{Fault, Plan, Return, Way};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/replication/tests/simulation.rs
+++ b/replication/tests/simulation.rs
@@ -2,10 +2,10 @@
 //! of these changes that is kept outside of the replicas.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use rockpick_fault_injection::plan::{Act as PlannedFault, Range};
+use rockpick_fault_injection::virt::{Out, Part, World};
+use rockpick_fault_injection::{shrink, Fault, Plan, Return, Way};
 use rockpick_replication::*;
-use rockpick_storm::plan::{Act as PlannedFault, Range};
-use rockpick_storm::virt::{Out, Part, World};
-use rockpick_storm::{shrink, Fault, Plan, Return, Way};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
