--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -20,8 +20,8 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use rockpick_control::settings::is_valid_name;
+use rockpick_fakes::{Bad, Clients, Load, Machine};
 use rockpick_net::{MS, SEC};
-use rockpick_standin::{Bad, Clients, Load, Machine};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -642,8 +642,7 @@
             let accounts: Option<Vec<(String, String)>> = account.iter().map(split).collect();
             let accounts = accounts.ok_or(Bad2("--account: DN=PASSWORD is wanted".into()))?;
             let listen = listen.listen;
-            let server =
-                rockpick_standin::DirectoryServer { listen, control, ldaps, name, expired, accounts };
+            let server = rockpick_fakes::DirectoryServer { listen, control, ldaps, name, expired, accounts };
             let told = |at, control| {
                 ready(at);
                 println!("control {control}");
@@ -674,7 +673,7 @@
         }
         What::Faulty { listen, at, name, breaks, seed } => {
             let (listen, controller) = (listen.listen, at.controller);
-            rockpick_standin::Faulty { name, listen, controller, breaks, seed }.run(ready).map_err(Bad2)?;
+            rockpick_fakes::Faulty { name, listen, controller, breaks, seed }.run(ready).map_err(Bad2)?;
             good
         }
         What::Rehearse(plan) => match rockpick_rehearse::run(*plan) {
--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -4,9 +4,9 @@
 
 use peers::*;
 use rockpick_control::Settings;
+use rockpick_fakes::DirectoryServer;
 use rockpick_net::{Event, Net, Ns, MS, SEC};
 use rockpick_rehearse::call;
-use rockpick_standin::DirectoryServer;
 use rockpick_tenant::books::{Server, Who};
 use rockpick_tenant::{Books, Identity, Keeper, Link};
 use serde_json::{json, Value};
--- a/cli/tests/peers/platform.rs
+++ b/cli/tests/peers/platform.rs
@@ -1,7 +1,7 @@
 //! The running node among scripted peers.
 #![allow(dead_code)]
 use super::peers::{start_with, wait_until, Proc};
-pub use rockpick_standin::scripted::*;
+pub use rockpick_fakes::scripted::*;
 use serde_json::Value;
 use std::process::Stdio;
 
--- a/emu/src/line.rs
+++ b/emu/src/line.rs
@@ -1,9 +1,9 @@
 //! A day's result, as it is kept: a line of JSON each. Emulated days, rehearsals and load have the same lines,
 //! all drawn from what clients and machines saw.
 use rockpick_control::Settings;
+use rockpick_fakes::shop::Did;
 use rockpick_rehearse::day::Act;
 use rockpick_rehearse::judge::{Evidence, Judgement, Saw};
-use rockpick_standin::shop::Did;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/standin/src/schedule.rs
+++ b/fakes/src/schedule.rs
@@ -47,7 +47,7 @@
     /// Says what is wanted.
     ///
     /// ```
-    /// use rockpick_standin::schedule::Arrivals;
+    /// use rockpick_fakes::schedule::Arrivals;
     /// assert!(matches!(Arrivals::read("bursts:200/800/4"), Ok(Arrivals::Bursts { times: 4.0, .. })));
     /// assert!(Arrivals::read("bursts:0/0/4").is_err());
     /// ```
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -8,9 +8,9 @@
 
 use hdrhistogram::Histogram;
 use rockpick_control::Settings;
+use rockpick_fakes::crowd::Tolls;
+use rockpick_fakes::{Arrivals, Load};
 use rockpick_net::{Ns, MS, SEC};
-use rockpick_standin::crowd::Tolls;
-use rockpick_standin::{Arrivals, Load};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
--- a/load/src/thread.rs
+++ b/load/src/thread.rs
@@ -1,9 +1,9 @@
 //! One thread: its own event loop and connections, its part of the schedule.
 use crate::{micros, second, Course, Result, Times};
+use rockpick_fakes::client::{ask, end_line, heard, sent_line};
+use rockpick_fakes::crowd::{Crowd, How, Next, Rpc, GRACE};
+use rockpick_fakes::record::Record;
 use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
-use rockpick_standin::client::{ask, end_line, heard, sent_line};
-use rockpick_standin::crowd::{Crowd, How, Next, Rpc, GRACE};
-use rockpick_standin::record::Record;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
--- a/load/tests/load.rs
+++ b/load/tests/load.rs
@@ -1,8 +1,8 @@
 //! The tool against small fronts made here, on loopback.
 use rockpick_control::Settings;
+use rockpick_fakes::{Arrivals, Load};
 use rockpick_load::Course;
 use rockpick_net::{Event, Net, Ns, MS, SEC};
-use rockpick_standin::{Arrivals, Load};
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
--- a/rehearse/src/judge.rs
+++ b/rehearse/src/judge.rs
@@ -6,7 +6,7 @@
 //! two processes saw of one thing differs by their scheduling: [`SKEW`] is granted for that, never more.
 use rockpick_control::settings::{GroupKind, RepeatKind};
 use rockpick_control::Settings;
-use rockpick_standin::shop::Did;
+use rockpick_fakes::shop::Did;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/rehearse/src/watch.rs
+++ b/rehearse/src/watch.rs
@@ -1,6 +1,6 @@
 //! A watcher of the controller: every line that it tells, with the time at which it came.
+use rockpick_fakes::record::Record;
 use rockpick_net::{http, take_line, Call, Event, Net, MS, SEC};
-use rockpick_standin::record::Record;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
