--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -4,7 +4,7 @@
 use rockpick_emu::line::QUANTILES;
 use rockpick_emu::Line;
 use rockpick_fakes::{Arrivals, Load};
-use rockpick_load::{Course, Result as Came};
+use rockpick_loadgen::{Course, Result as Came};
 use rockpick_net::SEC;
 use serde_json::json;
 use std::net::SocketAddr;
--- a/load/tests/load.rs
+++ b/loadgen/tests/load.rs
@@ -1,7 +1,7 @@
 //! The tool against small fronts made here, on loopback.
 use rockpick_control::Settings;
 use rockpick_fakes::{Arrivals, Load};
-use rockpick_load::Course;
+use rockpick_loadgen::Course;
 use rockpick_net::{Event, Net, Ns, MS, SEC};
 use std::net::SocketAddr;
 use std::sync::mpsc;
