--- a/cli/src/storms.rs
+++ b/cli/src/storms.rs
@@ -1,9 +1,9 @@
 //! Storms upon real processes: fronts that keep company, faults between them by a plan, and a judge that knows who runs
 //! because it started and stopped them. What each front holds of the others is held against that.
 use crate::Bad2;
-use rockpick_fault_injection::plan::Range;
+use rockpick_fault_injection::plan::PlanLimits;
 use rockpick_fault_injection::relay::Relay;
-use rockpick_fault_injection::{shrink, Fault, Plan, Way};
+use rockpick_fault_injection::{shrink, Fault, LinkConditions, Plan};
 use rockpick_net::SEC;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -39,13 +39,13 @@
     agreed: Duration,
 }
 
-fn range(fronts: usize) -> Range {
-    Range {
-        acts: 8,
+fn range(fronts: usize) -> PlanLimits {
+    PlanLimits {
+        max_faults: 8,
         parts: fronts,
-        stormy: 6 * SEC,
-        longest: 4 * SEC,
-        settles: 0,
+        fault_window: 6 * SEC,
+        max_duration: 4 * SEC,
+        settle_time: 0,
         kills: true,
         // Processes read the system's own clock.
         clocks: false,
@@ -140,10 +140,10 @@
         let say = |err: std::io::Error| err.to_string();
         let exe = std::env::current_exe().map_err(say)?;
         let others = (0..self.seats.len()).filter(|i| *i != who).take(3);
-        let join: Vec<String> = others.map(|i| self.relay.seats[i].to_string()).collect();
+        let join: Vec<String> = others.map(|i| self.relay.addresses[i].to_string()).collect();
         let mut child = Command::new(exe)
             .args(["front", "--controller", "127.0.0.1:9", "--name", &format!("f{who}")])
-            .args(["--peers-listen", "127.0.0.1:0", "--peers-at", &self.relay.seats[who].to_string()])
+            .args(["--peers-listen", "127.0.0.1:0", "--peers-at", &self.relay.addresses[who].to_string()])
             .args(["--peers", &join.join(","), "--peers-period-ms", &PERIOD_MS.to_string()])
             .args(["--peers-key", &self.key.path().display().to_string()])
             .stdin(Stdio::null())
@@ -161,7 +161,7 @@
         let shown = peers(at).ok_or(format!("f{who} shows no peers"))?;
         let listen =
             shown["listen"].as_str().and_then(|a| a.parse().ok()).ok_or("no address of its peers")?;
-        self.relay.real(who, listen);
+        self.relay.set_address(who, listen);
         Ok(())
     }
 
@@ -242,7 +242,7 @@
     let say = |err: std::io::Error| err.to_string();
     let mut key = tempfile::NamedTempFile::new().map_err(say)?;
     key.write_all(KEY.as_bytes()).map_err(say)?;
-    let relay = Relay::begin(plan.parts, plan.seed).map_err(say)?;
+    let relay = Relay::start(plan.parts, plan.seed).map_err(say)?;
     let seats = (0..plan.parts).map(|_| Seat { child: None, at: None, stopped: 0, down: 0 }).collect();
     let mut crew = Crew { relay, seats, key };
     for who in 0..plan.parts {
@@ -260,7 +260,7 @@
         }
         for from in 0..plan.parts {
             for to in (0..plan.parts).filter(|to| *to != from) {
-                crew.relay.set(from, to, plan.way(&on, from, to, Way::default()));
+                crew.relay.set_link(from, to, plan.way(&on, from, to, LinkConditions::default()));
             }
         }
         crew.fault(&plan.acts[act].fault, begins)?;
--- a/cli/tests/front_peers.rs
+++ b/cli/tests/front_peers.rs
@@ -4,7 +4,7 @@
 use peers::*;
 use rockpick_control::Settings;
 use rockpick_fault_injection::relay::Relay;
-use rockpick_fault_injection::Way;
+use rockpick_fault_injection::LinkConditions;
 use rustix::process::Signal;
 use serde_json::Value;
 use std::io::Write;
@@ -55,11 +55,11 @@
 
 /// Starts three fronts that are connected through a relay.
 fn three_fronts() -> (Relay, Vec<Proc>, tempfile::NamedTempFile) {
-    let (relay, key) = (Relay::begin(3, 1).unwrap(), key_file("the key of these three fronts"));
+    let (relay, key) = (Relay::start(3, 1).unwrap(), key_file("the key of these three fronts"));
     let fronts: Vec<Proc> = (0..3)
-        .map(|i| start_member(&format!("f{i}"), Some(relay.seats[i]), &relay.seats[..i], &key))
+        .map(|i| start_member(&format!("f{i}"), Some(relay.addresses[i]), &relay.addresses[..i], &key))
         .collect();
-    fronts.iter().enumerate().for_each(|(i, front)| relay.real(i, peers_address(front)));
+    fronts.iter().enumerate().for_each(|(i, front)| relay.set_address(i, peers_address(front)));
     wait_until("all fronts know each other", || fronts.iter().all(|f| get(f.at, "/peers")["there"] == 3));
     (relay, fronts, key)
 }
@@ -78,8 +78,8 @@
     wait_until("the front is gone", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "gone"));
     // Shared limits are still divided by the gone member too.
     assert_eq!(get(fronts[0].at, "/peers")["counted"], 3);
-    let back = start_member("f0", Some(relay.seats[0]), &relay.seats[1..], &key);
-    relay.real(0, peers_address(&back));
+    let back = start_member("f0", Some(relay.addresses[0]), &relay.addresses[1..], &key);
+    relay.set_address(0, peers_address(&back));
     wait_until("the front is back", || fronts.iter().all(|f| status(&get(f.at, "/peers"), "f0") == "alive"));
     assert_ne!(get(back.at, "/peers")["self"]["life"], life);
     signal(&back, Signal::TERM);
@@ -90,8 +90,8 @@
 #[test]
 fn a_one_way_partition_between_two_leaves_all_present() {
     let (relay, fronts, _key) = three_fronts();
-    relay.set(0, 1, Way { cut: true, ..Way::default() });
-    let lost = || relay.passed(0, 1).lost;
+    relay.set_link(0, 1, LinkConditions { cut: true, ..LinkConditions::default() });
+    let lost = || relay.counts(0, 1).lost;
     wait_until("messages are dropped", || lost() > 20);
     let saw_gone =
         |f: &Proc| get(f.at, "/peers")["changes"].as_array().unwrap().iter().any(|c| c["what"] == "gone");
@@ -283,10 +283,12 @@
 #[test]
 fn fronts_agree_after_a_hundred_periods_of_thirty_percent_loss() {
     let (relay, fronts, _key) = three_fronts();
-    let all = |way: Way| (0..3).for_each(|a| (0..3).filter(|b| *b != a).for_each(|b| relay.set(a, b, way)));
-    all(Way { lost: 0.3, ..Way::default() });
+    let all = |way: LinkConditions| {
+        (0..3).for_each(|a| (0..3).filter(|b| *b != a).for_each(|b| relay.set_link(a, b, way)))
+    };
+    all(LinkConditions { lost: 0.3, ..LinkConditions::default() });
     std::thread::sleep(std::time::Duration::from_secs(5));
-    all(Way::default());
+    all(LinkConditions::default());
     let agreed = |f: &Proc| {
         let shown = get(f.at, "/peers");
         shown["there"] == 3 && shown["members"].as_array().unwrap().iter().all(|m| m["status"] == "alive")
@@ -337,7 +339,7 @@
         controller.stage(1, 0, "released", 1.0);
         controller.roster("whole", &[("a", machines[0].at, 1, "up"), ("b", machines[1].at, 2, "up")]);
         controller.stage(2, 0, "on-trial", 1.0);
-        let (relay, key) = (Relay::begin(3, 1).unwrap(), key_file("the key of these three fronts"));
+        let (relay, key) = (Relay::start(3, 1).unwrap(), key_file("the key of these three fronts"));
         let mut setup = TrialSetup { relay, controller, key, fronts: Vec::new(), _machines: machines };
         (0..3).for_each(|i| {
             let front = setup.front(i);
@@ -352,10 +354,10 @@
     }
 
     fn front_with(&self, i: usize, more: &[&str]) -> Proc {
-        let others: Vec<SocketAddr> = (0..3).filter(|j| *j != i).map(|j| self.relay.seats[j]).collect();
-        let (controller, seat) = (self.controller.at.to_string(), Some(self.relay.seats[i]));
+        let others: Vec<SocketAddr> = (0..3).filter(|j| *j != i).map(|j| self.relay.addresses[j]).collect();
+        let (controller, seat) = (self.controller.at.to_string(), Some(self.relay.addresses[i]));
         let front = start_front(&controller, &format!("f{i}"), seat, &others, &self.key, more);
-        self.relay.real(i, peers_address(&front));
+        self.relay.set_address(i, peers_address(&front));
         wait_for_machines(&front, 2);
         front
     }
@@ -393,8 +395,8 @@
     let all = binding_count(&setup.fronts[0]);
     wait_until("all have the keys", || setup.fronts.iter().all(|f| binding_count(f) == all));
     drop(setup.fronts.remove(2));
-    let way = Way { lost: 0.2, delay: 20_000_000, ..Way::default() };
-    (0..2).for_each(|i| setup.relay.set(i, 2, way));
+    let way = LinkConditions { lost: 0.2, delay: 20_000_000, ..LinkConditions::default() };
+    (0..2).for_each(|i| setup.relay.set_link(i, 2, way));
     let back = setup.front(2);
     wait_until("the returning front has some keys", || binding_count(&back) > 0);
     drop(setup.fronts.remove(0));
@@ -408,7 +410,7 @@
     let setup = TrialSetup::start();
     let cut = |on: bool| {
         for (a, b) in [(0, 1), (0, 2), (1, 0), (2, 0)] {
-            setup.relay.set(a, b, Way { cut: on, ..Way::default() });
+            setup.relay.set_link(a, b, LinkConditions { cut: on, ..LinkConditions::default() });
         }
     };
     cut(true);
--- a/fault-injection/src/plan.rs
+++ b/fault-injection/src/plan.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 
 /// Most acts of a plan, and most processes: what a plan from a file may ask for.
-pub const MOST_ACTS: usize = 1_000;
-pub const MOST_PARTS: usize = 10_000;
+pub const MAX_FAULTS: usize = 1_000;
+pub const MAX_PROCESSES: usize = 10_000;
 
 /// What a link does to what it carries, one way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Way {
+pub struct LinkConditions {
     /// Datagrams lost, doubled, overtaken by later ones, with a bit flipped: shares of one.
     pub lost: f64,
     pub doubled: f64,
@@ -34,7 +34,7 @@
 /// With which folder a killed process returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Return {
+pub enum RestartState {
     Never,
     Same,
     Empty,
@@ -46,11 +46,11 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
     /// Links from any of these to any of those; an empty list is everyone.
-    Links { from: Vec<usize>, to: Vec<usize>, way: Way },
+    Links { from: Vec<usize>, to: Vec<usize>, way: LinkConditions },
     /// Stands still: SIGSTOP, and SIGCONT at the end.
     Stop { who: usize },
     /// SIGKILL, and a new life at the end.
-    Kill { who: usize, back: Return },
+    Kill { who: usize, back: RestartState },
     /// SIGTERM, and a new life at the end.
     Leave { who: usize },
     /// Its clock runs fast or slow by parts of a million, or jumps ahead at the beginning.
@@ -60,7 +60,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Act {
+pub struct PlannedFault {
     pub from: Ns,
     pub until: Ns,
     pub fault: Fault,
@@ -73,19 +73,19 @@
     pub parts: usize,
     /// After the last act all is well for long enough to settle.
     pub length: Ns,
-    pub acts: Vec<Act>,
+    pub acts: Vec<PlannedFault>,
 }
 
 /// What a drawn plan may hold.
 #[derive(Clone, Copy, Debug)]
-pub struct Range {
-    pub acts: usize,
+pub struct PlanLimits {
+    pub max_faults: usize,
     pub parts: usize,
     /// Acts begin within this, and last so long at most.
-    pub stormy: Ns,
-    pub longest: Ns,
+    pub fault_window: Ns,
+    pub max_duration: Ns,
     /// The quiet at the end.
-    pub settles: Ns,
+    pub settle_time: Ns,
     pub kills: bool,
     pub clocks: bool,
     /// Names of how disks may lie; none: they don't.
@@ -93,36 +93,39 @@
 }
 
 impl Plan {
-    pub fn draw(seed: u64, range: Range) -> Plan {
+    pub fn draw(seed: u64, range: PlanLimits) -> Plan {
         let mut chance = StdRng::seed_from_u64(seed);
         let chance = &mut chance;
-        let mut acts: Vec<Act> = (0..chance.random_range(1..=range.acts.max(1)))
+        let mut acts: Vec<PlannedFault> = (0..chance.random_range(1..=range.max_faults.max(1)))
             .map(|_| {
-                let from = chance.random_range(0..range.stormy.max(1));
-                let until = from + chance.random_range(100 * MS..=range.longest.max(101 * MS));
-                Act { from, until, fault: fault(chance, range) }
+                let from = chance.random_range(0..range.fault_window.max(1));
+                let until = from + chance.random_range(100 * MS..=range.max_duration.max(101 * MS));
+                PlannedFault { from, until, fault: fault(chance, range) }
             })
             .collect();
         acts.sort_by_key(|act| act.from);
         let end = acts.iter().map(|act| act.until).max().unwrap_or(0);
-        Plan { seed, parts: range.parts, length: end + range.settles, acts }
+        Plan { seed, parts: range.parts, length: end + range.settle_time, acts }
     }
 
     /// A plan by hand: faults, each with its beginning and end.
-    pub fn of(seed: u64, parts: usize, length: Ns, faults: &[(Ns, Ns, Fault)]) -> Plan {
-        let act =
-            |(from, until, fault): &(Ns, Ns, Fault)| Act { from: *from, until: *until, fault: fault.clone() };
+    pub fn new(seed: u64, parts: usize, length: Ns, faults: &[(Ns, Ns, Fault)]) -> Plan {
+        let act = |(from, until, fault): &(Ns, Ns, Fault)| PlannedFault {
+            from: *from,
+            until: *until,
+            fault: fault.clone(),
+        };
         Plan { seed, parts, length, acts: faults.iter().map(act).collect() }
     }
 
     /// What the acts that are on, by index, make of a link: the worst of each, and of what it is without them.
-    pub fn way(&self, on: &[usize], from: usize, to: usize, base: Way) -> Way {
-        on.iter().filter_map(|act| self.acts[*act].fault.way(from, to)).fold(base, Way::with)
+    pub fn way(&self, on: &[usize], from: usize, to: usize, base: LinkConditions) -> LinkConditions {
+        on.iter().filter_map(|act| self.acts[*act].fault.way(from, to)).fold(base, LinkConditions::with)
     }
 
     /// Beginnings and ends in order of time: when, which act, and whether it begins.
     pub fn edges(&self) -> Vec<(Ns, usize, bool)> {
-        let both = |(i, act): (usize, &Act)| [(act.from, i, true), (act.until, i, false)];
+        let both = |(i, act): (usize, &PlannedFault)| [(act.from, i, true), (act.until, i, false)];
         let mut edges: Vec<_> = self.acts.iter().enumerate().flat_map(both).collect();
         edges.sort_unstable();
         edges
@@ -151,13 +154,13 @@
         let (_, head) = lines.next().ok_or("a plan without a line")?;
         let Head { seed, parts, length } =
             serde_json::from_str(head).map_err(|err| format!("line 1: {err}"))?;
-        if parts == 0 || parts > MOST_PARTS || !(0..=86_400 * SEC).contains(&length) {
-            return Err(format!("line 1: 1 to {MOST_PARTS} parts, a length of up to a day"));
+        if parts == 0 || parts > MAX_PROCESSES || !(0..=86_400 * SEC).contains(&length) {
+            return Err(format!("line 1: 1 to {MAX_PROCESSES} parts, a length of up to a day"));
         }
         let mut acts = Vec::new();
         for (number, line) in lines {
             let named = |why: String| format!("line {}: {why}", number + 1);
-            let act: Act = serde_json::from_str(line).map_err(|err| named(err.to_string()))?;
+            let act: PlannedFault = serde_json::from_str(line).map_err(|err| named(err.to_string()))?;
             if act.from < 0 || act.until < act.from || act.until > length {
                 return Err(named("an act begins, and then ends, within the plan's length".into()));
             }
@@ -165,8 +168,8 @@
                 return Err(named(format!("processes are numbered from 0 to {}", parts - 1)));
             }
             acts.push(act);
-            if acts.len() > MOST_ACTS {
-                return Err(named(format!("more than {MOST_ACTS} acts")));
+            if acts.len() > MAX_FAULTS {
+                return Err(named(format!("more than {MAX_FAULTS} acts")));
             }
         }
         Ok(Plan { seed, parts, length, acts })
@@ -186,7 +189,7 @@
     }
 
     /// Is it of the link from one process to another?
-    fn way(&self, from: usize, to: usize) -> Option<&Way> {
+    fn way(&self, from: usize, to: usize) -> Option<&LinkConditions> {
         match self {
             Fault::Links { from: f, to: t, way }
                 if (f.is_empty() || f.contains(&from)) && (t.is_empty() || t.contains(&to)) =>
@@ -199,9 +202,9 @@
 }
 
 /// Two faults upon one link at once: the worse of each.
-impl Way {
-    pub fn with(self, other: &Way) -> Way {
-        Way {
+impl LinkConditions {
+    pub fn with(self, other: &LinkConditions) -> LinkConditions {
+        LinkConditions {
             lost: self.lost.max(other.lost),
             doubled: self.doubled.max(other.doubled),
             overtaken: self.overtaken.max(other.overtaken),
@@ -219,7 +222,7 @@
     }
 }
 
-fn fault(chance: &mut StdRng, range: Range) -> Fault {
+fn fault(chance: &mut StdRng, range: PlanLimits) -> Fault {
     let who = chance.random_range(0..range.parts);
     let kinds = 6 + 3 * usize::from(range.kills) + usize::from(range.clocks);
     let kind = chance.random_range(0..kinds + 2 * usize::from(!range.disks.is_empty()));
@@ -230,35 +233,36 @@
         0 => {
             // A part of all is cut off, both ways.
             let some = some(chance, range.parts);
-            let way = Way { cut: true, ..Way::default() };
+            let way = LinkConditions { cut: true, ..LinkConditions::default() };
             Fault::Links { from: some.clone(), to: others(&some, range.parts), way }
         }
         1 => {
             // One way alone: sends and does not hear, or hears and is not heard.
             let (from, to) = (some(chance, range.parts), some(chance, range.parts));
-            Fault::Links { from, to, way: Way { cut: true, ..Way::default() } }
+            Fault::Links { from, to, way: LinkConditions { cut: true, ..LinkConditions::default() } }
         }
         2 => {
-            let way = Way { lost: share(chance, 5, 60), ..Way::default() };
+            let way = LinkConditions { lost: share(chance, 5, 60), ..LinkConditions::default() };
             Fault::Links { from: Vec::new(), to: Vec::new(), way }
         }
         3 => {
-            let way = Way {
+            let way = LinkConditions {
                 doubled: share(chance, 0, 50),
                 overtaken: share(chance, 0, 50),
                 delay: chance.random_range(0..300 * MS),
                 jitter: chance.random_range(0..300 * MS),
-                ..Way::default()
+                ..LinkConditions::default()
             };
             Fault::Links { from: some(chance, range.parts), to: Vec::new(), way }
         }
         4 => {
-            let way = Way { stalled: true, ..Way::default() };
+            let way = LinkConditions { stalled: true, ..LinkConditions::default() };
             Fault::Links { from: vec![who], to: some(chance, range.parts), way }
         }
         5 => Fault::Stop { who },
         6 | 7 if range.kills => {
-            let back = [Return::Same, Return::Empty, Return::Former][chance.random_range(0..3)];
+            let back =
+                [RestartState::Same, RestartState::Empty, RestartState::Former][chance.random_range(0..3)];
             Fault::Kill { who, back }
         }
         8 if range.kills => Fault::Leave { who },
@@ -291,14 +295,14 @@
 mod tests {
     use super::*;
 
-    pub fn range() -> Range {
-        let (stormy, longest, settles) = (30 * SEC, 10 * SEC, 30 * SEC);
-        Range {
-            acts: 8,
+    pub fn range() -> PlanLimits {
+        let (fault_window, max_duration, settle_time) = (30 * SEC, 10 * SEC, 30 * SEC);
+        PlanLimits {
+            max_faults: 8,
             parts: 5,
-            stormy,
-            longest,
-            settles,
+            fault_window,
+            max_duration,
+            settle_time,
             kills: true,
             clocks: true,
             disks: &["sync-lies"],
--- a/fault-injection/src/relay.rs
+++ b/fault-injection/src/relay.rs
@@ -1,7 +1,7 @@
 //! A relay between real processes: each is known to the others by a seat of the relay, for datagrams, and by an address
-//! of the relay for each ordered pair, for streams. What a [`Way`] says is done to what passes; the relay's record is
+//! of the relay for each ordered pair, for streams. What a [`LinkConditions`] says is done to what passes; the relay's record is
 //! kept at this end.
-use crate::plan::Way;
+use crate::plan::LinkConditions;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 
 /// What passed, and what did not, by ordered pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct LinkCounts {
     pub datagrams: u64,
     pub lost: u64,
     pub bytes: u64,
@@ -30,15 +30,15 @@
 
 struct Inner {
     parts: usize,
-    ways: Vec<Way>,
-    passed: Vec<Passed>,
+    ways: Vec<LinkConditions>,
+    passed: Vec<LinkCounts>,
     real: Vec<Option<SocketAddr>>,
 }
 
 #[derive(Clone)]
 pub struct Relay {
     /// By part: where the others send datagrams for it.
-    pub seats: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     inner: Arc<Mutex<Inner>>,
 }
 
@@ -47,17 +47,17 @@
     ///
     /// # Errors
     /// Sockets that can't be had.
-    pub fn begin(parts: usize, seed: u64) -> std::io::Result<Relay> {
+    pub fn start(parts: usize, seed: u64) -> std::io::Result<Relay> {
         let socks: Vec<UdpSocket> =
             (0..parts).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<std::io::Result<_>>()?;
-        let seats = socks.iter().map(UdpSocket::local_addr).collect::<std::io::Result<_>>()?;
+        let addresses = socks.iter().map(UdpSocket::local_addr).collect::<std::io::Result<_>>()?;
         let inner = Inner {
             parts,
-            ways: vec![Way::default(); parts * parts],
-            passed: vec![Passed::default(); parts * parts],
+            ways: vec![LinkConditions::default(); parts * parts],
+            passed: vec![LinkCounts::default(); parts * parts],
             real: vec![None; parts],
         };
-        let relay = Relay { seats, inner: Arc::new(Mutex::new(inner)) };
+        let relay = Relay { addresses, inner: Arc::new(Mutex::new(inner)) };
         let socks = Arc::new(socks);
         for to in 0..parts {
             let (relay, socks) = (relay.clone(), socks.clone());
@@ -72,27 +72,27 @@
     }
 
     /// Where a part really is; datagrams come from there.
-    pub fn real(&self, who: usize, at: SocketAddr) {
+    pub fn set_address(&self, who: usize, at: SocketAddr) {
         self.inner().real[who] = Some(at);
     }
 
-    pub fn set(&self, from: usize, to: usize, way: Way) {
+    pub fn set_link(&self, from: usize, to: usize, way: LinkConditions) {
         let mut inner = self.inner();
         let at = from * inner.parts + to;
         inner.ways[at] = way;
     }
 
-    pub fn way(&self, from: usize, to: usize) -> Way {
+    pub fn way(&self, from: usize, to: usize) -> LinkConditions {
         let inner = self.inner();
         inner.ways[from * inner.parts + to]
     }
 
-    pub fn passed(&self, from: usize, to: usize) -> Passed {
+    pub fn counts(&self, from: usize, to: usize) -> LinkCounts {
         let inner = self.inner();
         inner.passed[from * inner.parts + to]
     }
 
-    fn note(&self, from: usize, to: usize, note: impl FnOnce(&mut Passed)) {
+    fn note(&self, from: usize, to: usize, note: impl FnOnce(&mut LinkCounts)) {
         let mut inner = self.inner();
         let at = from * inner.parts + to;
         note(&mut inner.passed[at]);
@@ -267,66 +267,70 @@
 
     #[test]
     fn datagrams_are_lost_doubled_and_late_by_ordered_pair() {
-        let relay = Relay::begin(2, 1).unwrap();
+        let relay = Relay::start(2, 1).unwrap();
         let socks = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
         for (who, sock) in socks.iter().enumerate() {
-            relay.real(who, sock.local_addr().unwrap());
+            relay.set_address(who, sock.local_addr().unwrap());
             sock.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
         }
         let heard = |who: usize| {
             let mut buf = [0; 64];
             socks[who].recv_from(&mut buf).ok().map(|(n, from)| (buf[..n].to_vec(), from))
         };
-        socks[0].send_to(b"a", relay.seats[1]).unwrap();
-        assert_eq!(heard(1), Some((b"a".to_vec(), relay.seats[0])));
-        relay.set(0, 1, Way { cut: true, ..Way::default() });
-        socks[0].send_to(b"b", relay.seats[1]).unwrap();
-        socks[1].send_to(b"c", relay.seats[0]).unwrap();
-        assert_eq!((heard(1), heard(0)), (None, Some((b"c".to_vec(), relay.seats[1]))));
-        relay.set(0, 1, Way { doubled: 1.0, delay: 20 * crate::MS, ..Way::default() });
-        socks[0].send_to(b"d", relay.seats[1]).unwrap();
+        socks[0].send_to(b"a", relay.addresses[1]).unwrap();
+        assert_eq!(heard(1), Some((b"a".to_vec(), relay.addresses[0])));
+        relay.set_link(0, 1, LinkConditions { cut: true, ..LinkConditions::default() });
+        socks[0].send_to(b"b", relay.addresses[1]).unwrap();
+        socks[1].send_to(b"c", relay.addresses[0]).unwrap();
+        assert_eq!((heard(1), heard(0)), (None, Some((b"c".to_vec(), relay.addresses[1]))));
+        relay.set_link(
+            0,
+            1,
+            LinkConditions { doubled: 1.0, delay: 20 * crate::MS, ..LinkConditions::default() },
+        );
+        socks[0].send_to(b"d", relay.addresses[1]).unwrap();
         assert_eq!([heard(1), heard(1), heard(1)].iter().flatten().count(), 2);
-        assert_eq!((relay.passed(0, 1).lost, relay.passed(0, 1).datagrams), (1, 3));
+        assert_eq!((relay.counts(0, 1).lost, relay.counts(0, 1).datagrams), (1, 3));
     }
 
     #[test]
     fn a_stalled_stream_stays_open_and_lets_go_at_once_and_a_reset_cuts_a_frame() {
-        let relay = Relay::begin(2, 1).unwrap();
+        let relay = Relay::start(2, 1).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = relay.stream(0, 1, listener.local_addr().unwrap()).unwrap();
         let mut near = TcpStream::connect(at).unwrap();
         let (mut far, _) = listener.accept().unwrap();
         far.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
         let mut buf = [0; 64];
-        relay.set(0, 1, Way { stalled: true, ..Way::default() });
+        relay.set_link(0, 1, LinkConditions { stalled: true, ..LinkConditions::default() });
         near.write_all(b"held").unwrap();
         assert!(far.read(&mut buf).is_err());
         // The other direction goes on.
         far.write_all(b"back").unwrap();
         near.read_exact(&mut buf[..4]).unwrap();
-        relay.set(0, 1, Way::default());
+        relay.set_link(0, 1, LinkConditions::default());
         far.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         far.read_exact(&mut buf[..4]).unwrap();
         assert_eq!(&buf[..4], b"held");
-        relay.set(0, 1, Way { reset: true, ..Way::default() });
+        relay.set_link(0, 1, LinkConditions { reset: true, ..LinkConditions::default() });
         near.write_all(b"12345678").unwrap();
         let mut rest = Vec::new();
         let _ = far.read_to_end(&mut rest);
         assert_eq!(rest, b"1234");
-        until("the reset is noted", || relay.passed(0, 1).resets == 1);
+        until("the reset is noted", || relay.counts(0, 1).resets == 1);
     }
 
     #[test]
     fn a_connection_under_a_cut_is_half_open() {
-        let relay = Relay::begin(2, 1).unwrap();
+        let relay = Relay::start(2, 1).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let at = relay.stream(0, 1, listener.local_addr().unwrap()).unwrap();
-        relay.set(1, 0, Way { cut: true, ..Way::default() });
+        relay.set_link(1, 0, LinkConditions { cut: true, ..LinkConditions::default() });
         let near = TcpStream::connect(at).unwrap();
         std::thread::sleep(Duration::from_millis(100));
         assert!(listener.accept().is_err() && !gone(&near).unwrap());
-        relay.set(1, 0, Way::default());
+        relay.set_link(1, 0, LinkConditions::default());
         until("it comes up", || listener.accept().is_ok());
     }
 }
--- a/fault-injection/src/shrink.rs
+++ b/fault-injection/src/shrink.rs
@@ -1,5 +1,5 @@
 //! From a plan that breaks something to one that needs each fault left in it.
-use crate::plan::{Act, Plan};
+use crate::plan::{Plan, PlannedFault};
 use crate::{Ns, MS};
 
 /// Acts are not made shorter than this.
@@ -10,7 +10,7 @@
 pub fn shrink(plan: &Plan, most: usize, mut breaks: impl FnMut(&Plan) -> bool) -> Plan {
     let mut best = plan.clone();
     let mut plays = 0;
-    let mut try_with = |acts: Vec<Act>, best: &mut Plan| {
+    let mut try_with = |acts: Vec<PlannedFault>, best: &mut Plan| {
         if plays >= most {
             return false;
         }
@@ -59,25 +59,26 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::plan::{Fault, Range};
+    use crate::plan::{Fault, PlanLimits};
     use crate::SEC;
 
     #[test]
     fn what_is_left_is_what_breaks() {
-        let range = Range {
-            acts: 30,
+        let range = PlanLimits {
+            max_faults: 30,
             parts: 5,
-            stormy: 60 * SEC,
-            longest: 9 * SEC,
-            settles: SEC,
+            fault_window: 60 * SEC,
+            max_duration: 9 * SEC,
+            settle_time: SEC,
             kills: true,
             clocks: true,
             disks: &[],
         };
         // Breaks by a stop of 2 s and more, of 3, with any kill of 1.
         let breaks = |plan: &Plan| {
-            let stop = |a: &Act| matches!(a.fault, Fault::Stop { who: 3 }) && a.until - a.from >= 2 * SEC;
-            let kill = |a: &Act| matches!(a.fault, Fault::Kill { who: 1, .. });
+            let stop =
+                |a: &PlannedFault| matches!(a.fault, Fault::Stop { who: 3 }) && a.until - a.from >= 2 * SEC;
+            let kill = |a: &PlannedFault| matches!(a.fault, Fault::Kill { who: 1, .. });
             plan.acts.iter().any(stop) && plan.acts.iter().any(kill)
         };
         let mut met = 0;
--- a/fault-injection/src/virt.rs
+++ b/fault-injection/src/simulation.rs
@@ -1,6 +1,6 @@
 //! Virtual time: state machines without I/O, each with a clock of its own, under a plan's faults. What each is told
-//! and does goes through [`Part`]; the world keeps the record that checkers read.
-use crate::plan::{Fault, Plan, Return, Way};
+//! and does goes through [`SimulatedProcess`]; the world keeps the record that checkers read.
+use crate::plan::{Fault, LinkConditions, Plan, RestartState};
 use crate::{Ns, MS};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -8,22 +8,22 @@
 use std::collections::BinaryHeap;
 
 /// Events of one play; a machine that makes more of them is broken.
-pub const MOST_EVENTS: u64 = 50_000_000;
+pub const MAX_EVENTS: u64 = 50_000_000;
 
 /// What a part does: letters to others by index, and the times at which it wants to be woken, by its own clock.
 #[derive(Default)]
-pub struct Out {
-    pub letters: Vec<(usize, Vec<u8>)>,
-    pub wakes: Vec<Ns>,
+pub struct Output {
+    pub messages: Vec<(usize, Vec<u8>)>,
+    pub timers: Vec<Ns>,
 }
 
 /// A state machine, as the world sees it. Times are of its own clock, which begins anew with each life.
-pub trait Part {
-    fn begin(&mut self, now: Ns, out: &mut Out);
-    fn letter(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Out);
-    fn woke(&mut self, now: Ns, out: &mut Out);
+pub trait SimulatedProcess {
+    fn start(&mut self, now: Ns, out: &mut Output);
+    fn receive(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Output);
+    fn wake(&mut self, now: Ns, out: &mut Output);
     /// Is asked to go; it is killed some time after.
-    fn leave(&mut self, now: Ns, out: &mut Out);
+    fn leave(&mut self, now: Ns, out: &mut Output);
 }
 
 enum Due {
@@ -52,7 +52,7 @@
 /// Letters that wait for a part that stands still; more are lost.
 const MOST_WAITING: usize = 200;
 
-pub struct World<P> {
+pub struct Simulation<P> {
     seats: Vec<Seat<P>>,
     heap: BinaryHeap<Reverse<(Ns, u64, usize)>>,
     dues: Vec<Option<Due>>,
@@ -67,12 +67,12 @@
     /// Letters and bytes that were sent, by part.
     pub sent: Vec<(u64, u64)>,
     /// The way of every link without a fault.
-    pub base: Way,
+    pub base: LinkConditions,
 }
 
-impl<P: Part> World<P> {
+impl<P: SimulatedProcess> Simulation<P> {
     /// All parts begin together.
-    pub fn new(plan: Plan, base: Way) -> World<P> {
+    pub fn new(plan: Plan, base: LinkConditions) -> Simulation<P> {
         let seat = |_| Seat {
             part: None,
             life: 0,
@@ -84,7 +84,7 @@
             woken: false,
             down: 0,
         };
-        let mut world = World {
+        let mut world = Simulation {
             seats: (0..plan.parts).map(seat).collect(),
             heap: BinaryHeap::new(),
             dues: Vec::new(),
@@ -118,7 +118,7 @@
     }
 
     /// The lives that a seat has had; its part's clock now; does it run?
-    pub fn seat(&self, who: usize) -> (u32, Ns, bool) {
+    pub fn status(&self, who: usize) -> (u32, Ns, bool) {
         let seat = &self.seats[who];
         (seat.life, self.clock(who), seat.part.is_some() && seat.stopped == 0)
     }
@@ -152,11 +152,11 @@
     /// # Errors
     /// What `look` found, or too many events.
     pub fn play(
-        &mut self, step: Ns, mut make: impl FnMut(usize, u32, Return) -> P,
-        mut look: impl FnMut(&World<P>) -> Result<(), String>,
+        &mut self, step: Ns, mut make: impl FnMut(usize, u32, RestartState) -> P,
+        mut look: impl FnMut(&Simulation<P>) -> Result<(), String>,
     ) -> Result<(), String> {
         for who in 0..self.seats.len() {
-            self.begin(who, make(who, 0, Return::Empty));
+            self.begin(who, make(who, 0, RestartState::Empty));
         }
         self.put(step, Due::Look);
         while let Some(Reverse((at, _, slot))) = self.heap.pop() {
@@ -165,8 +165,8 @@
             }
             self.now = at;
             self.events += 1;
-            if self.events > MOST_EVENTS {
-                return Err(format!("more than {MOST_EVENTS} events"));
+            if self.events > MAX_EVENTS {
+                return Err(format!("more than {MAX_EVENTS} events"));
             }
             self.free.push(slot);
             match self.dues[slot].take() {
@@ -189,25 +189,25 @@
         seat.life += 1;
         (seat.part, seat.born, seat.jumped, seat.woken) = (Some(part), self.now, 0, false);
         seat.waits.clear();
-        self.with(who, |part, now, out| part.begin(now, out));
+        self.with(who, |part, now, out| part.start(now, out));
     }
 
-    fn with(&mut self, who: usize, act: impl FnOnce(&mut P, Ns, &mut Out)) {
+    fn with(&mut self, who: usize, act: impl FnOnce(&mut P, Ns, &mut Output)) {
         let now = self.clock(who);
         let Some(part) = self.seats[who].part.as_mut() else { return };
-        let mut out = Out::default();
+        let mut out = Output::default();
         act(part, now, &mut out);
         let life = self.seats[who].life;
-        for own in out.wakes {
+        for own in out.timers {
             let own = own.max(now + 1);
             self.put(self.when(who, own), Due::Wake { who, life, own });
         }
-        for (to, bytes) in out.letters {
+        for (to, bytes) in out.messages {
             self.send(who, to, bytes);
         }
     }
 
-    fn way(&self, from: usize, to: usize) -> Way {
+    fn way(&self, from: usize, to: usize) -> LinkConditions {
         self.plan.way(&self.on, from, to, self.base)
     }
 
@@ -243,7 +243,7 @@
             }
             return;
         }
-        self.with(to, |part, now, out| part.letter(now, from, &bytes, out));
+        self.with(to, |part, now, out| part.receive(now, from, &bytes, out));
     }
 
     fn wakes(&mut self, who: usize, life: u32, own: Ns) {
@@ -261,10 +261,10 @@
             seat.woken = true;
             return;
         }
-        self.with(who, |part, now, out| part.woke(now, out));
+        self.with(who, |part, now, out| part.wake(now, out));
     }
 
-    fn fault(&mut self, act: usize, begins: bool, make: &mut impl FnMut(usize, u32, Return) -> P) {
+    fn fault(&mut self, act: usize, begins: bool, make: &mut impl FnMut(usize, u32, RestartState) -> P) {
         if begins {
             self.on.push(act);
         } else {
@@ -279,10 +279,10 @@
                     // It wakes to what has waited, in the order that a loop takes: sockets before timers.
                     let (waits, woken) = (std::mem::take(&mut seat.waits), std::mem::take(&mut seat.woken));
                     for (from, bytes) in waits {
-                        self.with(who, |part, now, out| part.letter(now, from, &bytes, out));
+                        self.with(who, |part, now, out| part.receive(now, from, &bytes, out));
                     }
                     if woken {
-                        self.with(who, |part, now, out| part.woke(now, out));
+                        self.with(who, |part, now, out| part.wake(now, out));
                     }
                 }
             }
@@ -291,7 +291,7 @@
                 if begins && self.seats[who].stopped == 0 {
                     self.with(who, |part, now, out| part.leave(now, out));
                 }
-                self.kill(who, begins, Return::Same, make);
+                self.kill(who, begins, RestartState::Same, make);
             }
             Fault::Clock { who, ppm, jump } => {
                 let own = self.clock(who);
@@ -309,7 +309,8 @@
     }
 
     fn kill(
-        &mut self, who: usize, begins: bool, back: Return, make: &mut impl FnMut(usize, u32, Return) -> P,
+        &mut self, who: usize, begins: bool, back: RestartState,
+        make: &mut impl FnMut(usize, u32, RestartState) -> P,
     ) {
         let seat = &mut self.seats[who];
         if begins {
@@ -318,7 +319,7 @@
             seat.waits.clear();
         } else {
             seat.down = seat.down.saturating_sub(1);
-            if seat.down == 0 && back != Return::Never {
+            if seat.down == 0 && back != RestartState::Never {
                 let life = seat.life;
                 let part = make(who, life, back);
                 self.begin(who, part);
@@ -338,31 +339,34 @@
         heard: Vec<(Ns, usize)>,
     }
 
-    impl Part for Ticker {
-        fn begin(&mut self, now: Ns, out: &mut Out) {
-            out.wakes.push(now + SEC);
+    impl SimulatedProcess for Ticker {
+        fn start(&mut self, now: Ns, out: &mut Output) {
+            out.timers.push(now + SEC);
         }
-        fn letter(&mut self, now: Ns, from: usize, _: &[u8], _: &mut Out) {
+        fn receive(&mut self, now: Ns, from: usize, _: &[u8], _: &mut Output) {
             self.heard.push((now, from));
         }
-        fn woke(&mut self, now: Ns, out: &mut Out) {
-            out.letters.push((1 - self.me, vec![0]));
-            out.wakes.push(now + SEC);
+        fn wake(&mut self, now: Ns, out: &mut Output) {
+            out.messages.push((1 - self.me, vec![0]));
+            out.timers.push(now + SEC);
         }
-        fn leave(&mut self, _: Ns, _: &mut Out) {}
+        fn leave(&mut self, _: Ns, _: &mut Output) {}
     }
 
     fn heard(faults: &[(Ns, Ns, Fault)]) -> [Vec<(Ns, usize)>; 2] {
-        let plan = Plan::of(1, 2, 10 * SEC + MS, faults);
-        let mut world = World::new(plan, Way::default());
+        let plan = Plan::new(1, 2, 10 * SEC + MS, faults);
+        let mut world = Simulation::new(plan, LinkConditions::default());
         world.play(SEC, |me, _, _| Ticker { me, heard: Vec::new() }, |_| Ok(())).unwrap();
         [0, 1].map(|i| world.part(i).map_or(Vec::new(), |p| p.heard.clone()))
     }
 
     #[test]
     fn each_fault_does_what_its_name_says() {
-        let cut =
-            |from| Fault::Links { from: vec![from], to: vec![], way: Way { cut: true, ..Way::default() } };
+        let cut = |from| Fault::Links {
+            from: vec![from],
+            to: vec![],
+            way: LinkConditions { cut: true, ..LinkConditions::default() },
+        };
         let counts = |heard: [Vec<(Ns, usize)>; 2]| heard.map(|h| h.len());
         assert_eq!(counts(heard(&[])), [10, 10]);
         // One way alone.
@@ -371,12 +375,12 @@
         // It wakes to what came, and to one of its own timers.
         assert_eq!(stop[1].iter().filter(|(at, _)| (*at - 6 * SEC).abs() < MS).count(), 5);
         assert_eq!(stop[0].len(), 7);
-        let kill = Fault::Kill { who: 1, back: Return::Empty };
+        let kill = Fault::Kill { who: 1, back: RestartState::Empty };
         assert_eq!(counts(heard(&[(2 * SEC + 1, 6 * SEC + 1, kill)])), [6, 5]);
         let fast = heard(&[(0, 10 * SEC, Fault::Clock { who: 0, ppm: 10_000, jump: 3 * SEC })]);
         // Its clock has jumped and runs fast; timers that were set go by the time that passes.
         assert!(fast[0].last().is_some_and(|(at, _)| *at > 13 * SEC) && fast[1].len() == 10, "{fast:?}");
-        let doubled = Way { doubled: 1.0, ..Way::default() };
+        let doubled = LinkConditions { doubled: 1.0, ..LinkConditions::default() };
         let doubled = Fault::Links { from: vec![], to: vec![], way: doubled };
         assert_eq!(counts(heard(&[(0, 10 * SEC, doubled)])).iter().sum::<usize>(), 38);
     }
--- a/membership/tests/measurements.rs
+++ b/membership/tests/measurements.rs
@@ -2,9 +2,9 @@
 //! nothing. Run with `cargo test --release -p rockpick-membership --test measurements -- --ignored --nocapture`.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_fault_injection::plan::Act as PlannedFault;
-use rockpick_fault_injection::virt::{Out, Part, World};
-use rockpick_fault_injection::{Fault, Plan, Return, Way};
+use rockpick_fault_injection::plan::PlannedFault;
+use rockpick_fault_injection::simulation::{Output, SimulatedProcess, Simulation};
+use rockpick_fault_injection::{Fault, LinkConditions, Plan, RestartState};
 use rockpick_membership::*;
 use std::net::SocketAddr;
 
@@ -17,14 +17,14 @@
     changes: Vec<(Ns, Change)>,
 }
 
-struct TestActions<'a>(&'a mut Out, &'a mut Vec<(Ns, Change)>, Ns);
+struct TestActions<'a>(&'a mut Output, &'a mut Vec<(Ns, Change)>, Ns);
 
 impl Actions for TestActions<'_> {
     fn send(&mut self, to: SocketAddr, bytes: &[u8]) {
-        self.0.letters.push((usize::from(to.port()) - 10_000, bytes.to_vec()));
+        self.0.messages.push((usize::from(to.port()) - 10_000, bytes.to_vec()));
     }
     fn wake_at(&mut self, at: Ns) {
-        self.0.wakes.push(at);
+        self.0.timers.push(at);
     }
     fn notify(&mut self, change: Change) {
         if !matches!(change, Change::Present(_)) {
@@ -33,21 +33,21 @@
     }
 }
 
-impl Part for TestMember {
-    fn begin(&mut self, now: Ns, out: &mut Out) {
+impl SimulatedProcess for TestMember {
+    fn start(&mut self, now: Ns, out: &mut Output) {
         self.membership.handle(now, Event::Start, &mut TestActions(out, &mut self.changes, now));
     }
-    fn letter(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Output) {
         self.membership.handle(
             now,
             Event::Datagram { from: at(from), bytes },
             &mut TestActions(out, &mut self.changes, now),
         );
     }
-    fn woke(&mut self, now: Ns, out: &mut Out) {
+    fn wake(&mut self, now: Ns, out: &mut Output) {
         self.membership.handle(now, Event::Timer, &mut TestActions(out, &mut self.changes, now));
     }
-    fn leave(&mut self, _: Ns, _: &mut Out) {}
+    fn leave(&mut self, _: Ns, _: &mut Output) {}
 }
 
 fn measure(parts: usize, lost: f64, seconds: Ns) {
@@ -56,11 +56,11 @@
     let kill = PlannedFault {
         from: dies,
         until: seconds * SEC,
-        fault: Fault::Kill { who: parts - 1, back: Return::Never },
+        fault: Fault::Kill { who: parts - 1, back: RestartState::Never },
     };
     let plan = Plan { seed: 7, parts, length: seconds * SEC, acts: vec![kill] };
-    let base = Way { delay: MS, jitter: MS, lost, ..Way::default() };
-    let mut world: World<TestMember> = World::new(plan, base);
+    let base = LinkConditions { delay: MS, jitter: MS, lost, ..LinkConditions::default() };
+    let mut world: Simulation<TestMember> = Simulation::new(plan, base);
     let all: Vec<Update> = (0..parts)
         .map(|i| Update {
             record: Record {
@@ -73,7 +73,7 @@
             reporter: 0,
         })
         .collect();
-    let make = |who: usize, _, _: Return| {
+    let make = |who: usize, _, _: RestartState| {
         let mut rng = StdRng::seed_from_u64(who as u64);
         let config = Config {
             name: format!("f{who}"),
--- a/membership/tests/simulation.rs
+++ b/membership/tests/simulation.rs
@@ -1,9 +1,9 @@
 //! Runs members in virtual time under generated fault plans and compares what each holds of the others with who is running.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_fault_injection::plan::{Act as PlannedFault, Range};
-use rockpick_fault_injection::virt::{Out, Part, World};
-use rockpick_fault_injection::{shrink, Fault, Plan, Return, Way};
+use rockpick_fault_injection::plan::{PlanLimits, PlannedFault};
+use rockpick_fault_injection::simulation::{Output, SimulatedProcess, Simulation};
+use rockpick_fault_injection::{shrink, Fault, LinkConditions, Plan, RestartState};
 use rockpick_membership::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 }
 
 struct TestActions<'a> {
-    out: &'a mut Out,
+    out: &'a mut Output,
     changes: &'a mut Vec<(Ns, Change)>,
     now: Ns,
     bug: Bug,
@@ -65,10 +65,10 @@
             }
             bytes = message.encode();
         }
-        self.out.letters.push((usize::from(to.port() - BASE), bytes));
+        self.out.messages.push((usize::from(to.port() - BASE), bytes));
     }
     fn wake_at(&mut self, at: Ns) {
-        self.out.wakes.push(at);
+        self.out.timers.push(at);
     }
     fn notify(&mut self, change: Change) {
         if self.changes.len() < 10_000 {
@@ -78,17 +78,17 @@
 }
 
 impl TestMember {
-    fn handle(&mut self, now: Ns, event: Event, out: &mut Out) {
+    fn handle(&mut self, now: Ns, event: Event, out: &mut Output) {
         let mut actions = TestActions { out, changes: &mut self.changes, now, bug: self.bug };
         self.membership.handle(now, event, &mut actions);
     }
 }
 
-impl Part for TestMember {
-    fn begin(&mut self, now: Ns, out: &mut Out) {
+impl SimulatedProcess for TestMember {
+    fn start(&mut self, now: Ns, out: &mut Output) {
         self.handle(now, Event::Start, out);
     }
-    fn letter(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Output) {
         let mut bytes = bytes.to_vec();
         if let Some(mut message) = Message::decode(&bytes) {
             let own = self.membership.own_record().name;
@@ -113,10 +113,10 @@
         }
         self.handle(now, Event::Datagram { from: at(from), bytes: &bytes }, out);
     }
-    fn woke(&mut self, now: Ns, out: &mut Out) {
+    fn wake(&mut self, now: Ns, out: &mut Output) {
         self.handle(now, Event::Timer, out);
     }
-    fn leave(&mut self, now: Ns, out: &mut Out) {
+    fn leave(&mut self, now: Ns, out: &mut Output) {
         self.handle(now, Event::Leave, out);
     }
 }
@@ -139,14 +139,14 @@
     TestMember { membership: Membership::new(config, Timing::default()), bug, changes: Vec::new() }
 }
 
-fn range(parts: usize) -> Range {
+fn range(parts: usize) -> PlanLimits {
     // The longest suspicion among five lasts 30 s; after that, gone members are probed again.
-    Range {
-        acts: 8,
+    PlanLimits {
+        max_faults: 8,
         parts,
-        stormy: 40 * SEC,
-        longest: 20 * SEC,
-        settles: 150 * SEC,
+        fault_window: 40 * SEC,
+        max_duration: 20 * SEC,
+        settle_time: 150 * SEC,
         kills: true,
         clocks: true,
         disks: &[],
@@ -154,15 +154,16 @@
 }
 
 /// Runs a plan; part 0 has the bug.
-fn play(plan: &Plan, bug: Bug) -> Result<World<TestMember>, String> {
-    let base = Way { delay: MS, jitter: 2 * MS, ..Way::default() };
-    let mut world: World<TestMember> = World::new(plan.clone(), base);
+fn play(plan: &Plan, bug: Bug) -> Result<Simulation<TestMember>, String> {
+    let base = LinkConditions { delay: MS, jitter: 2 * MS, ..LinkConditions::default() };
+    let mut world: Simulation<TestMember> = Simulation::new(plan.clone(), base);
     let mut seen: BTreeMap<(usize, u32, String), (u32, Status, u64)> = BTreeMap::new();
-    let make =
-        |who: usize, instance, _: Return| member(plan, who, instance, if who == 0 { bug } else { Bug::None });
+    let make = |who: usize, instance, _: RestartState| {
+        member(plan, who, instance, if who == 0 { bug } else { Bug::None })
+    };
     world.play(SEC, make, |world| {
         for who in 0..world.parts() {
-            let (instance, ..) = world.seat(who);
+            let (instance, ..) = world.status(who);
             let Some(part) = world.part(who) else { continue };
             let living = part.bug == Bug::CountsOnlyPresent;
             let counted =
@@ -186,8 +187,8 @@
 }
 
 /// At the end, all running members must hold each other for alive, in their present instances, and nobody else for present.
-fn check_agreement(world: &World<TestMember>) -> Result<(), String> {
-    let running_parts: Vec<usize> = (0..world.parts()).filter(|w| world.seat(*w).2).collect();
+fn check_agreement(world: &Simulation<TestMember>) -> Result<(), String> {
+    let running_parts: Vec<usize> = (0..world.parts()).filter(|w| world.status(*w).2).collect();
     for me in &running_parts {
         let membership = &world.part(*me).expect("running").membership;
         for who in (0..world.parts()).filter(|w| w != me) {
@@ -254,7 +255,7 @@
             plan.acts.push(PlannedFault {
                 from: SEC,
                 until: 2 * SEC,
-                fault: Fault::Kill { who: 4, back: Return::Never },
+                fault: Fault::Kill { who: 4, back: RestartState::Never },
             });
             play(&plan, bug).is_err()
         });
@@ -264,14 +265,18 @@
 }
 
 fn plan(parts: usize, length: Ns, faults: &[(Ns, Ns, Fault)]) -> Plan {
-    Plan::of(5, parts, length, faults)
+    Plan::new(5, parts, length, faults)
 }
 
 fn cut(from: &[usize], to: &[usize]) -> Fault {
-    Fault::Links { from: from.to_vec(), to: to.to_vec(), way: Way { cut: true, ..Way::default() } }
+    Fault::Links {
+        from: from.to_vec(),
+        to: to.to_vec(),
+        way: LinkConditions { cut: true, ..LinkConditions::default() },
+    }
 }
 
-fn changes(world: &World<TestMember>, me: usize, who: usize) -> Vec<String> {
+fn changes(world: &Simulation<TestMember>, me: usize, who: usize) -> Vec<String> {
     let changes = world.part(me).expect("running").changes.iter();
     let of = |record: &Record, what: &str| (record.name == name(who)).then(|| what.to_string());
     changes
@@ -307,7 +312,7 @@
 /// measured, a member is wrongly declared gone for a while in 13 of 200 such minutes. All must agree at the end of each.
 #[test]
 fn a_minute_of_thirty_percent_loss_rarely_declares_a_member_gone() {
-    let way = Way { lost: 0.3, ..Way::default() };
+    let way = LinkConditions { lost: 0.3, ..LinkConditions::default() };
     let loss = Fault::Links { from: vec![], to: vec![], way };
     let minutes = (0..200).filter(|seed| {
         let plan = Plan { seed: *seed, ..plan(5, 180 * SEC, &[(5 * SEC, 65 * SEC, loss.clone())]) };
@@ -332,7 +337,9 @@
 #[test]
 fn members_all_restarted_within_a_second_find_each_other() {
     let kills: Vec<_> = (0..5)
-        .map(|who| (20 * SEC + who as Ns * 200 * MS, 21 * SEC, Fault::Kill { who, back: Return::Empty }))
+        .map(|who| {
+            (20 * SEC + who as Ns * 200 * MS, 21 * SEC, Fault::Kill { who, back: RestartState::Empty })
+        })
         .collect();
     play(&plan(5, 150 * SEC, &kills), Bug::None).unwrap();
 }
@@ -341,9 +348,9 @@
 fn one_of_two_processes_under_one_name_keeps_it() {
     // Two parts share a name: of four parts, part 3 calls itself f2.
     let plan = plan(4, 200 * SEC, &[]);
-    let base = Way { delay: MS, ..Way::default() };
-    let mut world: World<TestMember> = World::new(plan.clone(), base);
-    let make = |who: usize, instance, _: Return| {
+    let base = LinkConditions { delay: MS, ..LinkConditions::default() };
+    let mut world: Simulation<TestMember> = Simulation::new(plan.clone(), base);
+    let make = |who: usize, instance, _: RestartState| {
         let mut member = member(&plan, who, instance, Bug::None);
         if who == 3 {
             let join = vec![at(0)];
@@ -370,10 +377,10 @@
 fn invalid_datagrams_change_nothing() {
     let plan = plan(3, 30 * SEC, &[]);
     let mut member = member(&plan, 0, 0, Bug::None);
-    let mut out = Out::default();
-    member.begin(0, &mut out);
+    let mut out = Output::default();
+    member.start(0, &mut out);
     let mut rng = StdRng::seed_from_u64(1);
-    let good = out.letters[0].1.clone();
+    let good = out.messages[0].1.clone();
     for _ in 0..20_000 {
         let mut bytes = good.clone();
         match rng.random_range(0..3) {
--- a/raft/tests/simulation.rs
+++ b/raft/tests/simulation.rs
@@ -2,9 +2,9 @@
 //! a record kept outside of them. One node's disk is faulty: it loses synced writes, or returns an old or empty state.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_fault_injection::plan::Range;
-use rockpick_fault_injection::virt::{Out, Part, World};
-use rockpick_fault_injection::{shrink, Fault, Plan, Return, Way};
+use rockpick_fault_injection::plan::PlanLimits;
+use rockpick_fault_injection::simulation::{Output, SimulatedProcess, Simulation};
+use rockpick_fault_injection::{shrink, Fault, LinkConditions, Plan, RestartState};
 use rockpick_raft::*;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -100,7 +100,7 @@
 }
 
 struct TestActions<'a> {
-    out: &'a mut Out,
+    out: &'a mut Output,
     writes: Vec<(u64, Write)>,
     state: &'a mut State,
     history: &'a RefCell<History>,
@@ -110,10 +110,10 @@
 impl Actions for TestActions<'_> {
     fn send(&mut self, to: u32, bytes: &[u8]) {
         assert!(bytes.len() <= MAX_MESSAGE_LEN);
-        self.out.letters.push((to as usize, [&[0], bytes].concat()));
+        self.out.messages.push((to as usize, [&[0], bytes].concat()));
     }
     fn wake_at(&mut self, at: Ns) {
-        self.out.wakes.push(at);
+        self.out.timers.push(at);
     }
     fn persist(&mut self, number: u64, write: Write) {
         self.writes.push((number, write));
@@ -149,7 +149,7 @@
 const SYNC: Ns = 3 * MS;
 
 impl TestNode {
-    fn handle(&mut self, now: Ns, event: Event, out: &mut Out) {
+    fn handle(&mut self, now: Ns, event: Event, out: &mut Output) {
         let mut actions = TestActions {
             out,
             writes: Vec::new(),
@@ -162,7 +162,7 @@
         for (number, write) in writes {
             let sync = if self.bug == Bug::PersistedTooEarly { SEC } else { SYNC };
             self.pending.push_back((now + sync, number, write));
-            out.wakes.push(now + sync);
+            out.timers.push(now + sync);
             if self.bug == Bug::PersistedTooEarly {
                 self.handle(now, Event::Persisted(number), out);
             }
@@ -175,7 +175,7 @@
                 Err(CallError::NoSession | CallError::StaleSerial) => (2, Vec::new()),
                 Err(_) => (3, Vec::new()),
             };
-            out.letters.push((to, [&[2, kind], &theirs.to_be_bytes()[..], &text].concat()));
+            out.messages.push((to, [&[2, kind], &theirs.to_be_bytes()[..], &text].concat()));
         }
         let status = self.raft.status();
         if status.role == Role::Leader {
@@ -187,7 +187,7 @@
         }
     }
 
-    fn complete_syncs(&mut self, now: Ns, out: &mut Out) {
+    fn complete_syncs(&mut self, now: Ns, out: &mut Output) {
         while self.pending.front().is_some_and(|(at, ..)| *at <= now) {
             let Some((_, number, write)) = self.pending.pop_front() else { return };
             let mut disk = self.disk.borrow_mut();
@@ -205,7 +205,7 @@
 }
 
 impl Client {
-    fn send_call(&mut self, now: Ns, out: &mut Out) {
+    fn send_call(&mut self, now: Ns, out: &mut Output) {
         let message = match self.session {
             None => vec![1, 0],
             Some(session) => {
@@ -219,9 +219,9 @@
             return self.send_call(now, out);
         }
         self.sent = self.session.is_some();
-        out.letters.push((self.to, [&message[..], &self.request.to_be_bytes()].concat()));
+        out.messages.push((self.to, [&message[..], &self.request.to_be_bytes()].concat()));
         self.next = now + 300 * MS;
-        out.wakes.push(self.next);
+        out.timers.push(self.next);
     }
 
     fn body(&self) -> Vec<u8> {
@@ -231,15 +231,15 @@
     }
 }
 
-impl Part for Participant {
-    fn begin(&mut self, now: Ns, out: &mut Out) {
+impl SimulatedProcess for Participant {
+    fn start(&mut self, now: Ns, out: &mut Output) {
         match self {
             Participant::Node(node) => node.handle(now, Event::Start, out),
             Participant::Client(client) => client.send_call(now, out),
         }
     }
 
-    fn letter(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Output) {
         match self {
             Participant::Node(node) if bytes[0] == 0 => {
                 let mut text = bytes[1..].to_vec();
@@ -305,7 +305,7 @@
         }
     }
 
-    fn woke(&mut self, now: Ns, out: &mut Out) {
+    fn wake(&mut self, now: Ns, out: &mut Output) {
         match self {
             Participant::Node(node) => {
                 node.complete_syncs(now, out);
@@ -321,7 +321,7 @@
         }
     }
 
-    fn leave(&mut self, _: Ns, _: &mut Out) {}
+    fn leave(&mut self, _: Ns, _: &mut Output) {}
 }
 
 const CLIENTS: usize = 2;
@@ -329,12 +329,12 @@
 fn generate_plan(seed: u64, nodes: usize) -> Plan {
     let mut plan = Plan::draw(
         seed,
-        Range {
-            acts: 8,
+        PlanLimits {
+            max_faults: 8,
             parts: nodes,
-            stormy: 15 * SEC,
-            longest: 5 * SEC,
-            settles: 30 * SEC,
+            fault_window: 15 * SEC,
+            max_duration: 5 * SEC,
+            settle_time: 30 * SEC,
             kills: true,
             clocks: true,
             disks: &["sync-lies"],
@@ -343,7 +343,7 @@
     // Only the first node's disk is faulty: two nodes that lose the same entries may have been all that held them.
     for act in &mut plan.acts {
         match &mut act.fault {
-            Fault::Kill { who, back } if *who > 0 => *back = Return::Same,
+            Fault::Kill { who, back } if *who > 0 => *back = RestartState::Same,
             Fault::Disk { who, .. } => *who = 0,
             _ => {}
         }
@@ -357,12 +357,12 @@
     let history: Rc<RefCell<History>> = Rc::default();
     let disks: Vec<Rc<RefCell<Disk>>> = (0..nodes).map(|_| Rc::default()).collect();
     let (faulty, clock): (Rc<Cell<bool>>, Rc<Cell<Ns>>) = Default::default();
-    let base = Way { delay: MS, jitter: 4 * MS, ..Way::default() };
-    let mut world: World<Participant> = World::new(plan.clone(), base);
+    let base = LinkConditions { delay: MS, jitter: 4 * MS, ..LinkConditions::default() };
+    let mut world: Simulation<Participant> = Simulation::new(plan.clone(), base);
     let (shared, node_disks, first_faulty, now) =
         (history.clone(), disks.clone(), faulty.clone(), clock.clone());
     let seed = plan.seed;
-    let make = move |me: usize, number: u32, back: Return| {
+    let make = move |me: usize, number: u32, back: RestartState| {
         let mut rng = StdRng::seed_from_u64(seed << 8 ^ me as u64 ^ u64::from(number) << 32);
         if me >= nodes {
             let (to, history, world) = (rng.random_range(0..nodes), shared.clone(), now.clone());
@@ -385,8 +385,8 @@
         let mut disk = node_disks[me].borrow_mut();
         disk.unsynced.clear();
         match back {
-            Return::Empty if number > 0 => disk.state = PersistentState::default(),
-            Return::Former => disk.state = disk.earlier.clone(),
+            RestartState::Empty if number > 0 => disk.state = PersistentState::default(),
+            RestartState::Former => disk.state = disk.earlier.clone(),
             _ => {}
         }
         if bug == Bug::ForgetsVote {
@@ -420,7 +420,7 @@
     let seen = history.clone();
     world.play(20 * MS, make, |world| {
         clock.set(world.now());
-        let on = |act: &&rockpick_fault_injection::Act| (act.from..act.until).contains(&world.now());
+        let on = |act: &&rockpick_fault_injection::PlannedFault| (act.from..act.until).contains(&world.now());
         faulty.set(plan.acts.iter().filter(on).any(|act| matches!(act.fault, Fault::Disk { .. })));
         if world.now() % (5 * SEC) == 0 {
             for disk in &disks {
@@ -487,7 +487,7 @@
 
 #[test]
 fn without_faults_calls_are_answered_and_applied() {
-    let plan = Plan::of(7, 3 + CLIENTS, 20 * SEC, &[]);
+    let plan = Plan::new(7, 3 + CLIENTS, 20 * SEC, &[]);
     let (answered, _) = play(&plan, Bug::None).unwrap();
     assert!(answered > 1_000, "{answered}");
 }
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/crew.rs
@@ -7,7 +7,7 @@
 use rockpick_control::Settings;
 use rockpick_fakes::record::{clock, Record};
 use rockpick_fault_injection::relay::Relay;
-use rockpick_fault_injection::{Fault, Return, Way};
+use rockpick_fault_injection::{Fault, LinkConditions, RestartState};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -196,7 +196,7 @@
     fn assemble(plan: Plan, charter: Settings, out: PathBuf) -> Result<Crew, String> {
         let say = |err: std::io::Error| err.to_string();
         let acts = Record::open(Some(&out.join("acts.jsonl"))).map_err(say)?;
-        let relay = Relay::begin(2 * plan.fronts, plan.seed).map_err(say)?;
+        let relay = Relay::start(2 * plan.fronts, plan.seed).map_err(say)?;
         let storm = plan.is_of_peers().then(|| day::storm(&plan));
         if let Some(storm) = &storm {
             std::fs::write(out.join("storm.jsonl"), storm.write()).map_err(say)?;
@@ -338,7 +338,7 @@
         let seed = (self.plan.seed.wrapping_mul(1_000) + front as u64 + self.starts * 7_919).to_string();
         self.starts += 1;
         let state = self.out.join(&name);
-        let (state, notes) = (state.to_string_lossy().into_owned(), self.relay.seats[front].to_string());
+        let (state, notes) = (state.to_string_lossy().into_owned(), self.relay.addresses[front].to_string());
         let mut args = match self.plan.faulty {
             Some(rule) => words(&[
                 "faulty",
@@ -377,7 +377,7 @@
             args.push(format!("--clock-ppm={}", day::pace(&self.plan, front)));
         }
         let company = self.storm.is_some() && !self.plan.alone;
-        let seat = |front: usize| self.relay.seats[self.plan.fronts + front].to_string();
+        let seat = |front: usize| self.relay.addresses[self.plan.fronts + front].to_string();
         if company {
             let others: Vec<String> =
                 (0..self.plan.fronts).filter(|i| *i != front).take(3).map(seat).collect();
@@ -395,10 +395,10 @@
             serde_json::from_slice::<Value>(&answer.body).ok()?[field].as_str()?.parse().ok()
         };
         if let Some(at) = told("/status", "notes") {
-            self.relay.real(front, at);
+            self.relay.set_address(front, at);
         }
         if let (true, Some(at)) = (company, told("/peers", "listen")) {
-            self.relay.real(self.plan.fronts + front, at);
+            self.relay.set_address(self.plan.fronts + front, at);
         }
         Ok(())
     }
@@ -406,18 +406,21 @@
     /// What each link between fronts does now, for notes and for peers.
     fn links(&self) {
         let fronts = self.plan.fronts;
-        let carried = Way {
+        let carried = LinkConditions {
             lost: self.carried.lost,
             doubled: self.carried.twice,
             jitter: self.carried.late_ms as i64 * 1_000_000,
-            ..Way::default()
+            ..LinkConditions::default()
         };
         for (from, to) in (0..fronts).flat_map(|a| (0..fronts).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            let parted = Way { cut: self.zones.get(from) != self.zones.get(to), ..Way::default() };
+            let parted = LinkConditions {
+                cut: self.zones.get(from) != self.zones.get(to),
+                ..LinkConditions::default()
+            };
             let storm = self.storm.as_ref().map_or(carried, |s| s.way(&self.on, from, to, carried));
             let way = storm.with(&parted);
-            self.relay.set(from, to, way);
-            self.relay.set(fronts + from, fronts + to, way);
+            self.relay.set_link(from, to, way);
+            self.relay.set_link(fronts + from, fronts + to, way);
         }
     }
 
@@ -445,7 +448,7 @@
             // Its clients would have to be told; here a front that leaves is killed.
             Fault::Leave { who } => {
                 count(&mut self.down[who]);
-                self.take_down(who, begins, Return::Same)?;
+                self.take_down(who, begins, RestartState::Same)?;
             }
             Fault::Disk { who, how } => {
                 let name = self.charter.fronts[who].name.clone();
@@ -468,7 +471,7 @@
         }
     }
 
-    fn take_down(&mut self, who: usize, begins: bool, back: Return) -> Result<(), String> {
+    fn take_down(&mut self, who: usize, begins: bool, back: RestartState) -> Result<(), String> {
         let name = self.charter.fronts[who].name.clone();
         let files = ["json", "peers.rows"].map(|kind| {
             let file = self.out.join(&name).join(format!("{name}.{kind}"));
@@ -485,9 +488,9 @@
             self.fronts[who] = None;
             for (file, former) in &files {
                 match back {
-                    Return::Empty => drop(std::fs::remove_file(file)),
-                    Return::Former => drop(std::fs::copy(former, file)),
-                    Return::Same | Return::Never => {}
+                    RestartState::Empty => drop(std::fs::remove_file(file)),
+                    RestartState::Former => drop(std::fs::copy(former, file)),
+                    RestartState::Same | RestartState::Never => {}
                 }
             }
         } else if self.down[who] == 0 && self.fronts[who].is_none() {
--- a/rehearse/src/day.rs
+++ b/rehearse/src/day.rs
@@ -2,7 +2,7 @@
 use clap::Args;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_fault_injection::plan::{Act as Deed, Plan as Storm, Range};
+use rockpick_fault_injection::plan::{Plan as Storm, PlanLimits, PlannedFault as Deed};
 use rockpick_fault_injection::SEC;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -211,13 +211,13 @@
 
 /// The storm of a day of peers: it begins with the traffic, and leaves time for a second build after it.
 pub fn storm(plan: &Plan) -> Storm {
-    let (stormy, longest) = (14 * SEC, 4 * SEC);
-    let range = Range {
-        acts: 8,
+    let (fault_window, longest) = (14 * SEC, 4 * SEC);
+    let range = PlanLimits {
+        max_faults: 8,
         parts: plan.fronts,
-        stormy,
-        longest,
-        settles: 30 * SEC,
+        fault_window,
+        max_duration: longest,
+        settle_time: 30 * SEC,
         kills: true,
         // Each front's clock has a pace of its own all day (see `pace`).
         clocks: false,
--- a/replication/tests/measurements.rs
+++ b/replication/tests/measurements.rs
@@ -1,8 +1,8 @@
 //! Measures the initial transfer in virtual time; prints the results and asserts nothing. Run with
 //! `cargo test --release -p rockpick-replication --test measurements -- --ignored --nocapture`.
-use rockpick_fault_injection::plan::Act as PlannedFault;
-use rockpick_fault_injection::virt::{Out, Part, World};
-use rockpick_fault_injection::{Fault, Plan, Return, Way};
+use rockpick_fault_injection::plan::PlannedFault;
+use rockpick_fault_injection::simulation::{Output, SimulatedProcess, Simulation};
+use rockpick_fault_injection::{Fault, LinkConditions, Plan, RestartState};
 use rockpick_replication::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,14 +15,14 @@
     completed: Rc<RefCell<Vec<(usize, Ns)>>>,
 }
 
-struct TestActions<'a>(&'a mut Out, bool);
+struct TestActions<'a>(&'a mut Output, bool);
 
 impl Actions for TestActions<'_> {
     fn send(&mut self, to: u64, bytes: &[u8]) {
-        self.0.letters.push((to as usize - 1, bytes.to_vec()));
+        self.0.messages.push((to as usize - 1, bytes.to_vec()));
     }
     fn wake_at(&mut self, at: Ns) {
-        self.0.wakes.push(at);
+        self.0.timers.push(at);
     }
     fn notify(&mut self, notice: Notice) {
         self.1 |= notice == Notice::Complete(Table::Bindings);
@@ -30,7 +30,7 @@
 }
 
 impl TestReplica {
-    fn handle(&mut self, now: Ns, event: Event, out: &mut Out) {
+    fn handle(&mut self, now: Ns, event: Event, out: &mut Output) {
         let mut actions = TestActions(out, false);
         self.replica.handle(now, event, &mut actions);
         if actions.1 {
@@ -39,8 +39,8 @@
     }
 }
 
-impl Part for TestReplica {
-    fn begin(&mut self, now: Ns, out: &mut Out) {
+impl SimulatedProcess for TestReplica {
+    fn start(&mut self, now: Ns, out: &mut Output) {
         let present: Vec<Peer> = (0..self.parts)
             .filter(|i| *i != self.me)
             .map(|i| Peer { id: i as u64 + 1, same_zone: false })
@@ -48,13 +48,13 @@
         self.handle(now, Event::Peers(&present), out);
         self.handle(now, Event::Start, out);
     }
-    fn letter(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Output) {
         self.handle(now, Event::Message { from: from as u64 + 1, bytes }, out);
     }
-    fn woke(&mut self, now: Ns, out: &mut Out) {
+    fn wake(&mut self, now: Ns, out: &mut Output) {
         self.handle(now, Event::Timer, out);
     }
-    fn leave(&mut self, _: Ns, _: &mut Out) {}
+    fn leave(&mut self, _: Ns, _: &mut Output) {}
 }
 
 fn measure(parts: usize, return_at_once: usize, keys: u64, lost: f64) {
@@ -62,15 +62,17 @@
         .map(|who| PlannedFault {
             from: SEC,
             until: 2 * SEC,
-            fault: Fault::Kill { who, back: Return::Empty },
+            fault: Fault::Kill { who, back: RestartState::Empty },
         })
         .collect();
     let plan = Plan { seed: 3, parts, length: 400 * SEC, acts: kills };
-    let mut world: World<TestReplica> =
-        World::new(plan, Way { delay: MS / 10, jitter: MS / 10, lost, ..Way::default() });
+    let mut world: Simulation<TestReplica> = Simulation::new(
+        plan,
+        LinkConditions { delay: MS / 10, jitter: MS / 10, lost, ..LinkConditions::default() },
+    );
     let completed = Rc::new(RefCell::new(Vec::new()));
     let seen = completed.clone();
-    let make = |me: usize, restarts: u32, _: Return| {
+    let make = |me: usize, restarts: u32, _: RestartState| {
         let mut replica = Replica::new(
             me as u64 + 1 + u64::from(restarts) * 1_000,
             me as u64,
@@ -86,7 +88,8 @@
         TestReplica { replica, parts, me, completed: completed.clone() }
     };
     let mut before = (0, 0);
-    let sent = |world: &World<TestReplica>| world.sent.iter().fold((0, 0), |s, (n, b)| (s.0 + n, s.1 + b));
+    let sent =
+        |world: &Simulation<TestReplica>| world.sent.iter().fold((0, 0), |s, (n, b)| (s.0 + n, s.1 + b));
     let began = std::time::Instant::now();
     let done = world.play(SEC, make, |world| {
         if world.now() <= 2 * SEC {
--- a/replication/tests/simulation.rs
+++ b/replication/tests/simulation.rs
@@ -2,9 +2,9 @@
 //! of these changes that is kept outside of the replicas.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_fault_injection::plan::{Act as PlannedFault, Range};
-use rockpick_fault_injection::virt::{Out, Part, World};
-use rockpick_fault_injection::{shrink, Fault, Plan, Return, Way};
+use rockpick_fault_injection::plan::{PlanLimits, PlannedFault};
+use rockpick_fault_injection::simulation::{Output, SimulatedProcess, Simulation};
+use rockpick_fault_injection::{shrink, Fault, LinkConditions, Plan, RestartState};
 use rockpick_replication::*;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -54,17 +54,17 @@
 }
 
 struct TestActions<'a> {
-    out: &'a mut Out,
+    out: &'a mut Output,
     notices: Vec<Notice>,
 }
 
 impl Actions for TestActions<'_> {
     fn send(&mut self, to: u64, bytes: &[u8]) {
         assert!(bytes.len() <= MAX_MESSAGE_LEN, "{} bytes", bytes.len());
-        self.out.letters.push((to as usize - 1, bytes.to_vec()));
+        self.out.messages.push((to as usize - 1, bytes.to_vec()));
     }
     fn wake_at(&mut self, at: Ns) {
-        self.out.wakes.push(at);
+        self.out.timers.push(at);
     }
     fn notify(&mut self, notice: Notice) {
         self.notices.push(notice);
@@ -75,7 +75,7 @@
 const BUILDS: u32 = 5;
 
 impl TestReplica {
-    fn handle(&mut self, now: Ns, event: Event, out: &mut Out) {
+    fn handle(&mut self, now: Ns, event: Event, out: &mut Output) {
         let mut actions = TestActions { out, notices: Vec::new() };
         self.replica.handle(now, event, &mut actions);
         let notices = actions.notices;
@@ -118,8 +118,8 @@
     }
 }
 
-impl Part for TestReplica {
-    fn begin(&mut self, now: Ns, out: &mut Out) {
+impl SimulatedProcess for TestReplica {
+    fn start(&mut self, now: Ns, out: &mut Output) {
         let present: Vec<Peer> = (0..self.parts)
             .filter(|i| *i != self.me)
             .map(|i| Peer { id: i as u64 + 1, same_zone: i % 2 == self.me % 2 })
@@ -127,10 +127,10 @@
         self.handle(now, Event::Peers(&present), out);
         self.handle(now, Event::Start, out);
         self.next = now;
-        out.wakes.push(now + 1);
+        out.timers.push(now + 1);
     }
 
-    fn letter(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Out) {
+    fn receive(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Output) {
         let mut bytes = bytes.to_vec();
         if let (Some(mut message), true) = (Message::decode(&bytes), self.bug != Bug::None) {
             match (&mut message, self.bug) {
@@ -174,25 +174,25 @@
         self.handle(now, Event::Message { from: from as u64 + 1, bytes: &bytes }, out);
     }
 
-    fn woke(&mut self, now: Ns, out: &mut Out) {
+    fn wake(&mut self, now: Ns, out: &mut Output) {
         if self.makes_changes && now >= self.next && now < self.until {
             self.make_change();
             self.next = now + 50 * MS;
-            out.wakes.push(self.next);
+            out.timers.push(self.next);
         }
         self.handle(now, Event::Timer, out);
     }
 
-    fn leave(&mut self, _: Ns, _: &mut Out) {}
+    fn leave(&mut self, _: Ns, _: &mut Output) {}
 }
 
-fn range(parts: usize) -> Range {
-    Range {
-        acts: 6,
+fn range(parts: usize) -> PlanLimits {
+    PlanLimits {
+        max_faults: 6,
         parts,
-        stormy: 15 * SEC,
-        longest: 8 * SEC,
-        settles: 60 * SEC,
+        fault_window: 15 * SEC,
+        max_duration: 8 * SEC,
+        settle_time: 60 * SEC,
         kills: true,
         clocks: true,
         disks: &[],
@@ -203,28 +203,28 @@
 
 struct RunResult {
     expected: Rc<RefCell<Expected>>,
-    world: World<TestReplica>,
+    world: Simulation<TestReplica>,
     /// Time from the last change, after all faults, until all tables were equal.
     equal: Option<Ns>,
 }
 
 fn run_with(
-    plan: &Plan, bug: Bug, mut look: impl FnMut(&World<TestReplica>, &Expected) -> Result<(), String>,
+    plan: &Plan, bug: Bug, mut look: impl FnMut(&Simulation<TestReplica>, &Expected) -> Result<(), String>,
 ) -> Result<RunResult, String> {
     let expected = Rc::new(RefCell::new(Expected::default()));
-    let base = Way { delay: MS, jitter: 2 * MS, ..Way::default() };
-    let mut world: World<TestReplica> = World::new(plan.clone(), base);
-    let stormy = plan.length - 50 * SEC;
+    let base = LinkConditions { delay: MS, jitter: 2 * MS, ..LinkConditions::default() };
+    let mut world: Simulation<TestReplica> = Simulation::new(plan.clone(), base);
+    let fault_window = plan.length - 50 * SEC;
     // Saved rows of an earlier time, by part.
     let saved_rows: Rc<RefCell<BTreeMap<usize, Rows>>> = Rc::default();
     let (shared, saved) = (expected.clone(), saved_rows.clone());
-    let make = move |me: usize, number: u32, back: Return| {
+    let make = move |me: usize, number: u32, back: RestartState| {
         let mut rng = StdRng::seed_from_u64(plan.seed << 8 ^ me as u64 ^ u64::from(number) << 32);
         let bug = if me == 0 { bug } else { Bug::None };
         let origin = if bug == Bug::ReusesOrigin { 77 } else { rng.random::<u64>() >> 1 };
         let expected_fronts = if bug == Bug::CompleteAtStart { 1 } else { plan.parts as u32 };
         let mut replica = Replica::new(origin, rng.random(), expected_fronts);
-        if back == Return::Former {
+        if back == RestartState::Former {
             for (key, row, dot) in saved.borrow().get(&me).into_iter().flatten() {
                 replica.restore(*key, *row, *dot);
             }
@@ -232,7 +232,7 @@
         if bug == Bug::ReusesOrigin {
             shared.borrow_mut().seen.remove(&origin);
         }
-        let (until, expected) = (stormy, shared.clone());
+        let (until, expected) = (fault_window, shared.clone());
         TestReplica {
             replica,
             origin,
@@ -268,7 +268,7 @@
 fn check_result(result: &RunResult) -> Result<(), String> {
     let (world, expected) = (&result.world, result.expected.borrow());
     let running: Vec<&TestReplica> =
-        (0..world.parts()).filter(|w| world.seat(*w).2).filter_map(|w| world.part(w)).collect();
+        (0..world.parts()).filter(|w| world.status(*w).2).filter_map(|w| world.part(w)).collect();
     let Some(first) = running.first() else { return Ok(()) };
     for part in &running {
         for table in TABLES {
@@ -313,7 +313,9 @@
 }
 
 /// Within one instance, a withdrawn build must never become valid again.
-fn check_withdrawals(world: &World<TestReplica>, was: &mut BTreeMap<(u64, u32), bool>) -> Result<(), String> {
+fn check_withdrawals(
+    world: &Simulation<TestReplica>, was: &mut BTreeMap<(u64, u32), bool>,
+) -> Result<(), String> {
     for part in (0..world.parts()).filter_map(|w| world.part(w)) {
         for build in 1..=BUILDS {
             let now = part.replica.is_withdrawn(build);
@@ -332,7 +334,7 @@
     let result = run_with(plan, bug, |world, _| {
         check_withdrawals(world, &mut was)?;
         // Each instance makes changes up to a time of its own clock.
-        let done = |w: usize| world.part(w).is_none_or(|p| world.seat(w).1 >= p.until);
+        let done = |w: usize| world.part(w).is_none_or(|p| world.status(w).1 >= p.until);
         if world.now() >= plan.length - 50 * SEC && quiet.is_none() && (0..world.parts()).all(done) {
             quiet = Some(world.now());
         }
@@ -343,7 +345,7 @@
         }
         let parts: Vec<&TestReplica> = (0..world.parts()).filter_map(|w| world.part(w)).collect();
         for part in &parts {
-            let (start, own, _) = world.seat(part.me);
+            let (start, own, _) = world.status(part.me);
             let fresh = start > 1 && own < 200 * MS && part.replica.is_complete(Table::Bindings);
             let empty = part.replica.store().len(Table::Bindings) == 0;
             if fresh && empty && parts.iter().any(|p| p.replica.store().len(Table::Bindings) > 10) {
@@ -387,7 +389,7 @@
     ] {
         let found = (0..40).find(|seed| {
             let mut plan = Plan::draw(*seed, range(4));
-            let kill = Fault::Kill { who: 0, back: Return::Empty };
+            let kill = Fault::Kill { who: 0, back: RestartState::Empty };
             plan.acts.push(PlannedFault { from: 6 * SEC, until: 7 * SEC + 950 * MS, fault: kill });
             run_checked(&plan, bug).is_err()
         });
@@ -397,21 +399,21 @@
 }
 
 fn plan(parts: usize, faults: &[(Ns, Ns, Fault)]) -> Plan {
-    Plan::of(9, parts, 70 * SEC, faults)
+    Plan::new(9, parts, 70 * SEC, faults)
 }
 
 #[test]
 fn replicas_all_restarted_at_once_are_complete_after_copying_from_each_other() {
     let kills: Vec<_> =
-        (0..5).map(|who| (10 * SEC, 11 * SEC, Fault::Kill { who, back: Return::Empty })).collect();
+        (0..5).map(|who| (10 * SEC, 11 * SEC, Fault::Kill { who, back: RestartState::Empty })).collect();
     run_checked(&plan(5, &kills), Bug::None).unwrap();
 }
 
 #[test]
 fn another_source_continues_a_transfer_when_the_first_is_killed() {
-    let lossy = Way { lost: 0.4, ..Way::default() };
+    let lossy = LinkConditions { lost: 0.4, ..LinkConditions::default() };
     let lossy = Fault::Links { from: vec![], to: vec![3], way: lossy };
-    let dies = |who| Fault::Kill { who, back: Return::Empty };
+    let dies = |who| Fault::Kill { who, back: RestartState::Empty };
     let faults = [
         (10 * SEC, 12 * SEC, dies(3)),
         (11 * SEC, 30 * SEC, lossy),
@@ -427,9 +429,10 @@
     let plan = plan(3, &[]);
     let corrupted = std::cell::Cell::new(false);
     let expected = Rc::new(RefCell::new(Expected::default()));
-    let mut world: World<TestReplica> = World::new(plan.clone(), Way { delay: MS, ..Way::default() });
+    let mut world: Simulation<TestReplica> =
+        Simulation::new(plan.clone(), LinkConditions { delay: MS, ..LinkConditions::default() });
     let t = expected.clone();
-    let make = |me: usize, _, _: Return| {
+    let make = |me: usize, _, _: RestartState| {
         let mut replica = Replica::new(100 + me as u64, 5 + me as u64, 3);
         // All three start with the same rows, of which the second has one corrupted.
         for key in 0..20 {
