--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -4,7 +4,7 @@
 use rockpick_emu::line::QUANTILES;
 use rockpick_emu::Line;
 use rockpick_fakes::{Arrivals, Load};
-use rockpick_loadgen::{Course, Result as Came};
+use rockpick_loadgen::{LoadTest, Result as Came};
 use rockpick_net::SEC;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -83,7 +83,7 @@
             }
         };
         let arrivals = match &self.replay {
-            None => Arrivals::read(&self.arrivals).map_err(|why| Bad2(format!("--arrivals {why}")))?,
+            None => Arrivals::parse(&self.arrivals).map_err(|why| Bad2(format!("--arrivals {why}")))?,
             Some(path) => {
                 let say = |why: String| Bad2(format!("{}: {why}", path.display()));
                 let text = std::fs::read_to_string(path).map_err(|err| say(err.to_string()))?;
@@ -96,18 +96,18 @@
             let (name, value) = parts.ok_or(Bad2(format!("--shape {shape}: NAME=NUMBER is wanted")))?;
             load.change(&json!({ name: value })).map_err(|why| Bad2(format!("--shape {why}")))?;
         }
-        let course = Course {
+        let course = LoadTest {
             fronts,
             names,
-            charter,
+            settings: charter,
             load,
             arrivals,
-            lasts: (self.seconds * SEC as f64) as i64,
+            duration: (self.seconds * SEC as f64) as i64,
             retries: self.retries,
             work_ms: self.work_ms,
             seed: self.seed,
             threads: self.threads,
-            most_open: self.most_open,
+            max_open: self.most_open,
             record: self.record,
         };
         let came = course.run().map_err(Bad2)?;
@@ -141,7 +141,7 @@
     })
 }
 
-fn show(course: &Course, came: &Came, line: &Line) -> Result<(), Bad2> {
+fn show(course: &LoadTest, came: &Came, line: &Line) -> Result<(), Bad2> {
     let t = &came.tolls;
     println!(
         "service {:.4} (utility within the soft deadline over utility asked for); {} RPCs, {} tries, {} threads",
@@ -156,7 +156,7 @@
         "method, ms", "ok", "p50", "p90", "p99", "p99.9", "most", "p99 from sent"
     );
     let ms = |us: u64| us as f64 / 1e3;
-    for (row, times) in course.charter.methods.iter().zip(&came.times) {
+    for (row, times) in course.settings.methods.iter().zip(&came.times) {
         let at = |q: f64| ms(times.due.value_at_quantile(q));
         println!(
             "{:<12} {:>9} {:>9.1} {:>9.1} {:>9.1} {:>9.1} {:>9.1} {:>14.1}",
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -20,7 +20,7 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use rockpick_control::settings::is_valid_name;
-use rockpick_fakes::{Bad, Clients, Load, Machine};
+use rockpick_fakes::{Clients, Defect, Load, Machine};
 use rockpick_net::{MS, SEC};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -581,7 +581,7 @@
             let bad = match bad {
                 None => None,
                 Some(text) => {
-                    Some(Bad::read(&text).ok_or(Bad2(format!("--bad {text}: KIND:SIZE is wanted")))?)
+                    Some(Defect::parse(&text).ok_or(Bad2(format!("--bad {text}: KIND:SIZE is wanted")))?)
                 }
             };
             if !(speed > 0.0 && speed <= 1e3 && (1..=1024).contains(&cores)) {
@@ -620,10 +620,10 @@
             let clients = Clients {
                 fronts,
                 names,
-                charter,
+                settings: charter,
                 load: Load { rate, ..Load::default() },
                 listen: listen.listen,
-                lasts: (seconds * SEC as f64) as i64,
+                duration: (seconds * SEC as f64) as i64,
                 retries,
                 work_ms,
                 disputes,
--- a/emu/src/line.rs
+++ b/emu/src/line.rs
@@ -1,7 +1,7 @@
 //! A day's result, as it is kept: a line of JSON each. Emulated days, rehearsals and load have the same lines,
 //! all drawn from what clients and machines saw.
 use rockpick_control::Settings;
-use rockpick_fakes::shop::Did;
+use rockpick_fakes::machine_model::JobEvent;
 use rockpick_rehearse::day::Act;
 use rockpick_rehearse::judge::{Evidence, Judgement, Saw};
 use serde::{Deserialize, Serialize};
@@ -79,7 +79,7 @@
         let mut newest: Vec<[f64; 2]> = Vec::new();
         let mut told = evidence.told.iter().peekable();
         let mut build = charter.first_build;
-        let mut arrived: Vec<_> = evidence.machines.iter().filter(|m| m.did == Did::Arrived).collect();
+        let mut arrived: Vec<_> = evidence.machines.iter().filter(|m| m.did == JobEvent::Arrived).collect();
         arrived.sort_by_key(|m| m.t);
         for m in arrived {
             while let Some(t) = told.next_if(|t| t.t <= m.t) {
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -10,9 +10,11 @@
 use rockpick_control::release::{Release, Running};
 use rockpick_control::roster::{Heartbeat, Order, Roster};
 use rockpick_control::Settings;
-use rockpick_fakes::crowd::{Crowd, How, Load, Next, Rpc, Tolls};
+use rockpick_fakes::client_model::{AttemptOutcome, ClientModel, ClientTotals, Load, NextStep, Rpc};
+use rockpick_fakes::machine_model::{
+    Defect, Environment, Fault, Job, JobEvent, MachineModel, MachineSettings, Reply, DELAYED,
+};
 use rockpick_fakes::schedule::Arrivals;
-use rockpick_fakes::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
 use rockpick_fault_injection::Fault as Fate;
 use rockpick_front::restart;
 use rockpick_ldap::message::{Attribute, Entry as Record};
@@ -65,7 +67,7 @@
     MachineWake(u32, u32, u64),
     Ended { front: u32, life: u32, call: u64, end: End, right: bool },
     TimeOut(u32, u32, u64),
-    Answer(u64, How, Ns),
+    Answer(u64, AttemptOutcome, Ns),
     GiveUp(u64),
     Gone(u32, u32, u64),
     Left(u32, u32, u64),
@@ -134,7 +136,7 @@
     build: u32,
     /// Differs with every start.
     run: u32,
-    shop: Option<Shop<Tag>>,
+    shop: Option<MachineModel<Tag>>,
     /// Silent: takes picks, answers none, beats no more.
     silent: bool,
     leaving: bool,
@@ -202,7 +204,7 @@
 /// A fleet and its day.
 pub struct World {
     pub charter: Settings,
-    pub crowd: Crowd,
+    pub crowd: ClientModel,
     now: Ns,
     heap: BinaryHeap<Reverse<Entry>>,
     serial: u64,
@@ -227,7 +229,7 @@
     bucket: f64,
     bucket_at: Ns,
     controller_still: Ns,
-    bad: BTreeMap<u32, Bad>,
+    bad: BTreeMap<u32, Defect>,
     shared: f64,
     carried: Carried,
     parted: bool,
@@ -255,7 +257,7 @@
 
 /// What came of a day.
 pub struct Outcome {
-    pub tolls: Tolls,
+    pub tolls: ClientTotals,
     pub evidence: Evidence,
     pub events: u64,
     pub virtual_seconds: f64,
@@ -280,8 +282,8 @@
     fell: Option<(f64, f64, Ns)>,
 }
 
-impl Yard<Tag> for Street<'_> {
-    fn say(&mut self, did: Did, tag: &Tag) {
+impl Environment<Tag> for Street<'_> {
+    fn say(&mut self, did: JobEvent, tag: &Tag) {
         if let Some(lines) = &mut self.lines {
             lines.push(MachineLine {
                 t: self.now,
@@ -332,7 +334,7 @@
             return Err(format!("{}: {}", wrong.field, wrong.why));
         }
         let fronts = charter.fronts.len();
-        let crowd = Crowd::new(charter.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
+        let crowd = ClientModel::new(charter.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
         let release = Release::new(&charter);
         let mut world = World {
             crowd,
@@ -438,7 +440,7 @@
         }
         self.evidence.names = self.machines.iter().map(|m| (m.name.clone(), Some(m.place))).collect();
         Outcome {
-            tolls: self.crowd.tolls.clone(),
+            tolls: self.crowd.totals.clone(),
             evidence: self.evidence,
             events: self.events,
             virtual_seconds: self.now as f64 / SEC as f64,
@@ -479,8 +481,8 @@
             Ev::Wake(front, life, tag) => self.call(front, life, |f, ctl| f.timer_fired(ctl, tag)),
             Ev::PickArrives { front, call, machine, run } => self.pick_arrives(front, call, machine, run),
             Ev::MachineWake(machine, run, serial) => self.shop(machine, run, |shop, now, street| {
-                if serial & HELD != 0 {
-                    shop.held_over(street, serial)
+                if serial & DELAYED != 0 {
+                    shop.send_delayed(street, serial)
                 } else {
                     shop.done(now, street, serial)
                 }
@@ -576,7 +578,7 @@
             return;
         }
         let rpc = self.crowd.arrive();
-        let (utility, firm) = (self.crowd.row(&rpc).utility, rpc.tenant % 3);
+        let (utility, firm) = (self.crowd.method(&rpc).utility, rpc.tenant % 3);
         self.firms[firm][0] += utility;
         let second = ((self.now - SEC) / SEC).max(0) as usize;
         self.firm_seconds.resize(self.firm_seconds.len().max(second + 1), [[0.0; 2]; 3]);
@@ -589,16 +591,16 @@
     }
 
     fn send(&mut self, mut rpc: Rpc) {
-        let Some(sending) = self.crowd.begin(self.now, &mut rpc) else { return };
+        let Some(sending) = self.crowd.start_attempt(self.now, &mut rpc) else { return };
         let front = rpc.front as u32;
         self.line(&rpc, front, Saw::Sent { leaves: rpc.leave }, false);
         self.attempts += 1;
         let id = self.attempts;
         let life = self.seats[front as usize].life;
-        let (told, gives_up, look) = (sending.told, sending.gives_up, sending.look);
+        let (told, gives_up, look) = (sending.stated_deadline, sending.give_up_at, sending.check_at);
         let wire = self.jitter(self.wires.client);
         if self.seats[front as usize].front.is_none() {
-            self.at(self.now + 2 * wire, Ev::Answer(id, How::Unreachable, -1));
+            self.at(self.now + 2 * wire, Ev::Answer(id, AttemptOutcome::Unreachable, -1));
         } else {
             self.at(self.now + wire, Ev::Take(front, id));
             self.at(look, Ev::GiveUp(id));
@@ -606,19 +608,21 @@
         self.tries.insert(id, Try { rpc, front, life, told, gives_up, look });
     }
 
-    fn answered(&mut self, attempt: u64, how: How, wait: Ns) {
+    fn answered(&mut self, attempt: u64, how: AttemptOutcome, wait: Ns) {
         let Some(t) = self.tries.remove(&attempt) else { return };
         let saw = match how {
-            How::Ok { right } => Saw::Ok { right },
-            How::PushedBack => Saw::PushedBack,
-            How::Aborted => Saw::Aborted,
-            How::NotTaken => Saw::NotTaken,
-            How::Unreachable => Saw::Unreachable,
-            How::Broken => Saw::Broken,
-            How::GaveUp => Saw::GaveUp,
+            AttemptOutcome::Ok { right } => Saw::Ok { right },
+            AttemptOutcome::PushedBack => Saw::PushedBack,
+            AttemptOutcome::Aborted => Saw::Aborted,
+            AttemptOutcome::NotTaken => Saw::NotTaken,
+            AttemptOutcome::Unreachable => Saw::Unreachable,
+            AttemptOutcome::Broken => Saw::Broken,
+            AttemptOutcome::GaveUp => Saw::GaveUp,
         };
-        let row = self.crowd.row(&t.rpc);
-        if how == (How::Ok { right: true }) && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS {
+        let row = self.crowd.method(&t.rpc);
+        if how == (AttemptOutcome::Ok { right: true })
+            && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS
+        {
             let (utility, firm) = (row.utility, t.rpc.tenant % 3);
             self.firms[firm][1] += utility;
             let second = ((t.rpc.began - SEC) / SEC).max(0) as usize;
@@ -630,11 +634,11 @@
         self.after(t.rpc, how, (wait >= 0).then_some(wait));
     }
 
-    fn after(&mut self, rpc: Rpc, how: How, wait: Option<Ns>) {
-        match self.crowd.after(self.now, rpc, how, wait) {
-            Next::Over => {}
-            Next::At(at, rpc) if at <= self.now => self.send(rpc),
-            Next::At(at, rpc) => {
+    fn after(&mut self, rpc: Rpc, how: AttemptOutcome, wait: Option<Ns>) {
+        match self.crowd.attempt_ended(self.now, rpc, how, wait) {
+            NextStep::Done => {}
+            NextStep::RetryAt(at, rpc) if at <= self.now => self.send(rpc),
+            NextStep::RetryAt(at, rpc) => {
                 self.attempts += 1;
                 self.waiting.insert(self.attempts, rpc);
                 self.at(at, Ev::Again(self.attempts));
@@ -647,7 +651,7 @@
         self.line(&t.rpc, t.front, Saw::GaveUp, false);
         let wire = self.jitter(self.wires.client);
         self.at(self.now + wire, Ev::Gone(t.front, t.life, attempt));
-        self.after(t.rpc, How::GaveUp, None);
+        self.after(t.rpc, AttemptOutcome::GaveUp, None);
     }
 
     // ---- fronts
@@ -704,8 +708,8 @@
                         self.at(self.now, Ev::Ended { front, life, call, end: End::Cancelled, right: false });
                     }
                 }
-                Do::PushBack(rpc, wait) => self.answer(front, rpc, How::PushedBack, wait),
-                Do::Abort(rpc) => self.answer(front, rpc, How::Aborted, -1),
+                Do::PushBack(rpc, wait) => self.answer(front, rpc, AttemptOutcome::PushedBack, wait),
+                Do::Abort(rpc) => self.answer(front, rpc, AttemptOutcome::Aborted, -1),
                 Do::Wake(at, tag) => self.at(at, Ev::Wake(front, life, tag)),
                 Do::Tell(peer, note) => {
                     let note = Rc::new(note);
@@ -770,12 +774,12 @@
         let in_time = restart::can_answer_in_time(t.told - self.now, margin);
         let seat = &mut self.seats[front as usize];
         if seat.life != t.life || seat.front.is_none() {
-            return self.answered(attempt, How::Unreachable, -1);
+            return self.answered(attempt, AttemptOutcome::Unreachable, -1);
         }
         let (method, key, firm) = (t.rpc.method, t.rpc.key, t.rpc.tenant as u32);
         if !in_time {
             let wire = self.jitter(self.wires.client);
-            return self.at(self.now + wire, Ev::Answer(attempt, How::PushedBack, SEC / 4));
+            return self.at(self.now + wire, Ev::Answer(attempt, AttemptOutcome::PushedBack, SEC / 4));
         }
         let (gives_up, life, now) = (t.told, seat.life, self.now);
         let mut tenant = None;
@@ -784,7 +788,7 @@
                 Ok(id) => tenant = Some(id),
                 Err(wait) => {
                     let wire = self.jitter(self.wires.client);
-                    return self.at(self.now + wire, Ev::Answer(attempt, How::PushedBack, wait));
+                    return self.at(self.now + wire, Ev::Answer(attempt, AttemptOutcome::PushedBack, wait));
                 }
             }
         }
@@ -828,20 +832,20 @@
         let up: Vec<usize> = seat.roster.iter().filter(|m| m.state == State::Up).map(|m| m.machine).collect();
         let left = seat.open[rpc].as_ref().map_or(0, |o| o.gives_up - margin - self.now);
         if up.is_empty() || left <= 0 {
-            return self.answer(front, rpc, How::Aborted, -1);
+            return self.answer(front, rpc, AttemptOutcome::Aborted, -1);
         }
         seat.turn += 1;
         let machine = up[(seat.turn + front as usize) % up.len()];
         self.pick(front, rpc, machine, left);
     }
 
-    fn answer(&mut self, front: u32, rpc: usize, how: How, wait: Ns) {
+    fn answer(&mut self, front: u32, rpc: usize, how: AttemptOutcome, wait: Ns) {
         let seat = &mut self.seats[front as usize];
         let Some(open) = seat.open[rpc].as_ref().filter(|_| !seat.door.finished(rpc)) else { return };
         let (attempt, tenant) = (open.attempt, open.tenant);
         let served = match how {
-            How::Ok { .. } => Some(true),
-            How::PushedBack => Some(false),
+            AttemptOutcome::Ok { .. } => Some(true),
+            AttemptOutcome::PushedBack => Some(false),
             _ => None,
         };
         if let (Some(limits), Some(tenant), Some(served)) = (&mut seat.limits, tenant, served) {
@@ -874,7 +878,7 @@
             *count = [count[0] + 1, count[1] + u32::from(end != End::Ok)];
         }
         if end == End::Ok {
-            self.answer(front, rpc, How::Ok { right }, -1);
+            self.answer(front, rpc, AttemptOutcome::Ok { right }, -1);
         }
         let last = self.seats[front as usize].door.finished(rpc);
         self.call(front, life, |f, ctl| f.pick_ended(ctl, rpc, number, end, took, last));
@@ -882,7 +886,7 @@
             if number < PLAIN_REPEATS {
                 self.plain_pick(front, rpc)
             } else {
-                self.answer(front, rpc, How::Aborted, -1)
+                self.answer(front, rpc, AttemptOutcome::Aborted, -1)
             }
         }
         self.sweep(front, rpc);
@@ -938,7 +942,7 @@
 
     // ---- machines
 
-    fn shop(&mut self, machine: u32, run: u32, act: impl FnOnce(&mut Shop<Tag>, Ns, &mut Street)) {
+    fn shop(&mut self, machine: u32, run: u32, act: impl FnOnce(&mut MachineModel<Tag>, Ns, &mut Street)) {
         let now = self.now;
         let m = &mut self.machines[machine as usize];
         if m.run != run || m.silent {
@@ -1001,10 +1005,10 @@
         }
         let name = &self.charter.fronts[front as usize].name;
         let Some(shop) = &m.shop else { return };
-        if shop.fault.cuts(name) {
+        if shop.fault.is_partitioned_from(name) {
             return; // the pick's time-out tells
         }
-        let met = shop.fault.meets(name);
+        let met = shop.fault.affects(name);
         // Connections are bounded: one for each RPC that it holds.
         let crowded = shop.fault.connections.is_some_and(|most| shop.busy + shop.waiting() >= most);
         if crowded {
@@ -1039,7 +1043,7 @@
         let g = &self.charter.guard;
         let p = &self.charter.places[place];
         let warm = !self.cold;
-        let kind = Kind {
+        let kind = MachineSettings {
             cores: p.weight.round().max(1.0) as usize,
             speed: 1.0,
             bad: self.bad.get(&build).copied(),
@@ -1054,7 +1058,7 @@
         if m.shop.is_some() {
             return;
         }
-        let mut shop = Shop::new(kind, born, seed);
+        let mut shop = MachineModel::new(kind, born, seed);
         if let Some(fault) = &self.fault_all {
             shop.fault = fault.clone();
         }
@@ -1278,9 +1282,9 @@
         let now = self.now;
         match act {
             Act::Offer { build, bad } => {
-                if let Some(bad) = bad.as_deref().and_then(Bad::read) {
+                if let Some(bad) = bad.as_deref().and_then(Defect::parse) {
                     self.bad.insert(*build, bad);
-                    if let Bad::Shared(size) = bad {
+                    if let Defect::Shared(size) = bad {
                         self.shared = size;
                     }
                 }
@@ -1311,7 +1315,7 @@
                 open.sort_unstable();
                 for attempt in open {
                     let wire = self.jitter(self.wires.client);
-                    self.at(now + wire, Ev::Answer(attempt, How::Broken, -1));
+                    self.at(now + wire, Ev::Answer(attempt, AttemptOutcome::Broken, -1));
                 }
                 let mut calls: Vec<(u64, u32)> = (self.picks.iter())
                     .filter(|(_, p)| p.0 == *front as u32)
@@ -1349,7 +1353,7 @@
                 }
             }
             Act::Fault { share, fault } => {
-                let Ok(fault) = Fault::read(fault) else { return };
+                let Ok(fault) = Fault::parse(fault) else { return };
                 let up = self.running();
                 let many = (share * up.len() as f64).ceil() as usize;
                 for m in up.into_iter().take(many) {
--- a/fakes/src/client.rs
+++ b/fakes/src/client.rs
@@ -1,6 +1,6 @@
-//! Stand-in clients as a process: [`crate::crowd`] behind sockets, with disputes, and a record of every try
+//! Stand-in clients as a process: [`crate::client_model`] behind sockets, with disputes, and a record of every try
 //! and its answer.
-use crate::crowd::{Crowd, How, Load, Next, Rpc, Tolls, GRACE};
+use crate::client_model::{AttemptOutcome, ClientModel, ClientTotals, Load, NextStep, Rpc, ANSWER_GRACE};
 use crate::record::Record;
 use crate::schedule::Arrivals;
 use hdrhistogram::Histogram;
@@ -22,10 +22,10 @@
 pub struct Clients {
     pub fronts: Vec<SocketAddr>,
     pub names: Vec<String>,
-    pub charter: Settings,
+    pub settings: Settings,
     pub load: Load,
     pub listen: SocketAddr,
-    pub lasts: Ns,
+    pub duration: Ns,
     /// Tries after the first; waits before them are drawn.
     pub retries: u32,
     /// Mean work of an RPC, in ms.
@@ -44,7 +44,7 @@
 struct Process {
     net: Net,
     clients: Clients,
-    crowd: Crowd,
+    crowd: ClientModel,
     record: Record,
     tries: HashMap<Id, Try>,
     waiting: BTreeMap<u64, Rpc>,
@@ -55,7 +55,9 @@
 }
 
 /// A try as it goes over the wire: its RPC's name and the request. `left`: the time that the front is told.
-pub fn ask(row: &MethodSettings, rpc: &Rpc, seed: u64, left: Ns, to: SocketAddr) -> (String, Vec<u8>) {
+pub fn encode_attempt(
+    row: &MethodSettings, rpc: &Rpc, seed: u64, left: Ns, to: SocketAddr,
+) -> (String, Vec<u8>) {
     let id = format!("{seed}-{}", rpc.id);
     let (key, left) = (rpc.key.to_string(), (left as f64 / MS as f64).to_string());
     let (work, attempt) = (format!("{:.3}", rpc.work_ms), rpc.tries.to_string());
@@ -100,12 +102,12 @@
 }
 
 /// What an answer says, and when to return if it tells that.
-pub fn heard(r: &Response, right: bool) -> (How, Option<Ns>) {
+pub fn parse_answer(r: &Response, right: bool) -> (AttemptOutcome, Option<Ns>) {
     let how = match r.headers.get("rockpick-answer") {
-        Some("ok") => How::Ok { right },
-        Some("pushed-back") => How::PushedBack,
-        Some("aborted") => How::Aborted,
-        _ => How::NotTaken,
+        Some("ok") => AttemptOutcome::Ok { right },
+        Some("pushed-back") => AttemptOutcome::PushedBack,
+        Some("aborted") => AttemptOutcome::Aborted,
+        _ => AttemptOutcome::NotTaken,
     };
     let wait = r.headers.get("rockpick-retry-after-ms").and_then(|v| v.parse::<i64>().ok());
     // An hour at most: nothing waits longer.
@@ -122,7 +124,7 @@
     ///
     /// # Errors
     /// Sockets or the record that can't be had.
-    pub fn run(self, ready: impl FnOnce(SocketAddr)) -> Result<(Tolls, Histogram<u64>), String> {
+    pub fn run(self, ready: impl FnOnce(SocketAddr)) -> Result<(ClientTotals, Histogram<u64>), String> {
         let say = |err: std::io::Error| err.to_string();
         let mut net = Net::new(64).map_err(say)?;
         for signal in [15, 2] {
@@ -131,9 +133,16 @@
         let (_, at) = net.listen(self.listen).map_err(say)?;
         ready(at);
         let record = Record::open(self.record.as_deref()).map_err(say)?;
-        let (charter, load, fronts) = (self.charter.clone(), self.load.clone(), self.fronts.len());
-        let crowd =
-            Crowd::new(charter, load, Arrivals::Poisson, fronts, self.retries, self.work_ms, self.seed)?;
+        let (settings, load, fronts) = (self.settings.clone(), self.load.clone(), self.fronts.len());
+        let crowd = ClientModel::new(
+            settings,
+            load,
+            Arrivals::Poisson,
+            fronts,
+            self.retries,
+            self.work_ms,
+            self.seed,
+        )?;
         let process = Process {
             net,
             crowd,
@@ -151,8 +160,8 @@
 }
 
 impl Process {
-    fn work(mut self) -> Result<(Tolls, Histogram<u64>), String> {
-        let ends = self.clients.lasts;
+    fn work(mut self) -> Result<(ClientTotals, Histogram<u64>), String> {
+        let ends = self.clients.duration;
         self.net.wake_at(0, ARRIVE);
         let mut events = Vec::new();
         loop {
@@ -183,11 +192,11 @@
                 }
             }
             if self.done && self.tries.is_empty() && self.waiting.is_empty() && self.disputes.is_empty() {
-                self.crowd.tolls.stray = self.net.unexpected_data;
-                self.record.put(
-                    json!({ "event": "end", "stray": self.net.unexpected_data, "not_sent": self.crowd.tolls.not_sent }),
+                self.crowd.totals.stray = self.net.unexpected_data;
+                self.record.write(
+                    json!({ "event": "end", "stray": self.net.unexpected_data, "not_sent": self.crowd.totals.not_sent }),
                 );
-                return Ok((self.crowd.tolls, self.crowd.times));
+                return Ok((self.crowd.totals, self.crowd.times));
             }
         }
     }
@@ -198,7 +207,7 @@
         while self.crowd.schedule.due <= now && !self.done {
             let rpc = self.crowd.arrive();
             if self.tries.len() + self.waiting.len() >= MOST_OPEN {
-                self.crowd.tolls.not_sent += 1;
+                self.crowd.totals.not_sent += 1;
                 continue;
             }
             self.send(rpc);
@@ -210,17 +219,17 @@
 
     fn send(&mut self, mut rpc: Rpc) {
         let now = self.net.now();
-        let Some(sending) = self.crowd.begin(now, &mut rpc) else { return };
-        let (gives_up, told) = (sending.gives_up, sending.told);
+        let Some(sending) = self.crowd.start_attempt(now, &mut rpc) else { return };
+        let (gives_up, told) = (sending.give_up_at, sending.stated_deadline);
         let to = self.clients.fronts[rpc.front];
-        let row = self.crowd.row(&rpc);
-        let (id, request) = ask(row, &rpc, self.clients.seed, told - now, to);
+        let row = self.crowd.method(&rpc);
+        let (id, request) = encode_attempt(row, &rpc, self.clients.seed, told - now, to);
         let connect_within = CONNECT.min(gives_up - now);
         let call = Call { to, request: &request, connect_within, stream: false, head_only: false };
         let call = self.net.call(&mut self.made, call);
-        let (row, front) = (self.crowd.row(&rpc), &self.clients.names[rpc.front]);
-        self.record.put(sent_line(row, &rpc, &id, front, gives_up - now));
-        self.net.wake_at(sending.look, GIVE_UP | (call & (GIVE_UP - 1)));
+        let (row, front) = (self.crowd.method(&rpc), &self.clients.names[rpc.front]);
+        self.record.write(sent_line(row, &rpc, &id, front, gives_up - now));
+        self.net.wake_at(sending.check_at, GIVE_UP | (call & (GIVE_UP - 1)));
         self.tries.insert(call & (GIVE_UP - 1), Try { rpc, sent: now, gives_up });
     }
 
@@ -229,15 +238,15 @@
         // Its upper bits were cut for the tag: generations stay far below them.
         self.net.cancel(call);
         self.say(&t, json!({ "event": "gave up" }));
-        self.after(t.rpc, How::GaveUp, None);
+        self.after(t.rpc, AttemptOutcome::GaveUp, None);
     }
 
-    fn after(&mut self, rpc: Rpc, how: How, wait: Option<Ns>) {
+    fn after(&mut self, rpc: Rpc, how: AttemptOutcome, wait: Option<Ns>) {
         let now = self.net.now();
-        match self.crowd.after(now, rpc, how, wait) {
-            Next::Over => {}
-            Next::At(at, rpc) if at <= now => self.send(rpc),
-            Next::At(at, rpc) => {
+        match self.crowd.attempt_ended(now, rpc, how, wait) {
+            NextStep::Done => {}
+            NextStep::RetryAt(at, rpc) if at <= now => self.send(rpc),
+            NextStep::RetryAt(at, rpc) => {
                 self.serial += 1;
                 self.waiting.insert(self.serial, rpc);
                 self.net.wake_at(at, AGAIN | self.serial);
@@ -246,9 +255,9 @@
     }
 
     fn say(&mut self, t: &Try, line: Value) {
-        let (now, row, front) = (self.net.now(), self.crowd.row(&t.rpc), &self.clients.names[t.rpc.front]);
-        let (took, late) = (now - t.sent, now > t.gives_up + GRACE);
-        self.record.put(end_line(line, row, &t.rpc, self.clients.seed, front, took, late));
+        let (now, row, front) = (self.net.now(), self.crowd.method(&t.rpc), &self.clients.names[t.rpc.front]);
+        let (took, late) = (now - t.sent, now > t.gives_up + ANSWER_GRACE);
+        self.record.write(end_line(line, row, &t.rpc, self.clients.seed, front, took, late));
     }
 
     fn ended(&mut self, call: Id, end: CallEnd) {
@@ -257,11 +266,11 @@
             CallEnd::Answer(r) => self.answered(t, r),
             CallEnd::Unreachable | CallEnd::Unsent => {
                 self.say(&t, json!({ "event": "not taken" }));
-                self.after(t.rpc, How::Unreachable, None);
+                self.after(t.rpc, AttemptOutcome::Unreachable, None);
             }
             CallEnd::Broken(why) => {
                 self.say(&t, json!({ "event": "broken", "why": why }));
-                self.after(t.rpc, How::Broken, None);
+                self.after(t.rpc, AttemptOutcome::Broken, None);
             }
         }
     }
@@ -277,12 +286,14 @@
             json!({ "event": "answer", "answer": answer, "status": r.status, "build": build,
                 "machine": said["machine"], "right": right }),
         );
-        let (how, wait) = heard(&r, right);
-        if how == (How::Ok { right: false }) && self.crowd.chance.random::<f64>() < self.clients.disputes {
+        let (how, wait) = parse_answer(&r, right);
+        if how == (AttemptOutcome::Ok { right: false })
+            && self.crowd.rng.random::<f64>() < self.clients.disputes
+        {
             self.serial += 1;
             let machine = said["machine"].as_str().unwrap_or("").to_string();
             self.disputes.insert(self.serial, (t.rpc.front, machine, t.sent));
-            let wait = self.crowd.chance.random_range(SEC / 2..2 * SEC);
+            let wait = self.crowd.rng.random_range(SEC / 2..2 * SEC);
             self.net.wake_at(now + wait, DISPUTE | self.serial);
         }
         self.after(t.rpc, how, wait);
--- a/fakes/src/crowd.rs
+++ b/fakes/src/client_model.rs
@@ -12,7 +12,7 @@
 
 /// An answer that is here within this after the client's deadline still counts: what its own scheduling may
 /// cost (the bench grants fronts the same).
-pub const GRACE: Ns = 20 * MS;
+pub const ANSWER_GRACE: Ns = 20 * MS;
 /// Keeps what clients do later apart from what they send first; any number will do.
 const AGAIN: u64 = 0xa6a1;
 /// A wait after a pushback that names none.
@@ -95,7 +95,7 @@
 
 /// What came of it all.
 #[derive(Clone, Debug, Default)]
-pub struct Tolls {
+pub struct ClientTotals {
     pub asked: f64,
     pub served: f64,
     pub rpcs: u64,
@@ -126,7 +126,7 @@
 
 /// How a try ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum AttemptOutcome {
     Ok {
         right: bool,
     },
@@ -142,119 +142,124 @@
 
 /// A try that is to be sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending {
-    pub gives_up: Ns,
+pub struct Attempt {
+    pub give_up_at: Ns,
     /// The deadline that the front is told.
-    pub told: Ns,
+    pub stated_deadline: Ns,
     /// When to look whether it must be given up.
-    pub look: Ns,
+    pub check_at: Ns,
 }
 
 /// What becomes of an RPC after a try.
-pub enum Next {
-    Over,
-    At(Ns, Rpc),
+pub enum NextStep {
+    Done,
+    RetryAt(Ns, Rpc),
 }
 
-pub struct Crowd {
-    pub charter: Settings,
+pub struct ClientModel {
+    pub settings: Settings,
     pub schedule: Schedule,
     pub fronts: usize,
     pub retries: u32,
     /// Of what clients do later: waits, disputes. What they send first is the schedule's alone.
-    pub chance: StdRng,
-    pub tolls: Tolls,
+    pub rng: StdRng,
+    pub totals: ClientTotals,
     pub times: Histogram<u64>,
 }
 
-impl Crowd {
+impl ClientModel {
     /// # Errors
     /// None in practice: the histogram's bounds are fixed.
     pub fn new(
-        charter: Settings, load: Load, arrivals: Arrivals, fronts: usize, retries: u32, work_ms: f64,
+        settings: Settings, load: Load, arrivals: Arrivals, fronts: usize, retries: u32, work_ms: f64,
         seed: u64,
-    ) -> Result<Crowd, String> {
-        Ok(Crowd {
-            schedule: Schedule::new(charter.clone(), load, arrivals, fronts, work_ms, seed),
-            charter,
+    ) -> Result<ClientModel, String> {
+        Ok(ClientModel {
+            schedule: Schedule::new(settings.clone(), load, arrivals, fronts, work_ms, seed),
+            settings,
             fronts,
             retries,
-            chance: StdRng::seed_from_u64(seed ^ AGAIN),
-            tolls: Tolls::default(),
+            rng: StdRng::seed_from_u64(seed ^ AGAIN),
+            totals: ClientTotals::default(),
             times: Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string())?,
         })
     }
 
-    pub fn row(&self, rpc: &Rpc) -> &MethodSettings {
-        &self.charter.methods[rpc.method]
+    pub fn method(&self, rpc: &Rpc) -> &MethodSettings {
+        &self.settings.methods[rpc.method]
     }
 
     /// The RPC that is due, counted as asked for.
     pub fn arrive(&mut self) -> Rpc {
         let rpc = self.schedule.arrive();
-        self.ask(&rpc);
+        self.count_asked(&rpc);
         rpc
     }
 
     /// Counts an RPC as asked for.
-    pub fn ask(&mut self, rpc: &Rpc) {
-        self.tolls.rpcs += 1;
-        self.tolls.asked += self.charter.methods[rpc.method].utility;
+    pub fn count_asked(&mut self, rpc: &Rpc) {
+        self.totals.rpcs += 1;
+        self.totals.asked += self.settings.methods[rpc.method].utility;
     }
 
     /// A try of an RPC; none when its time is over, and with it the RPC.
-    pub fn begin(&mut self, now: Ns, rpc: &mut Rpc) -> Option<Sending> {
-        let gives_up = rpc.deadline.min(now + rpc.patience);
-        if gives_up <= now + MS {
-            self.over(How::GaveUp);
+    pub fn start_attempt(&mut self, now: Ns, rpc: &mut Rpc) -> Option<Attempt> {
+        let give_up_at = rpc.deadline.min(now + rpc.patience);
+        if give_up_at <= now + MS {
+            self.over(AttemptOutcome::GaveUp);
             return None;
         }
         rpc.tries += 1;
         // Those who leave early say nothing of it; the others tell what time they have.
-        let told = if rpc.leave { rpc.deadline } else { gives_up };
-        let look = gives_up + if rpc.leave { 0 } else { GRACE };
-        Some(Sending { gives_up, told, look })
+        let stated_deadline = if rpc.leave { rpc.deadline } else { give_up_at };
+        let check_at = give_up_at + if rpc.leave { 0 } else { ANSWER_GRACE };
+        Some(Attempt { give_up_at, stated_deadline, check_at })
     }
 
     /// A try has ended; `wait`: when to return, if that was told.
-    pub fn after(&mut self, now: Ns, mut rpc: Rpc, how: How, wait: Option<Ns>) -> Next {
-        if let How::Ok { right } = how {
+    pub fn attempt_ended(
+        &mut self, now: Ns, mut rpc: Rpc, how: AttemptOutcome, wait: Option<Ns>,
+    ) -> NextStep {
+        if let AttemptOutcome::Ok { right } = how {
             let took = now - rpc.began;
-            let row = self.row(&rpc);
+            let row = self.method(&rpc);
             let (soft, utility) = (row.soft_deadline_ms as Ns * MS, row.utility);
             let _ = self.times.record((took / 1_000).max(1) as u64);
-            self.tolls.ok += 1;
+            self.totals.ok += 1;
             if took > soft {
-                self.tolls.late += 1;
+                self.totals.late += 1;
             } else if right {
-                self.tolls.served += utility;
+                self.totals.served += utility;
             }
-            return Next::Over;
+            return NextStep::Done;
         }
         if rpc.tries > self.retries || !self.may_again(now, &rpc, how) {
             self.over(how);
-            return Next::Over;
+            return NextStep::Done;
         }
-        if how == How::GaveUp && rpc.leave {
+        if how == AttemptOutcome::GaveUp && rpc.leave {
             rpc.patience *= 2;
-            return Next::At(now, rpc);
+            return NextStep::RetryAt(now, rpc);
         }
-        let spread = self.chance.random_range(0..WAIT);
+        let spread = self.rng.random_range(0..WAIT);
         let at = now + wait.unwrap_or(WAIT) + spread;
         if at >= rpc.deadline {
             self.over(how);
-            return Next::Over;
+            return NextStep::Done;
         }
-        if matches!(how, How::Unreachable | How::Broken) {
-            rpc.front = self.chance.random_range(0..self.fronts);
+        if matches!(how, AttemptOutcome::Unreachable | AttemptOutcome::Broken) {
+            rpc.front = self.rng.random_range(0..self.fronts);
         }
-        Next::At(at, rpc)
+        NextStep::RetryAt(at, rpc)
     }
 
     /// May the client send it again after this? As its method and what it was told allow.
-    fn may_again(&self, now: Ns, rpc: &Rpc, how: How) -> bool {
-        let row = self.row(rpc);
-        let harmless = matches!(how, How::PushedBack | How::Unreachable | How::NotTaken);
+    fn may_again(&self, now: Ns, rpc: &Rpc, how: AttemptOutcome) -> bool {
+        let row = self.method(rpc);
+        let harmless = matches!(
+            how,
+            AttemptOutcome::PushedBack | AttemptOutcome::Unreachable | AttemptOutcome::NotTaken
+        );
         match row.repeat {
             RepeatKind::Idempotent => true,
             RepeatKind::Tokened => {
@@ -264,11 +269,11 @@
         }
     }
 
-    fn over(&mut self, how: How) {
+    fn over(&mut self, how: AttemptOutcome) {
         match how {
-            How::PushedBack | How::NotTaken => self.tolls.pushed_back += 1,
-            How::Aborted => self.tolls.aborted += 1,
-            _ => self.tolls.unanswered += 1,
+            AttemptOutcome::PushedBack | AttemptOutcome::NotTaken => self.totals.pushed_back += 1,
+            AttemptOutcome::Aborted => self.totals.aborted += 1,
+            _ => self.totals.unanswered += 1,
         }
     }
 }
--- a/fakes/src/directory.rs
+++ b/fakes/src/directory.rs
@@ -59,7 +59,7 @@
 }
 
 impl Fault {
-    fn read(json: &Value) -> Result<Fault, String> {
+    fn parse(json: &Value) -> Result<Fault, String> {
         let mut fault = Fault::default();
         for (name, value) in json.as_object().ok_or("an object is wanted")? {
             let on = value.as_bool().ok_or(format!("{name}: true or false is wanted"));
@@ -678,7 +678,7 @@
     fn control(&mut self, conn: Id, request: &Request) {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
         let answer = match (request.method.as_str(), request.path()) {
-            ("POST", "/fault") => Fault::read(&body).map(|fault| {
+            ("POST", "/fault") => Fault::parse(&body).map(|fault| {
                 self.fault = fault;
                 if self.fault.reset {
                     let conns: Vec<Id> = self.peers.keys().copied().collect();
--- a/fakes/src/machine.rs
+++ b/fakes/src/machine.rs
@@ -1,7 +1,9 @@
-//! A stand-in machine as a process: [`crate::shop`] behind sockets, with faults by call, and a record of what
+//! A stand-in machine as a process: [`crate::machine_model`] behind sockets, with faults by call, and a record of what
 //! arrived and what ran.
+use crate::machine_model::{
+    Defect, Environment, Fault, Job, JobEvent, MachineModel, MachineSettings, Reply, DELAYED,
+};
 use crate::record::Record;
-use crate::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
 use rockpick_net::http::{self, Request};
 use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::{json, Value};
@@ -26,7 +28,7 @@
     pub controller: SocketAddr,
     pub cores: usize,
     pub speed: f64,
-    pub bad: Option<Bad>,
+    pub bad: Option<Defect>,
     pub record: Option<PathBuf>,
     pub seed: u64,
     /// A machine that has run for long: warm at once.
@@ -53,24 +55,24 @@
     build: u32,
 }
 
-impl Yard<Tag> for Street {
-    fn say(&mut self, did: Did, tag: &Tag) {
+impl Environment<Tag> for Street {
+    fn say(&mut self, did: JobEvent, tag: &Tag) {
         let event = match did {
-            Did::Arrived => "arrived",
-            Did::Began => "began",
-            Did::Ok => "ok",
-            Did::Error => "error",
-            Did::Full => "full",
-            Did::Dropped => "dropped",
-            Did::Left => "left",
-            Did::Unheard => "unheard",
+            JobEvent::Arrived => "arrived",
+            JobEvent::Began => "began",
+            JobEvent::Ok => "ok",
+            JobEvent::Error => "error",
+            JobEvent::Full => "full",
+            JobEvent::Dropped => "dropped",
+            JobEvent::Left => "left",
+            JobEvent::Unheard => "unheard",
         };
-        self.record.put(json!({ "event": event, "machine": self.name, "build": self.build, "rpc": tag.rpc,
+        self.record.write(json!({ "event": event, "machine": self.name, "build": self.build, "rpc": tag.rpc,
             "try": tag.attempt, "method": tag.method, "front": tag.front, "pick": tag.pick, "key": tag.key }));
     }
 
     fn fell(&mut self, sent: f64, budget: f64, age: Ns) {
-        self.record.put(json!({ "event": "fell", "machine": self.name, "sent": sent, "budget": budget,
+        self.record.write(json!({ "event": "fell", "machine": self.name, "sent": sent, "budget": budget,
             "age_ms": age / MS }));
     }
 
@@ -105,7 +107,7 @@
 struct Process {
     machine: Machine,
     street: Street,
-    shop: Shop<Tag>,
+    shop: MachineModel<Tag>,
     run: u64,
     beat: Option<(Id, Ns)>,
     settings: Option<Id>,
@@ -131,9 +133,9 @@
         let (_, at) = net.listen(self.listen).map_err(|err| format!("{}: {err}", self.listen))?;
         let record = Record::open(self.record.as_deref()).map_err(say)?;
         // Differs with every start: the clock's low bits and the process.
-        let run = crate::record::clock() as u64 >> 10 ^ u64::from(std::process::id()) << 40;
+        let run = crate::record::monotonic_ns() as u64 >> 10 ^ u64::from(std::process::id()) << 40;
         ready(at);
-        let kind = Kind {
+        let kind = MachineSettings {
             cores: self.cores,
             speed: self.speed,
             bad: self.bad,
@@ -143,7 +145,7 @@
             fall_time: SEC,
         };
         let mut shop = Process {
-            shop: Shop::new(kind, 0, self.seed),
+            shop: MachineModel::new(kind, 0, self.seed),
             street: Street { net, record, name: self.name.clone(), build: self.build },
             machine: self,
             run: run & 0xffff_ffff_ffff,
@@ -155,7 +157,7 @@
             made: Vec::new(),
         };
         let name = shop.machine.name.clone();
-        shop.street.record.put(json!({ "event": "up", "machine": name, "build": shop.machine.build }));
+        shop.street.record.write(json!({ "event": "up", "machine": name, "build": shop.machine.build }));
         shop.ask_settings();
         shop.work(at)
     }
@@ -172,7 +174,9 @@
                     Event::Request { conn, request } => self.request(conn, request),
                     Event::ClientClosed { conn } => self.shop.left(&mut self.street, conn),
                     Event::Timer { tag: TAG_BEAT } => self.beat(at),
-                    Event::Timer { tag } if tag & HELD != 0 => self.shop.held_over(&mut self.street, tag),
+                    Event::Timer { tag } if tag & DELAYED != 0 => {
+                        self.shop.send_delayed(&mut self.street, tag)
+                    }
                     Event::Timer { tag } => {
                         let now = self.street.net.now();
                         self.shop.done(now, &mut self.street, tag);
@@ -273,11 +277,11 @@
         let said: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let order = said["order"].as_str().unwrap_or("");
         if order == "drain" && !self.drained {
-            self.street.record.put(json!({ "event": "drain", "machine": self.machine.name }));
+            self.street.record.write(json!({ "event": "drain", "machine": self.machine.name }));
         }
         self.drained = order == "drain" || order == "stop";
         if order == "stop" {
-            self.street.record.put(json!({ "event": "stop", "machine": self.machine.name }));
+            self.street.record.write(json!({ "event": "stop", "machine": self.machine.name }));
             let body = json!({ "addr": "127.0.0.1:0", "place": self.machine.place, "build": self.machine.build,
                 "run": self.run, "age_ms": 0.0, "left": true });
             let target = format!("/machines/{}", self.machine.name);
@@ -324,18 +328,18 @@
             key: line("rockpick-key"),
         };
         // Behind a partition nothing arrives; the front hears nothing either.
-        if self.shop.fault.cuts(&tag.front) {
+        if self.shop.fault.is_partitioned_from(&tag.front) {
             return;
         }
         let now = self.street.net.now();
-        let (until, met) = (now + (left * MS as f64) as Ns, self.shop.fault.meets(&tag.front));
+        let (until, met) = (now + (left * MS as f64) as Ns, self.shop.fault.affects(&tag.front));
         let last = tag.method == "lodge";
         self.shop.arrived(now, &mut self.street, Job::new(conn, tag, work, until, last, met));
     }
 
     fn set_fault(&mut self, conn: Id, body: &[u8]) {
         let json: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        match Fault::read(&json) {
+        match Fault::parse(&json) {
             Ok(fault) => {
                 self.street.net.max_clients = fault.connections.unwrap_or(MOST_CLIENTS);
                 self.shop.fault = fault;
--- a/fakes/src/shop.rs
+++ b/fakes/src/machine_model.rs
@@ -16,7 +16,7 @@
 
 /// How a build is bad.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Bad {
+pub enum Defect {
     Errors(f64),
     /// Of the last method alone.
     Method(f64),
@@ -30,19 +30,19 @@
     Shared(f64),
 }
 
-impl Bad {
+impl Defect {
     /// Reads `errors:0.3`.
-    pub fn read(text: &str) -> Option<Bad> {
+    pub fn parse(text: &str) -> Option<Defect> {
         let (kind, size) = text.split_once(':')?;
         let size: f64 = size.parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0)?;
         Some(match kind {
-            "errors" => Bad::Errors(size),
-            "method" => Bad::Method(size),
-            "slow" => Bad::Slow(size),
-            "load" => Bad::Load(size),
-            "late" => Bad::Late(size),
-            "wrong" => Bad::Wrong(size),
-            "shared" => Bad::Shared(size),
+            "errors" => Defect::Errors(size),
+            "method" => Defect::Method(size),
+            "slow" => Defect::Slow(size),
+            "load" => Defect::Load(size),
+            "late" => Defect::Late(size),
+            "wrong" => Defect::Wrong(size),
+            "shared" => Defect::Shared(size),
             _ => return None,
         })
     }
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// Names the field.
-    pub fn read(json: &Value) -> Result<Fault, String> {
+    pub fn parse(json: &Value) -> Result<Fault, String> {
         let mut fault = Fault::default();
         for (name, value) in json.as_object().ok_or("an object is wanted")? {
             let number = || value.as_f64().filter(|x| *x >= 0.0).ok_or(format!("{name}: a number is wanted"));
@@ -127,21 +127,21 @@
         Ok(fault)
     }
 
-    pub fn meets(&self, front: &str) -> bool {
+    pub fn affects(&self, front: &str) -> bool {
         self.fronts.is_empty() || self.fronts.iter().any(|f| f == front)
     }
 
-    pub fn cuts(&self, front: &str) -> bool {
+    pub fn is_partitioned_from(&self, front: &str) -> bool {
         self.cut.iter().any(|f| f == front)
     }
 }
 
 /// Limits and speeds of a machine.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct MachineSettings {
     pub cores: usize,
     pub speed: f64,
-    pub bad: Option<Bad>,
+    pub bad: Option<Defect>,
     /// The part of its capacity that it starts with, and how long it takes to the whole.
     pub cold_from: f64,
     pub cold_time: Ns,
@@ -171,7 +171,7 @@
 
 /// What a machine says to its record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Did {
+pub enum JobEvent {
     Arrived,
     Began,
     Ok,
@@ -199,19 +199,19 @@
 }
 
 /// What the machine's surroundings do for it.
-pub trait Yard<T> {
-    fn say(&mut self, did: Did, tag: &T);
+pub trait Environment<T> {
+    fn say(&mut self, did: JobEvent, tag: &T);
     fn fell(&mut self, sent: f64, budget: f64, age: Ns);
     fn reply(&mut self, conn: u64, tag: &T, reply: Reply);
-    /// [`Shop::done`] or [`Shop::held_over`] is to be called with `serial` then.
+    /// [`MachineModel::done`] or [`MachineModel::held_over`] is to be called with `serial` then.
     fn wake(&mut self, at: Ns, serial: u64);
 }
 
 /// The bit that marks a wake for an answer that waited for its delay.
-pub const HELD: u64 = 1 << 61;
+pub const DELAYED: u64 = 1 << 61;
 
-pub struct Shop<T> {
-    pub kind: Kind,
+pub struct MachineModel<T> {
+    pub kind: MachineSettings,
     pub fault: Fault,
     /// Its start.
     pub born: Ns,
@@ -226,9 +226,9 @@
     pub fallen: bool,
 }
 
-impl<T> Shop<T> {
-    pub fn new(kind: Kind, born: Ns, seed: u64) -> Shop<T> {
-        Shop {
+impl<T> MachineModel<T> {
+    pub fn new(kind: MachineSettings, born: Ns, seed: u64) -> MachineModel<T> {
+        MachineModel {
             kind,
             fault: Fault::default(),
             born,
@@ -263,14 +263,14 @@
         self.fault.probes > 0.0 && self.chance.random::<f64>() < self.fault.probes
     }
 
-    pub fn arrived(&mut self, now: Ns, yard: &mut impl Yard<T>, job: Job<T>) {
-        yard.say(Did::Arrived, &job.tag);
+    pub fn arrived(&mut self, now: Ns, yard: &mut impl Environment<T>, job: Job<T>) {
+        yard.say(JobEvent::Arrived, &job.tag);
         if self.fallen || self.fault.refuse && job.met {
             return yard.reply(job.conn, &job.tag, Reply::Reset);
         }
         self.push(now, yard, job.work);
         if self.fallen || self.busy + self.queue.len() >= self.kind.cores * (QUEUE + 1) {
-            yard.say(Did::Full, &job.tag);
+            yard.say(JobEvent::Full, &job.tag);
             return yard.reply(job.conn, &job.tag, Reply::NeverRan);
         }
         self.queue.push_back(job);
@@ -278,7 +278,7 @@
     }
 
     /// Rule 4's budget: work sent within the span against the multiple of what it can do at present.
-    fn push(&mut self, now: Ns, yard: &mut impl Yard<T>, work: f64) {
+    fn push(&mut self, now: Ns, yard: &mut impl Environment<T>, work: f64) {
         let age = now - self.born;
         if age > self.kind.cold_time + self.kind.fall_time {
             return;
@@ -298,24 +298,24 @@
         }
     }
 
-    fn start(&mut self, now: Ns, yard: &mut impl Yard<T>) {
+    fn start(&mut self, now: Ns, yard: &mut impl Environment<T>) {
         while self.busy < self.kind.cores {
             let Some(job) = self.queue.pop_front() else { return };
             if job.until <= now {
-                yard.say(Did::Dropped, &job.tag);
+                yard.say(JobEvent::Dropped, &job.tag);
                 yard.reply(job.conn, &job.tag, Reply::NeverRan);
                 continue;
             }
-            yard.say(Did::Began, &job.tag);
+            yard.say(JobEvent::Began, &job.tag);
             let reply = self.fate(now, &job);
             let fault = &self.fault;
             let on = fault.turn == 0 || (now / fault.turn.max(1)) % 2 == 0;
             let taken = if on { fault.neighbour } else { 0.0 };
             let mut speed = self.kind.speed * self.warmth(now) * (1.0 - taken) / fault.slow;
             match self.kind.bad {
-                Some(Bad::Slow(x)) => speed /= x.max(1.0),
-                Some(Bad::Load(x)) if self.full() => speed /= 1.0 + x,
-                Some(Bad::Late(x)) if now - self.born > LATE => speed /= 1.0 + 2.0 * x,
+                Some(Defect::Slow(x)) => speed /= x.max(1.0),
+                Some(Defect::Load(x)) if self.full() => speed /= 1.0 + x,
+                Some(Defect::Late(x)) if now - self.born > LATE => speed /= 1.0 + 2.0 * x,
                 _ => {}
             }
             let quick = reply == Reply::Error && self.fault.errors > 0.0;
@@ -337,13 +337,13 @@
         let mut draw = |p: f64| p > 0.0 && self.chance.random::<f64>() < p;
         let late = now - self.born > LATE;
         let bad = match self.kind.bad {
-            Some(Bad::Errors(p)) => draw(p),
-            Some(Bad::Method(p)) => job.last_method && draw(p),
-            Some(Bad::Load(p)) => full && draw(p),
-            Some(Bad::Late(p)) => late && draw(p),
+            Some(Defect::Errors(p)) => draw(p),
+            Some(Defect::Method(p)) => job.last_method && draw(p),
+            Some(Defect::Load(p)) => full && draw(p),
+            Some(Defect::Late(p)) => late && draw(p),
             _ => false,
         };
-        let wrong = matches!(self.kind.bad, Some(Bad::Wrong(p)) if draw(p));
+        let wrong = matches!(self.kind.bad, Some(Defect::Wrong(p)) if draw(p));
         let fails = bad || job.met && draw(self.fault.errors);
         let lost = job.met && draw(self.fault.lost);
         match () {
@@ -356,11 +356,11 @@
         }
     }
 
-    pub fn done(&mut self, now: Ns, yard: &mut impl Yard<T>, serial: u64) {
+    pub fn done(&mut self, now: Ns, yard: &mut impl Environment<T>, serial: u64) {
         let Some((job, reply)) = self.running.remove(&serial) else { return };
         self.busy -= 1;
         if self.fault.delay > 0 && job.met {
-            yard.wake(now + 2 * self.fault.delay, HELD | serial);
+            yard.wake(now + 2 * self.fault.delay, DELAYED | serial);
             self.held.insert(serial, (job, reply));
         } else {
             self.answer(yard, job, reply);
@@ -368,32 +368,32 @@
         self.start(now, yard);
     }
 
-    pub fn held_over(&mut self, yard: &mut impl Yard<T>, serial: u64) {
-        if let Some((job, reply)) = self.held.remove(&(serial & !HELD)) {
+    pub fn send_delayed(&mut self, yard: &mut impl Environment<T>, serial: u64) {
+        if let Some((job, reply)) = self.held.remove(&(serial & !DELAYED)) {
             self.answer(yard, job, reply);
         }
     }
 
-    fn answer(&mut self, yard: &mut impl Yard<T>, job: Job<T>, reply: Reply) {
+    fn answer(&mut self, yard: &mut impl Environment<T>, job: Job<T>, reply: Reply) {
         if self.fallen || job.gone {
-            return yard.say(Did::Unheard, &job.tag);
+            return yard.say(JobEvent::Unheard, &job.tag);
         }
-        yard.say(if reply == Reply::Error { Did::Error } else { Did::Ok }, &job.tag);
+        yard.say(if reply == Reply::Error { JobEvent::Error } else { JobEvent::Ok }, &job.tag);
         yard.reply(job.conn, &job.tag, reply);
     }
 
     /// The front closed the connection: waiting work is dropped, running work goes on.
-    pub fn left(&mut self, yard: &mut impl Yard<T>, conn: u64) {
+    pub fn left(&mut self, yard: &mut impl Environment<T>, conn: u64) {
         if let Some(at) = self.queue.iter().position(|j| j.conn == conn) {
             if let Some(job) = self.queue.remove(at) {
-                yard.say(Did::Dropped, &job.tag);
+                yard.say(JobEvent::Dropped, &job.tag);
             }
         }
         for (job, _) in
             self.running.values_mut().chain(self.held.values_mut()).filter(|(j, _)| j.conn == conn)
         {
             job.gone = true;
-            yard.say(Did::Left, &job.tag);
+            yard.say(JobEvent::Left, &job.tag);
         }
     }
 }
--- a/fakes/src/record.rs
+++ b/fakes/src/record.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 /// The monotonic clock of the machine, in nanoseconds.
-pub fn clock() -> i64 {
+pub fn monotonic_ns() -> i64 {
     let t = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     t.tv_sec * 1_000_000_000 + t.tv_nsec
 }
@@ -22,9 +22,9 @@
     }
 
     /// Writes one line; `t` is set to the present.
-    pub fn put(&mut self, mut line: Value) {
+    pub fn write(&mut self, mut line: Value) {
         let Some(file) = &mut self.0 else { return };
-        line["t"] = clock().into();
+        line["t"] = monotonic_ns().into();
         let mut text = line.to_string();
         text.push('\n');
         // A record that can't be kept must not go unseen: the checker would take silence for good.
--- a/fakes/src/schedule.rs
+++ b/fakes/src/schedule.rs
@@ -1,6 +1,6 @@
 //! When RPCs are due and what each is: fixed by the seed before the first is sent, whatever becomes of them.
 //! Poisson arrivals, bursts, or a former record played again.
-use crate::crowd::{Load, Rpc};
+use crate::client_model::{Load, Rpc};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick_control::Settings;
@@ -8,11 +8,11 @@
 use serde_json::Value;
 
 /// Lines of a record at most: a replay is held in memory, some 64 bytes a line.
-pub const MOST_LINES: usize = 20_000_000;
+pub const MAX_LINES: usize = 20_000_000;
 
 /// An RPC of a former record.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Past {
+pub struct RecordedRpc {
     /// Since the record's first.
     pub at: Ns,
     pub method: usize,
@@ -37,7 +37,7 @@
         off: Ns,
         times: f64,
     },
-    Replay(Vec<Past>),
+    Replay(Vec<RecordedRpc>),
 }
 
 impl Arrivals {
@@ -48,10 +48,10 @@
     ///
     /// ```
     /// use rockpick_fakes::schedule::Arrivals;
-    /// assert!(matches!(Arrivals::read("bursts:200/800/4"), Ok(Arrivals::Bursts { times: 4.0, .. })));
-    /// assert!(Arrivals::read("bursts:0/0/4").is_err());
+    /// assert!(matches!(Arrivals::parse("bursts:200/800/4"), Ok(Arrivals::Bursts { times: 4.0, .. })));
+    /// assert!(Arrivals::parse("bursts:0/0/4").is_err());
     /// ```
-    pub fn read(text: &str) -> Result<Arrivals, String> {
+    pub fn parse(text: &str) -> Result<Arrivals, String> {
         if text == "poisson" {
             return Ok(Arrivals::Poisson);
         }
@@ -74,23 +74,23 @@
     ///
     /// # Errors
     /// A line that is none, named by its number; a record without RPCs.
-    pub fn replay(text: &str, charter: &Settings, fronts: &[String]) -> Result<Arrivals, String> {
-        let mut pasts: Vec<(Ns, Past)> = Vec::new();
+    pub fn replay(text: &str, settings: &Settings, fronts: &[String]) -> Result<Arrivals, String> {
+        let mut pasts: Vec<(Ns, RecordedRpc)> = Vec::new();
         let whole = text.rfind('\n').map_or(0, |end| end + 1);
         for (nth, line) in text[..whole].lines().enumerate() {
             let v: Value = serde_json::from_str(line).map_err(|err| format!("line {}: {err}", nth + 1))?;
             if v["event"] != "sent" || v["try"] != "1" {
                 continue;
             }
-            if pasts.len() == MOST_LINES {
-                return Err(format!("line {}: more than {MOST_LINES} RPCs", nth + 1));
+            if pasts.len() == MAX_LINES {
+                return Err(format!("line {}: more than {MAX_LINES} RPCs", nth + 1));
             }
             let missing = |what: &str| format!("line {}: {what} is missing or not known", nth + 1);
             let text = |name: &str| v[name].as_str().ok_or_else(|| missing(name));
             let number = |name: &str| v[name].as_f64().filter(|x| *x >= 0.0).ok_or_else(|| missing(name));
-            let method = charter.method_index(text("method")?).ok_or_else(|| missing("method"))?;
+            let method = settings.method_index(text("method")?).ok_or_else(|| missing("method"))?;
             let front = fronts.iter().position(|f| v["front"] == f.as_str());
-            let past = Past {
+            let past = RecordedRpc {
                 at: 0,
                 method,
                 key: text("key")?.parse().map_err(|_| missing("key"))?,
@@ -104,14 +104,14 @@
         }
         pasts.sort_by_key(|(t, _)| *t);
         let begin = pasts.first().ok_or("no RPC was sent in this record")?.0;
-        Ok(Arrivals::Replay(pasts.into_iter().map(|(t, p)| Past { at: t - begin, ..p }).collect()))
+        Ok(Arrivals::Replay(pasts.into_iter().map(|(t, p)| RecordedRpc { at: t - begin, ..p }).collect()))
     }
 }
 
 pub struct Schedule {
     pub load: Load,
     arrivals: Arrivals,
-    charter: Settings,
+    settings: Settings,
     fronts: usize,
     work_ms: f64,
     chance: StdRng,
@@ -125,12 +125,12 @@
 
 impl Schedule {
     pub fn new(
-        charter: Settings, load: Load, arrivals: Arrivals, fronts: usize, work_ms: f64, seed: u64,
+        settings: Settings, load: Load, arrivals: Arrivals, fronts: usize, work_ms: f64, seed: u64,
     ) -> Schedule {
         let mut sum = 0.0;
         let zipf = (1..=load.keys.max(1)).map(|i| (sum += (i as f64).powf(-load.zipf), sum).1).collect();
         let chance = StdRng::seed_from_u64(seed);
-        Schedule { load, arrivals, charter, fronts, work_ms, chance, zipf, begin: 0, many: 0, due: 0 }
+        Schedule { load, arrivals, settings, fronts, work_ms, chance, zipf, begin: 0, many: 0, due: 0 }
     }
 
     /// The first RPC is due then.
@@ -145,9 +145,9 @@
         if let Arrivals::Replay(pasts) = &self.arrivals {
             let past = pasts[self.many as usize - 1];
             self.due = pasts.get(self.many as usize).map_or(Ns::MAX, |next| self.begin + next.at);
-            let whole = self.charter.methods[past.method].deadline_ms as Ns * MS;
+            let whole = self.settings.methods[past.method].deadline_ms as Ns * MS;
             let (front, id) = (past.front % self.fronts, self.many);
-            let Past { method, key, tenant, work_ms, patience, leave, .. } = past;
+            let RecordedRpc { method, key, tenant, work_ms, patience, leave, .. } = past;
             let deadline = at + whole;
             return Rpc {
                 id,
@@ -196,7 +196,7 @@
         } else {
             self.zipf.partition_point(|s| *s < at) as u64
         };
-        let methods = self.charter.methods.len();
+        let methods = self.settings.methods.len();
         let method = if heavier { methods - 1 } else { self.chance.random_range(0..methods) };
         let fronts = self.fronts;
         let front = match () {
@@ -206,7 +206,7 @@
         };
         let exp = -(1.0 - self.chance.random::<f64>()).ln();
         let times = if tail && method == 0 { load.tail_times } else { 1.0 };
-        let row = &self.charter.methods[method];
+        let row = &self.settings.methods[method];
         let whole = row.deadline_ms as Ns * MS;
         let share: f64 = self.chance.random_range(0.6..1.0);
         let patience = if hasty {
@@ -255,23 +255,23 @@
 
     #[test]
     fn a_record_plays_again_as_it_was_and_a_torn_end_is_left_out() {
-        let charter = Settings::example(2, 2);
-        let names: Vec<String> = charter.fronts.iter().map(|f| f.name.clone()).collect();
+        let settings = Settings::example(2, 2);
+        let names: Vec<String> = settings.fronts.iter().map(|f| f.name.clone()).collect();
         let line = |t: u64, nth: &str, key: u64| {
             serde_json::json!({ "t": t, "event": "sent", "rpc": "1-1", "try": nth, "front": "f1", "key": key.to_string(),
-                "method": charter.methods[0].name, "tenant": 2, "work_ms": 5.5, "left_ms": 900, "leaves": true })
+                "method": settings.methods[0].name, "tenant": 2, "work_ms": 5.5, "left_ms": 900, "leaves": true })
             .to_string()
         };
         let text =
             format!("{}\n{}\n{}\n{{\"t\":9,\"ev", line(50, "1", 8), line(60, "2", 8), line(30, "1", 4));
-        let mut s = schedule(Arrivals::replay(&text, &charter, &names).unwrap());
+        let mut s = schedule(Arrivals::replay(&text, &settings, &names).unwrap());
         s.begin_at(SEC);
         let first = s.arrive();
         assert_eq!((first.began, first.key, first.front, first.work_ms), (SEC, 4, 1, 5.5));
         assert_eq!((first.patience, first.leave, s.due), (900 * MS, true, SEC + 20));
         assert_eq!((s.arrive().key, s.due), (8, Ns::MAX));
         let wrong = format!("{}\n", line(1, "1", 4).replace("work_ms", "wark"));
-        assert!(Arrivals::replay(&wrong, &charter, &names).unwrap_err().contains("line 1: work_ms"));
-        assert!(Arrivals::replay("", &charter, &names).is_err());
+        assert!(Arrivals::replay(&wrong, &settings, &names).unwrap_err().contains("line 1: work_ms"));
+        assert!(Arrivals::replay("", &settings, &names).is_err());
     }
 }
--- a/loadgen/src/lib.rs
+++ b/loadgen/src/lib.rs
@@ -8,7 +8,7 @@
 
 use hdrhistogram::Histogram;
 use rockpick_control::Settings;
-use rockpick_fakes::crowd::Tolls;
+use rockpick_fakes::client_model::ClientTotals;
 use rockpick_fakes::{Arrivals, Load};
 use rockpick_net::{Ns, MS, SEC};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Threads at most: each makes the whole schedule, which costs some 200 ns an RPC.
-pub const MOST_THREADS: usize = 64;
+pub const MAX_THREADS: usize = 64;
 /// From spawning threads to the first RPC: all are up by then.
 const LEAD: Duration = Duration::from_millis(100);
 /// A send later than this has not kept its schedule: below it lie epoll's own wakes.
@@ -26,21 +26,21 @@
 
 /// What is to be sent, and where.
 #[derive(Clone)]
-pub struct Course {
+pub struct LoadTest {
     pub fronts: Vec<SocketAddr>,
     /// Their names among the settings' fronts, in the same order.
     pub names: Vec<String>,
-    pub charter: Settings,
+    pub settings: Settings,
     pub load: Load,
     pub arrivals: Arrivals,
-    pub lasts: Ns,
+    pub duration: Ns,
     /// Tries after the first.
     pub retries: u32,
     pub work_ms: f64,
     pub seed: u64,
     pub threads: usize,
     /// RPCs open or waiting for their next try, over all threads; one more is not sent, and told.
-    pub most_open: usize,
+    pub max_open: usize,
     /// File for a record of each try, for a replay or the checker.
     pub record: Option<PathBuf>,
 }
@@ -55,7 +55,7 @@
 
 /// What came of it.
 pub struct Result {
-    pub tolls: Tolls,
+    pub tolls: ClientTotals,
     pub tries: u64,
     pub times: Vec<Times>,
     /// How late first tries were sent, us.
@@ -74,7 +74,7 @@
     Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|err| err.to_string())
 }
 
-impl Course {
+impl LoadTest {
     /// Sends for as long as told and waits for what is open.
     ///
     /// # Errors
@@ -83,8 +83,8 @@
         if self.fronts.is_empty() || self.fronts.len() != self.names.len() {
             return Err("no fronts, or not a name for each".into());
         }
-        if !(1..=MOST_THREADS).contains(&self.threads) || self.most_open < self.threads {
-            return Err(format!("1 to {MOST_THREADS} threads, and an open RPC for each at the least"));
+        if !(1..=MAX_THREADS).contains(&self.threads) || self.max_open < self.threads {
+            return Err(format!("1 to {MAX_THREADS} threads, and an open RPC for each at the least"));
         }
         let begin = Instant::now() + LEAD;
         let parts = std::thread::scope(|scope| {
@@ -186,7 +186,7 @@
 
     fn result() -> Result {
         Result {
-            tolls: Tolls::default(),
+            tolls: ClientTotals::default(),
             tries: 0,
             times: Vec::new(),
             lag: micros().unwrap(),
--- a/loadgen/src/thread.rs
+++ b/loadgen/src/thread.rs
@@ -1,7 +1,7 @@
 //! One thread: its own event loop and connections, its part of the schedule.
-use crate::{micros, second, Course, Result, Times};
-use rockpick_fakes::client::{ask, end_line, heard, sent_line};
-use rockpick_fakes::crowd::{Crowd, How, Next, Rpc, GRACE};
+use crate::{micros, second, LoadTest, Result, Times};
+use rockpick_fakes::client::{encode_attempt, end_line, parse_answer, sent_line};
+use rockpick_fakes::client_model::{AttemptOutcome, ClientModel, NextStep, Rpc, ANSWER_GRACE};
 use rockpick_fakes::record::Record;
 use rockpick_net::{Call, CallEnd, Event, Id, Net, Ns, MS, SEC};
 use serde_json::{json, Value};
@@ -27,10 +27,10 @@
 }
 
 struct Thread<'a> {
-    course: &'a Course,
+    course: &'a LoadTest,
     nth: usize,
     net: Net,
-    crowd: Crowd,
+    crowd: ClientModel,
     record: Record,
     begin: Ns,
     tries: HashMap<u64, Try>,
@@ -42,18 +42,19 @@
     result: Result,
 }
 
-pub fn run(course: &Course, nth: usize, begin: Instant) -> std::result::Result<Result, String> {
+pub fn run(course: &LoadTest, nth: usize, begin: Instant) -> std::result::Result<Result, String> {
     let say = |err: std::io::Error| err.to_string();
     let net = Net::new(1).map_err(say)?;
     let begin = net.clock() + begin.saturating_duration_since(Instant::now()).as_nanos() as Ns;
     let c = course.clone();
-    let mut crowd = Crowd::new(c.charter, c.load, c.arrivals, c.fronts.len(), c.retries, c.work_ms, c.seed)?;
+    let mut crowd =
+        ClientModel::new(c.settings, c.load, c.arrivals, c.fronts.len(), c.retries, c.work_ms, c.seed)?;
     crowd.schedule.begin_at(begin);
     let times = || Ok::<Times, String>(Times { due: micros()?, sent: micros()? });
     let result = Result {
         tolls: Default::default(),
         tries: 0,
-        times: course.charter.methods.iter().map(|_| times()).collect::<std::result::Result<_, _>>()?,
+        times: course.settings.methods.iter().map(|_| times()).collect::<std::result::Result<_, _>>()?,
         lag: micros()?,
         by_second: Vec::new(),
         builds: BTreeMap::new(),
@@ -66,14 +67,14 @@
         Thread { course, nth, net, crowd, record, begin, tries, waiting, serial: 0, due: 0, made, result };
     thread.work()?;
     let Thread { mut result, crowd, net, .. } = thread;
-    result.tolls = crowd.tolls;
+    result.tolls = crowd.totals;
     result.tolls.stray = net.unexpected_data;
     Ok(result)
 }
 
 impl Thread<'_> {
     fn work(&mut self) -> std::result::Result<(), String> {
-        let ends = self.begin + self.course.lasts;
+        let ends = self.begin + self.course.duration;
         let (mut events, mut idle) = (Vec::new(), 0);
         loop {
             let now = self.net.clock();
@@ -118,16 +119,16 @@
         if self.due % self.course.threads != self.nth {
             return;
         }
-        self.crowd.ask(&rpc);
+        self.crowd.count_asked(&rpc);
         let at = second(rpc.began - self.begin);
         if self.result.by_second.len() <= at {
             self.result.by_second.resize(at + 1, [0.0; 2]);
         }
-        self.result.by_second[at][0] += self.crowd.row(&rpc).utility;
+        self.result.by_second[at][0] += self.crowd.method(&rpc).utility;
         let lag = self.net.clock() - rpc.began;
         let _ = self.result.lag.record((lag / 1_000).max(1) as u64);
-        if self.tries.len() + self.waiting.len() >= self.course.most_open / self.course.threads {
-            self.crowd.tolls.not_sent += 1;
+        if self.tries.len() + self.waiting.len() >= self.course.max_open / self.course.threads {
+            self.crowd.totals.not_sent += 1;
             return;
         }
         self.send(rpc);
@@ -135,21 +136,21 @@
 
     fn send(&mut self, mut rpc: Rpc) {
         let now = self.net.clock();
-        let Some(sending) = self.crowd.begin(now, &mut rpc) else { return };
+        let Some(sending) = self.crowd.start_attempt(now, &mut rpc) else { return };
         self.result.tries += 1;
-        let (gives_up, to) = (sending.gives_up, self.course.fronts[rpc.front]);
-        let row = self.crowd.row(&rpc);
-        let (id, request) = ask(row, &rpc, self.course.seed, sending.told - now, to);
+        let (gives_up, to) = (sending.give_up_at, self.course.fronts[rpc.front]);
+        let row = self.crowd.method(&rpc);
+        let (id, request) = encode_attempt(row, &rpc, self.course.seed, sending.stated_deadline - now, to);
         let connect_within = CONNECT.min(gives_up - now);
         let call = Call { to, request: &request, connect_within, stream: false, head_only: false };
         let call = self.net.call(&mut self.made, call);
         if self.course.record.is_some() {
-            let (row, front) = (self.crowd.row(&rpc), &self.course.names[rpc.front]);
-            self.record.put(sent_line(row, &rpc, &id, front, gives_up - now));
+            let (row, front) = (self.crowd.method(&rpc), &self.course.names[rpc.front]);
+            self.record.write(sent_line(row, &rpc, &id, front, gives_up - now));
         }
         // A timer's tag has no room for all of a call's generation; what is left tells calls of one slot apart.
         let short = call & (AGAIN - 1);
-        self.net.wake_at(sending.look, GIVE_UP | short);
+        self.net.wake_at(sending.check_at, GIVE_UP | short);
         self.tries.insert(short, Try { call, rpc, sent: now, gives_up });
     }
 
@@ -157,7 +158,7 @@
         let Some(t) = self.tries.remove(&short) else { return };
         self.net.cancel(t.call);
         self.say(&t, "gave up", "");
-        self.after(t.rpc, How::GaveUp, None);
+        self.after(t.rpc, AttemptOutcome::GaveUp, None);
     }
 
     fn ended(&mut self, call: Id, end: CallEnd) {
@@ -166,8 +167,8 @@
         let (how, wait) = match end {
             CallEnd::Answer(r) => {
                 let said: Value = serde_json::from_slice(&r.body).unwrap_or(Value::Null);
-                let (how, wait) = heard(&r, said["right"].as_bool().unwrap_or(true));
-                if let How::Ok { right } = how {
+                let (how, wait) = parse_answer(&r, said["right"].as_bool().unwrap_or(true));
+                if let AttemptOutcome::Ok { right } = how {
                     let build = r.headers.get("rockpick-build").and_then(|b| b.parse().ok());
                     self.ok(now, &t, right, build);
                 }
@@ -176,18 +177,18 @@
             }
             CallEnd::Unreachable | CallEnd::Unsent => {
                 self.say(&t, "not taken", "");
-                (How::Unreachable, None)
+                (AttemptOutcome::Unreachable, None)
             }
             CallEnd::Broken(_) => {
                 self.say(&t, "broken", "");
-                (How::Broken, None)
+                (AttemptOutcome::Broken, None)
             }
         };
         self.after(t.rpc, how, wait);
     }
 
     fn ok(&mut self, now: Ns, t: &Try, right: bool, build: Option<u32>) {
-        let row = self.crowd.row(&t.rpc);
+        let row = self.crowd.method(&t.rpc);
         let (soft, utility) = (row.soft_deadline_ms as Ns * MS, row.utility);
         if right && now - t.rpc.began <= soft {
             self.result.by_second[second(t.rpc.began - self.begin)][1] += utility;
@@ -200,12 +201,12 @@
         }
     }
 
-    fn after(&mut self, rpc: Rpc, how: How, wait: Option<Ns>) {
+    fn after(&mut self, rpc: Rpc, how: AttemptOutcome, wait: Option<Ns>) {
         let now = self.net.now();
-        match self.crowd.after(now, rpc, how, wait) {
-            Next::Over => {}
-            Next::At(at, rpc) if at <= now => self.send(rpc),
-            Next::At(at, rpc) => {
+        match self.crowd.attempt_ended(now, rpc, how, wait) {
+            NextStep::Done => {}
+            NextStep::RetryAt(at, rpc) if at <= now => self.send(rpc),
+            NextStep::RetryAt(at, rpc) => {
                 self.serial += 1;
                 self.waiting.insert(self.serial, rpc);
                 self.net.wake_at(at, AGAIN | self.serial);
@@ -217,9 +218,9 @@
         if self.course.record.is_none() {
             return;
         }
-        let (now, row, front) = (self.net.now(), self.crowd.row(&t.rpc), &self.course.names[t.rpc.front]);
-        let (took, late) = (now - t.sent, now > t.gives_up + GRACE);
+        let (now, row, front) = (self.net.now(), self.crowd.method(&t.rpc), &self.course.names[t.rpc.front]);
+        let (took, late) = (now - t.sent, now > t.gives_up + ANSWER_GRACE);
         let line = json!({ "event": event, "answer": answer });
-        self.record.put(end_line(line, row, &t.rpc, self.course.seed, front, took, late));
+        self.record.write(end_line(line, row, &t.rpc, self.course.seed, front, took, late));
     }
 }
--- a/loadgen/tests/load.rs
+++ b/loadgen/tests/load.rs
@@ -1,7 +1,7 @@
 //! The tool against small fronts made here, on loopback.
 use rockpick_control::Settings;
 use rockpick_fakes::{Arrivals, Load};
-use rockpick_loadgen::Course;
+use rockpick_loadgen::LoadTest;
 use rockpick_net::{Event, Net, Ns, MS, SEC};
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -31,20 +31,20 @@
     from.recv().unwrap()
 }
 
-fn course(fronts: Vec<SocketAddr>) -> Course {
-    let charter = Settings::example(fronts.len(), 2);
-    Course {
-        names: charter.fronts.iter().map(|f| f.name.clone()).collect(),
+fn course(fronts: Vec<SocketAddr>) -> LoadTest {
+    let settings = Settings::example(fronts.len(), 2);
+    LoadTest {
+        names: settings.fronts.iter().map(|f| f.name.clone()).collect(),
         fronts,
-        charter,
+        settings,
         load: Load { rate: 400.0, ..Load::default() },
         arrivals: Arrivals::Poisson,
-        lasts: SEC,
+        duration: SEC,
         retries: 0,
         work_ms: 1.0,
         seed: 5,
         threads: 2,
-        most_open: 4_000,
+        max_open: 4_000,
         record: None,
     }
 }
@@ -54,7 +54,7 @@
 fn rpcs_that_were_due_while_a_front_stood_still_count_from_when_they_were_due() {
     // Sixty wait for their connection meanwhile: fewer than any system's bound on those.
     let load = Load { rate: 200.0, ..Load::default() };
-    let came = Course { load, ..course(vec![front(300 * MS..600 * MS)]) }.run().unwrap();
+    let came = LoadTest { load, ..course(vec![front(300 * MS..600 * MS)]) }.run().unwrap();
     let all = came.all().unwrap();
     assert_eq!((came.tolls.ok, all.len()), (came.tolls.rpcs, came.tolls.ok), "{:?}", came.tolls);
     // 0.3 s of 1 s, so waits up to 0.3 s are spread evenly over three tenths of all.
@@ -72,7 +72,7 @@
     let mut sent = Vec::new();
     let record = |threads: usize, arrivals: Arrivals| {
         let path = dir.path().join(format!("{threads}.jsonl"));
-        let course = Course { threads, arrivals, record: Some(path.clone()), ..course(vec![at]) };
+        let course = LoadTest { threads, arrivals, record: Some(path.clone()), ..course(vec![at]) };
         let came = course.run().unwrap();
         assert_eq!(came.tolls.ok, came.tolls.rpcs, "{:?}", came.tolls);
         std::fs::read_to_string(path).unwrap()
@@ -89,14 +89,14 @@
     }
     assert!(sent[0].0.len() > 300 && sent[0].0 == sent[1].0);
     let c = course(vec![at]);
-    let again = record(2, Arrivals::replay(&sent[0].1, &c.charter, &c.names).unwrap());
+    let again = record(2, Arrivals::replay(&sent[0].1, &c.settings, &c.names).unwrap());
     assert_eq!(again.lines().count(), sent[0].1.lines().count());
 }
 
 #[test]
 fn a_tool_that_can_not_hold_what_is_open_says_so() {
-    let course = Course { most_open: 8, threads: 1, ..course(vec![front(100 * MS..700 * MS)]) };
+    let course = LoadTest { max_open: 8, threads: 1, ..course(vec![front(100 * MS..700 * MS)]) };
     let came = course.run().unwrap();
     assert!(came.tolls.not_sent > 50 && came.limits()[0].contains("were not sent"), "{:?}", came.limits());
-    assert!(Course { threads: 0, ..course }.run().is_err());
+    assert!(LoadTest { threads: 0, ..course }.run().is_err());
 }
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/crew.rs
@@ -5,7 +5,7 @@
 use crate::judge::{self, Judgement, Written};
 use crate::{call, watch};
 use rockpick_control::Settings;
-use rockpick_fakes::record::{clock, Record};
+use rockpick_fakes::record::{monotonic_ns, Record};
 use rockpick_fault_injection::relay::Relay;
 use rockpick_fault_injection::{Fault, LinkConditions, RestartState};
 use rustix::process::{kill_process, Pid, Signal};
@@ -179,7 +179,11 @@
     let (script, lasts) = day::script(&plan)?;
     let charter = day::charter(&plan)?;
     let out = plan.out.clone().unwrap_or_else(|| {
-        std::env::temp_dir().join(format!("rockpick-rehearsal-{}-{}", std::process::id(), clock() / SEC))
+        std::env::temp_dir().join(format!(
+            "rockpick-rehearsal-{}-{}",
+            std::process::id(),
+            monotonic_ns() / SEC
+        ))
     });
     crate::begin_folder(&out)?;
     let text = serde_json::to_string(&plan).map_err(|err| err.to_string())?;
@@ -262,7 +266,7 @@
                 crew.start_agent(place)?;
             }
         }
-        let by = clock() + UP_WITHIN;
+        let by = monotonic_ns() + UP_WITHIN;
         loop {
             crew.host()?;
             let status = call(crew.control_at, "GET", "/status", "")?;
@@ -272,7 +276,7 @@
             if up >= crew.plan.machines && watching >= crew.plan.fronts {
                 break;
             }
-            if clock() > by {
+            if monotonic_ns() > by {
                 return Err(format!("only {up} machines and {watching} fronts came up"));
             }
             std::thread::sleep(BEAT);
@@ -295,7 +299,7 @@
 
     /// Do all fronts know what the directory has come back with?
     fn look(&mut self) {
-        let now = clock();
+        let now = monotonic_ns();
         let Some(returned) = self.returned.filter(|_| self.in_force.is_none() && now - self.looked > SEC / 5)
         else {
             return;
@@ -647,7 +651,7 @@
 
     /// Starts what the controller wants and is not there; clears away what has ended.
     fn host(&mut self) -> Result<(), String> {
-        let now = clock();
+        let now = monotonic_ns();
         self.machines.retain(|_, m| !m.ended());
         if self.plan.agents || now - self.hosted < HOST {
             return Ok(());
@@ -711,11 +715,11 @@
     }
 
     fn note(&mut self, act: &str, who: &str) {
-        self.acts.put(json!({ "act": act, "who": who }));
+        self.acts.write(json!({ "act": act, "who": who }));
     }
 
     fn act(&mut self, act: &Act) -> Result<(), String> {
-        let now = clock();
+        let now = monotonic_ns();
         let after = |ms: u64| now + ms as i64 * 1_000_000;
         match act {
             Act::Offer { build, bad } => {
@@ -816,7 +820,7 @@
                 self.note(if *back { "start" } else { "kill" }, "directory");
                 if *back {
                     self.start_directory(true)?;
-                    self.returned = Some(clock());
+                    self.returned = Some(monotonic_ns());
                 } else {
                     self.directory = None;
                 }
@@ -851,7 +855,7 @@
     }
 
     fn due(&mut self) -> Result<(), String> {
-        let now = clock();
+        let now = monotonic_ns();
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.0 <= now);
         self.pending = later;
@@ -931,7 +935,7 @@
             self.note("company", "fronts");
         }
         self.clients = Some(Proc::start(&args, &self.log("clients"))?);
-        let began = clock();
+        let began = monotonic_ns();
         self.say(&format!(
             "{} fronts, {} machines, {} RPCs/s for {lasts} s; record in {}",
             self.plan.fronts,
@@ -943,7 +947,7 @@
         let (mut told, mut slowed) = (0, began);
         let by = began + (lasts * SEC as f64) as i64 + END_WITHIN;
         loop {
-            let now = clock();
+            let now = monotonic_ns();
             let at = (now - began) as f64 / SEC as f64;
             while let Some((_, act)) = left.next_if(|(due, _)| *due <= at) {
                 self.say(&format!("{at:5.1} s  {act:?}"));
@@ -975,10 +979,10 @@
         if self.storm.is_some() && !self.plan.alone {
             let evidence = judge::read(&self.charter, &written(&self.out)?);
             let bound = judge::kept_keys(&self.charter, &evidence);
-            let by = clock() + SETTLES;
+            let by = monotonic_ns() + SETTLES;
             loop {
                 differ = self.copies(&bound);
-                if differ.is_none() || clock() > by {
+                if differ.is_none() || monotonic_ns() > by {
                     break;
                 }
                 std::thread::sleep(BEAT);
@@ -1025,8 +1029,8 @@
     fn end_agents(&mut self) {
         self.agents.iter().flatten().for_each(|a| a.signal(Signal::TERM));
         for agent in self.agents.iter_mut().flatten() {
-            let by = clock() + 2 * SEC;
-            while !agent.ended() && clock() < by {
+            let by = monotonic_ns() + 2 * SEC;
+            while !agent.ended() && monotonic_ns() < by {
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
--- a/rehearse/src/day.rs
+++ b/rehearse/src/day.rs
@@ -198,7 +198,7 @@
         if self.seconds.is_some_and(|s| !(1.0..=86_400.0).contains(&s)) {
             return Err("--seconds: 1 to 86400".into());
         }
-        if rockpick_fakes::Bad::read(&self.bad).is_none() {
+        if rockpick_fakes::Defect::parse(&self.bad).is_none() {
             return Err(format!("--bad {}: KIND:SIZE is wanted", self.bad));
         }
         Ok(())
--- a/rehearse/src/judge.rs
+++ b/rehearse/src/judge.rs
@@ -6,7 +6,7 @@
 //! two processes saw of one thing differs by their scheduling: [`SKEW`] is granted for that, never more.
 use rockpick_control::settings::{GroupKind, RepeatKind};
 use rockpick_control::Settings;
-use rockpick_fakes::shop::Did;
+use rockpick_fakes::machine_model::JobEvent;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -72,7 +72,7 @@
     pub method: u16,
     pub front: u16,
     pub key: Option<u64>,
-    pub did: Did,
+    pub did: JobEvent,
 }
 
 /// A stage as it was told.
@@ -314,14 +314,14 @@
     };
     for v in &written.machines {
         let did = match s(v, "event") {
-            "arrived" => Did::Arrived,
-            "began" => Did::Began,
-            "ok" => Did::Ok,
-            "error" => Did::Error,
-            "full" => Did::Full,
-            "dropped" => Did::Dropped,
-            "left" => Did::Left,
-            "unheard" => Did::Unheard,
+            "arrived" => JobEvent::Arrived,
+            "began" => JobEvent::Began,
+            "ok" => JobEvent::Ok,
+            "error" => JobEvent::Error,
+            "full" => JobEvent::Full,
+            "dropped" => JobEvent::Dropped,
+            "left" => JobEvent::Left,
+            "unheard" => JobEvent::Unheard,
             "fell" => {
                 let (sent, budget) = (&v["sent"], &v["budget"]);
                 let what =
@@ -375,7 +375,7 @@
     let lines = day
         .machines
         .iter()
-        .filter(|l| l.did == Did::Ok && l.build == newest.build && charter.rollout.one_way);
+        .filter(|l| l.did == JobEvent::Ok && l.build == newest.build && charter.rollout.one_way);
     let kept = lines.filter(|l| l.t + TELLS < end && on_trial(l.t) && !downs.any(l.t - SKEW, l.t + TELLS));
     kept.filter_map(|l| Some((l.key?, l.build))).collect()
 }
@@ -482,7 +482,7 @@
         let mut rpcs: BTreeMap<u64, (u16, Vec<Seen>)> = BTreeMap::new();
         for l in &self.machines {
             let (_, picks) = rpcs.entry(l.rpc).or_insert_with(|| (l.method, Vec::new()));
-            if l.did == Did::Arrived {
+            if l.did == JobEvent::Arrived {
                 let (machine, attempt, front) = (l.machine, l.attempt, l.front);
                 picks.push(Seen { machine, arrived: l.t, began: None, ended: None, attempt, front });
                 continue;
@@ -490,8 +490,8 @@
             let ours = |p: &&mut Seen| p.machine == l.machine && p.ended.is_none();
             let Some(p) = picks.iter_mut().rev().find(ours) else { continue };
             match l.did {
-                Did::Began => p.began = Some(l.t),
-                Did::Unheard | Did::Arrived => {}
+                JobEvent::Began => p.began = Some(l.t),
+                JobEvent::Unheard | JobEvent::Arrived => {}
                 _ => p.ended = Some(l.t),
             }
         }
@@ -552,7 +552,7 @@
             }
         }
         let (mut said, mut found) = (BTreeSet::new(), Vec::new());
-        for l in self.machines.iter().filter(|l| l.did == Did::Arrived) {
+        for l in self.machines.iter().filter(|l| l.did == JobEvent::Arrived) {
             let Some(moves) = told.get(&l.machine) else { continue };
             let n = moves.partition_point(|m| m.0 <= l.t);
             let Some((since, false)) = n.checked_sub(1).map(|i| moves[i]) else { continue };
@@ -590,7 +590,7 @@
         let mut known: BTreeMap<u64, (u32, Ns)> = BTreeMap::new();
         for l in &self.machines {
             let (front, build, at) = (self.front(l.front), l.build, l.t);
-            if let Some(key) = l.key.filter(|_| r.one_way && l.did == Did::Ok) {
+            if let Some(key) = l.key.filter(|_| r.one_way && l.did == JobEvent::Ok) {
                 let kept = bound.entry((l.front, key)).or_insert((build, at));
                 if build > kept.0 {
                     *kept = (build, at);
@@ -600,7 +600,7 @@
                     *kept = if build > kept.0 { (build, at) } else { *kept };
                 }
             }
-            if l.did != Did::Arrived {
+            if l.did != JobEvent::Arrived {
                 continue;
             }
             if let Some((b, since)) = l.key.and_then(|key| bound.get(&(l.front, key))) {
@@ -680,7 +680,7 @@
                 _ => row.unanswered += 1,
             }
         }
-        for l in self.machines.iter().filter(|l| l.did == Did::Arrived) {
+        for l in self.machines.iter().filter(|l| l.did == JobEvent::Arrived) {
             rows[l.method as usize].picks += 1;
         }
         let named = self.charter.methods.iter().map(|m| m.name.clone()).zip(rows);
--- a/rehearse/src/watch.rs
+++ b/rehearse/src/watch.rs
@@ -32,7 +32,7 @@
                     line.extend_from_slice(&bytes);
                     while let Some(whole) = take_line(&mut line) {
                         let said: Value = serde_json::from_slice(&whole).unwrap_or(Value::Null);
-                        record.put(json!({ "line": said }));
+                        record.write(json!({ "line": said }));
                     }
                 }
                 Event::CallEnded { .. } => {
