--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -283,7 +283,7 @@
 }
 
 impl Environment<Tag> for Street<'_> {
-    fn say(&mut self, did: JobEvent, tag: &Tag) {
+    fn record(&mut self, did: JobEvent, tag: &Tag) {
         if let Some(lines) = &mut self.lines {
             lines.push(MachineLine {
                 t: self.now,
@@ -298,13 +298,13 @@
             });
         }
     }
-    fn fell(&mut self, sent: f64, budget: f64, age: Ns) {
+    fn collapsed(&mut self, sent: f64, budget: f64, age: Ns) {
         self.fell = Some((sent, budget, age));
     }
     fn reply(&mut self, conn: u64, tag: &Tag, reply: Reply) {
         self.replies.push((conn, *tag, reply));
     }
-    fn wake(&mut self, at: Ns, serial: u64) {
+    fn set_timer(&mut self, at: Ns, serial: u64) {
         self.wakes.push((at, serial));
     }
 }
@@ -484,7 +484,7 @@
                 if serial & DELAYED != 0 {
                     shop.send_delayed(street, serial)
                 } else {
-                    shop.done(now, street, serial)
+                    shop.finish(now, street, serial)
                 }
             }),
             Ev::Ended { front, life, call, end, right } => self.ended(front, life, call, end, right),
@@ -509,7 +509,7 @@
                 }
             }
             Ev::Left(machine, run, call) => {
-                self.shop(machine, run, |shop, _, street| shop.left(street, call))
+                self.shop(machine, run, |shop, _, street| shop.connection_closed(street, call))
             }
             Ev::Pass => {
                 self.pass();
@@ -1017,7 +1017,7 @@
                 .at(self.now + CONNECT.min(REFUSED), Ev::Ended { front, life, call, end, right: false });
         }
         let job = Job::new(call, tag, work, until, last_method, met);
-        self.shop(machine, run, |shop, now, street| shop.arrived(now, street, job));
+        self.shop(machine, run, |shop, now, street| shop.arrive(now, street, job));
     }
 
     fn boot(&mut self, place: usize, build: u32) {
@@ -1149,7 +1149,7 @@
             place: &place,
             build: m.build,
             run: u64::from(m.run),
-            age: self.now - shop.born,
+            age: self.now - shop.started,
             leaving: m.leaving,
             open_rpcs: (shop.busy + shop.waiting()) as u32,
         };
--- a/fakes/src/machine.rs
+++ b/fakes/src/machine.rs
@@ -56,7 +56,7 @@
 }
 
 impl Environment<Tag> for Street {
-    fn say(&mut self, did: JobEvent, tag: &Tag) {
+    fn record(&mut self, did: JobEvent, tag: &Tag) {
         let event = match did {
             JobEvent::Arrived => "arrived",
             JobEvent::Began => "began",
@@ -71,7 +71,7 @@
             "try": tag.attempt, "method": tag.method, "front": tag.front, "pick": tag.pick, "key": tag.key }));
     }
 
-    fn fell(&mut self, sent: f64, budget: f64, age: Ns) {
+    fn collapsed(&mut self, sent: f64, budget: f64, age: Ns) {
         self.record.write(json!({ "event": "fell", "machine": self.name, "sent": sent, "budget": budget,
             "age_ms": age / MS }));
     }
@@ -99,7 +99,7 @@
         }
     }
 
-    fn wake(&mut self, at: Ns, serial: u64) {
+    fn set_timer(&mut self, at: Ns, serial: u64) {
         self.net.wake_at(at, serial);
     }
 }
@@ -172,14 +172,14 @@
             for event in std::mem::take(&mut events) {
                 match event {
                     Event::Request { conn, request } => self.request(conn, request),
-                    Event::ClientClosed { conn } => self.shop.left(&mut self.street, conn),
+                    Event::ClientClosed { conn } => self.shop.connection_closed(&mut self.street, conn),
                     Event::Timer { tag: TAG_BEAT } => self.beat(at),
                     Event::Timer { tag } if tag & DELAYED != 0 => {
                         self.shop.send_delayed(&mut self.street, tag)
                     }
                     Event::Timer { tag } => {
                         let now = self.street.net.now();
-                        self.shop.done(now, &mut self.street, tag);
+                        self.shop.finish(now, &mut self.street, tag);
                     }
                     Event::CallEnded { call, end } => {
                         if self.beat.is_some_and(|(id, _)| id == call) {
@@ -234,7 +234,7 @@
     fn read_settings(&mut self, body: &[u8]) {
         let said: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let number = |name: &str, none: f64| said["settings"]["guard"][name].as_f64().unwrap_or(none);
-        let kind = &mut self.shop.kind;
+        let kind = &mut self.shop.settings;
         kind.cold_from = number("cold_from", 1.0);
         kind.cold_time = if self.machine.warm { 0 } else { (number("cold_time_ms", 0.0) * MS as f64) as Ns };
         kind.multiple = number("overload_factor", 1e9);
@@ -308,7 +308,7 @@
             ("GET", "/status") => {
                 let (shop, now) = (&self.shop, self.street.net.now());
                 let body = json!({ "machine": self.machine.name, "build": self.machine.build, "busy": shop.busy,
-                    "queue": shop.waiting(), "warmth": shop.warmth(now), "fallen": shop.fallen, "ran": shop.serial });
+                    "queue": shop.waiting(), "warmth": shop.warmth(now), "fallen": shop.collapsed, "ran": shop.serial });
                 return self.street.net.answer(conn, 200, &[], format!("{body}\n").as_bytes());
             }
             _ => {}
@@ -334,7 +334,7 @@
         let now = self.street.net.now();
         let (until, met) = (now + (left * MS as f64) as Ns, self.shop.fault.affects(&tag.front));
         let last = tag.method == "lodge";
-        self.shop.arrived(now, &mut self.street, Job::new(conn, tag, work, until, last, met));
+        self.shop.arrive(now, &mut self.street, Job::new(conn, tag, work, until, last, met));
     }
 
     fn set_fault(&mut self, conn: Id, body: &[u8]) {
--- a/fakes/src/machine_model.rs
+++ b/fakes/src/machine_model.rs
@@ -156,16 +156,16 @@
     pub tag: T,
     /// Work, in seconds of a core at speed 1.
     pub work: f64,
-    pub until: Ns,
+    pub deadline: Ns,
     /// Is it of the last method, and does the machine's fault meet its front?
     pub last_method: bool,
-    pub met: bool,
+    pub affected: bool,
     gone: bool,
 }
 
 impl<T> Job<T> {
-    pub fn new(conn: u64, tag: T, work: f64, until: Ns, last_method: bool, met: bool) -> Job<T> {
-        Job { conn, tag, work, until, last_method, met, gone: false }
+    pub fn new(conn: u64, tag: T, work: f64, deadline: Ns, last_method: bool, affected: bool) -> Job<T> {
+        Job { conn, tag, work, deadline, last_method, affected, gone: false }
     }
 }
 
@@ -200,21 +200,21 @@
 
 /// What the machine's surroundings do for it.
 pub trait Environment<T> {
-    fn say(&mut self, did: JobEvent, tag: &T);
-    fn fell(&mut self, sent: f64, budget: f64, age: Ns);
+    fn record(&mut self, did: JobEvent, tag: &T);
+    fn collapsed(&mut self, sent: f64, budget: f64, age: Ns);
     fn reply(&mut self, conn: u64, tag: &T, reply: Reply);
-    /// [`MachineModel::done`] or [`MachineModel::held_over`] is to be called with `serial` then.
-    fn wake(&mut self, at: Ns, serial: u64);
+    /// [`MachineModel::finish`] or [`MachineModel::send_delayed`] is to be called with `serial` then.
+    fn set_timer(&mut self, at: Ns, serial: u64);
 }
 
 /// The bit that marks a wake for an answer that waited for its delay.
 pub const DELAYED: u64 = 1 << 61;
 
 pub struct MachineModel<T> {
-    pub kind: MachineSettings,
+    pub settings: MachineSettings,
     pub fault: Fault,
     /// Its start.
-    pub born: Ns,
+    pub started: Ns,
     chance: StdRng,
     queue: VecDeque<Job<T>>,
     pub busy: usize,
@@ -223,15 +223,15 @@
     held: BTreeMap<u64, (Job<T>, Reply)>,
     pub serial: u64,
     pushed: VecDeque<(Ns, f64)>,
-    pub fallen: bool,
+    pub collapsed: bool,
 }
 
 impl<T> MachineModel<T> {
-    pub fn new(kind: MachineSettings, born: Ns, seed: u64) -> MachineModel<T> {
+    pub fn new(settings: MachineSettings, started: Ns, seed: u64) -> MachineModel<T> {
         MachineModel {
-            kind,
+            settings,
             fault: Fault::default(),
-            born,
+            started,
             chance: StdRng::seed_from_u64(seed),
             queue: VecDeque::new(),
             busy: 0,
@@ -239,7 +239,7 @@
             held: BTreeMap::new(),
             serial: 0,
             pushed: VecDeque::new(),
-            fallen: false,
+            collapsed: false,
         }
     }
 
@@ -254,8 +254,8 @@
 
     /// The part of its capacity that it has by now.
     pub fn warmth(&self, now: Ns) -> f64 {
-        let part = (now - self.born) as f64 / self.kind.cold_time.max(1) as f64;
-        self.kind.cold_from + (1.0 - self.kind.cold_from) * part.clamp(0.0, 1.0)
+        let part = (now - self.started) as f64 / self.settings.cold_time.max(1) as f64;
+        self.settings.cold_from + (1.0 - self.settings.cold_from) * part.clamp(0.0, 1.0)
     }
 
     /// Does a probe fail now?
@@ -263,14 +263,14 @@
         self.fault.probes > 0.0 && self.chance.random::<f64>() < self.fault.probes
     }
 
-    pub fn arrived(&mut self, now: Ns, yard: &mut impl Environment<T>, job: Job<T>) {
-        yard.say(JobEvent::Arrived, &job.tag);
-        if self.fallen || self.fault.refuse && job.met {
+    pub fn arrive(&mut self, now: Ns, yard: &mut impl Environment<T>, job: Job<T>) {
+        yard.record(JobEvent::Arrived, &job.tag);
+        if self.collapsed || self.fault.refuse && job.affected {
             return yard.reply(job.conn, &job.tag, Reply::Reset);
         }
         self.push(now, yard, job.work);
-        if self.fallen || self.busy + self.queue.len() >= self.kind.cores * (QUEUE + 1) {
-            yard.say(JobEvent::Full, &job.tag);
+        if self.collapsed || self.busy + self.queue.len() >= self.settings.cores * (QUEUE + 1) {
+            yard.record(JobEvent::Full, &job.tag);
             return yard.reply(job.conn, &job.tag, Reply::NeverRan);
         }
         self.queue.push_back(job);
@@ -279,88 +279,89 @@
 
     /// Rule 4's budget: work sent within the span against the multiple of what it can do at present.
     fn push(&mut self, now: Ns, yard: &mut impl Environment<T>, work: f64) {
-        let age = now - self.born;
-        if age > self.kind.cold_time + self.kind.fall_time {
+        let age = now - self.started;
+        if age > self.settings.cold_time + self.settings.fall_time {
             return;
         }
         self.pushed.push_back((now, work));
-        while self.pushed.front().is_some_and(|(at, _)| *at < now - self.kind.fall_time) {
+        while self.pushed.front().is_some_and(|(at, _)| *at < now - self.settings.fall_time) {
             self.pushed.pop_front();
         }
         let sent: f64 = self.pushed.iter().map(|(_, w)| w).sum();
         let mean = sent / self.pushed.len() as f64;
-        let can = self.kind.cores as f64 * self.kind.speed * self.warmth(now);
-        let budget = self.kind.multiple * can * self.kind.fall_time as f64 / SEC as f64 + SLACK * mean;
+        let can = self.settings.cores as f64 * self.settings.speed * self.warmth(now);
+        let budget =
+            self.settings.multiple * can * self.settings.fall_time as f64 / SEC as f64 + SLACK * mean;
         if sent > budget {
-            self.fallen = true;
+            self.collapsed = true;
             self.queue.clear();
-            yard.fell(sent, budget, age);
+            yard.collapsed(sent, budget, age);
         }
     }
 
     fn start(&mut self, now: Ns, yard: &mut impl Environment<T>) {
-        while self.busy < self.kind.cores {
+        while self.busy < self.settings.cores {
             let Some(job) = self.queue.pop_front() else { return };
-            if job.until <= now {
-                yard.say(JobEvent::Dropped, &job.tag);
+            if job.deadline <= now {
+                yard.record(JobEvent::Dropped, &job.tag);
                 yard.reply(job.conn, &job.tag, Reply::NeverRan);
                 continue;
             }
-            yard.say(JobEvent::Began, &job.tag);
+            yard.record(JobEvent::Began, &job.tag);
             let reply = self.fate(now, &job);
             let fault = &self.fault;
             let on = fault.turn == 0 || (now / fault.turn.max(1)) % 2 == 0;
             let taken = if on { fault.neighbour } else { 0.0 };
-            let mut speed = self.kind.speed * self.warmth(now) * (1.0 - taken) / fault.slow;
-            match self.kind.bad {
+            let mut speed = self.settings.speed * self.warmth(now) * (1.0 - taken) / fault.slow;
+            match self.settings.bad {
                 Some(Defect::Slow(x)) => speed /= x.max(1.0),
                 Some(Defect::Load(x)) if self.full() => speed /= 1.0 + x,
-                Some(Defect::Late(x)) if now - self.born > LATE => speed /= 1.0 + 2.0 * x,
+                Some(Defect::Late(x)) if now - self.started > LATE => speed /= 1.0 + 2.0 * x,
                 _ => {}
             }
             let quick = reply == Reply::Error && self.fault.errors > 0.0;
             let took = if quick { MS } else { (job.work / speed.max(1e-3) * SEC as f64) as Ns };
             self.serial += 1;
             self.busy += 1;
-            yard.wake(now + took, self.serial);
+            yard.set_timer(now + took, self.serial);
             self.running.insert(self.serial, (job, reply));
         }
     }
 
     fn full(&self) -> bool {
-        self.busy + 1 + self.queue.len() >= 2 * self.kind.cores
+        self.busy + 1 + self.queue.len() >= 2 * self.settings.cores
     }
 
     /// Draws how a job will end.
     fn fate(&mut self, now: Ns, job: &Job<T>) -> Reply {
         let full = self.full();
         let mut draw = |p: f64| p > 0.0 && self.chance.random::<f64>() < p;
-        let late = now - self.born > LATE;
-        let bad = match self.kind.bad {
+        let late = now - self.started > LATE;
+        let bad = match self.settings.bad {
             Some(Defect::Errors(p)) => draw(p),
             Some(Defect::Method(p)) => job.last_method && draw(p),
             Some(Defect::Load(p)) => full && draw(p),
             Some(Defect::Late(p)) => late && draw(p),
             _ => false,
         };
-        let wrong = matches!(self.kind.bad, Some(Defect::Wrong(p)) if draw(p));
-        let fails = bad || job.met && draw(self.fault.errors);
-        let lost = job.met && draw(self.fault.lost);
+        let wrong = matches!(self.settings.bad, Some(Defect::Wrong(p)) if draw(p));
+        let fails = bad || job.affected && draw(self.fault.errors);
+        let lost = job.affected && draw(self.fault.lost);
         match () {
             () if lost && self.fault.reset => Reply::Reset,
             () if lost => Reply::Silence,
-            () if job.met && self.fault.half => Reply::Half,
-            () if job.met && self.fault.wrong_length => Reply::WrongLength,
+            () if job.affected && self.fault.half => Reply::Half,
+            () if job.affected && self.fault.wrong_length => Reply::WrongLength,
             () if fails => Reply::Error,
             () => Reply::Ok { right: !wrong },
         }
     }
 
-    pub fn done(&mut self, now: Ns, yard: &mut impl Environment<T>, serial: u64) {
+    pub fn finish(&mut self, now: Ns, yard: &mut impl Environment<T>, serial: u64) {
         let Some((job, reply)) = self.running.remove(&serial) else { return };
         self.busy -= 1;
-        if self.fault.delay > 0 && job.met {
-            yard.wake(now + 2 * self.fault.delay, DELAYED | serial);
+        if self.fault.delay > 0 && job.affected {
+            yard.set_timer(now + 2 * self.fault.delay, DELAYED | serial);
             self.held.insert(serial, (job, reply));
         } else {
             self.answer(yard, job, reply);
@@ -375,25 +376,25 @@
     }
 
     fn answer(&mut self, yard: &mut impl Environment<T>, job: Job<T>, reply: Reply) {
-        if self.fallen || job.gone {
-            return yard.say(JobEvent::Unheard, &job.tag);
+        if self.collapsed || job.gone {
+            return yard.record(JobEvent::Unheard, &job.tag);
         }
-        yard.say(if reply == Reply::Error { JobEvent::Error } else { JobEvent::Ok }, &job.tag);
+        yard.record(if reply == Reply::Error { JobEvent::Error } else { JobEvent::Ok }, &job.tag);
         yard.reply(job.conn, &job.tag, reply);
     }
 
     /// The front closed the connection: waiting work is dropped, running work goes on.
-    pub fn left(&mut self, yard: &mut impl Environment<T>, conn: u64) {
+    pub fn connection_closed(&mut self, yard: &mut impl Environment<T>, conn: u64) {
         if let Some(at) = self.queue.iter().position(|j| j.conn == conn) {
             if let Some(job) = self.queue.remove(at) {
-                yard.say(JobEvent::Dropped, &job.tag);
+                yard.record(JobEvent::Dropped, &job.tag);
             }
         }
         for (job, _) in
             self.running.values_mut().chain(self.held.values_mut()).filter(|(j, _)| j.conn == conn)
         {
             job.gone = true;
-            yard.say(JobEvent::Left, &job.tag);
+            yard.record(JobEvent::Left, &job.tag);
         }
     }
 }
