--- a/fakes/src/client_model.rs
+++ b/fakes/src/client_model.rs
@@ -1,6 +1,5 @@
-//! What stand-in clients are, without sockets and clock: an open loop of arrivals ([`crate::schedule`]),
-//! deadlines and patience, retries as each method allows. Processes on loopback and the emulator run
-//! this very code.
+//! The behavior of fake clients, without sockets or a clock: open-loop arrivals ([`crate::schedule`]), deadlines and
+//! patience, and retries as each method allows them. The processes on loopback and the emulator both run this code.
 use crate::schedule::{Arrivals, Schedule};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
@@ -10,37 +9,40 @@
 use rockpick_net::{Ns, MS};
 use serde_json::Value;
 
-/// An answer that is here within this after the client's deadline still counts: what its own scheduling may
-/// cost (the bench grants fronts the same).
+/// An answer that arrives this long after the client's deadline still counts, to allow for delays in the client's own
+/// scheduling. The bench allows fronts the same.
 pub const ANSWER_GRACE: Ns = 20 * MS;
-/// Keeps what clients do later apart from what they send first; any number will do.
-const AGAIN: u64 = 0xa6a1;
-/// A wait after a pushback that names none.
-const WAIT: Ns = 50 * MS;
+/// Separates the random numbers for retries and disputes from those of the schedule; the value is arbitrary.
+const RETRY_SEED: u64 = 0xa6a1;
+/// The delay before a retry when the answer states none.
+const RETRY_DELAY: Ns = 50 * MS;
+
+/// The traffic of the clients.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub rate: f64,
-    /// Keys drawn by Zipf; the first few draw `hot` of all traffic besides.
+    /// The number of keys, drawn from a Zipf distribution.
     pub keys: usize,
-    /// The exponent of their Zipf.
+    /// The exponent of the Zipf distribution.
     pub zipf: f64,
+    /// The share of traffic that is spread evenly over the first `hot_keys` keys instead.
     pub hot: f64,
     pub hot_keys: usize,
-    /// Share of traffic to one front, the first; the rest goes evenly.
+    /// The share of traffic that one caller sends to the first front; the rest is spread evenly.
     pub caller: f64,
-    /// Share of traffic that moves to the fronts of the first zone (even numbers).
+    /// The share of traffic that moves to the fronts of the first zone (those with even numbers).
     pub shift: f64,
-    /// Share of RPCs that become the last method.
+    /// The share of RPCs that are made calls of the last method.
     pub heavier: f64,
-    /// Share of the first method's RPCs that cost `tail_times` the work.
+    /// The share of the first method's RPCs whose work is multiplied by `tail_times`.
     pub tail: f64,
     pub tail_times: f64,
-    /// Share of clients with little patience, and what part of the soft deadline they wait.
+    /// The share of impatient clients, and the fraction of the soft deadline that they wait.
     pub hasty: f64,
     pub patience: f64,
-    /// Share of traffic that is the first tenant's beyond its part of the three.
+    /// The share of traffic that the first tenant sends on top of its third.
     pub greedy: f64,
-    /// They leave early and come back at once; else they come with little time left.
+    /// Impatient clients disconnect early without notice and retry at once; otherwise they state a short deadline.
     pub leave: bool,
 }
 
@@ -66,10 +68,10 @@
 }
 
 impl Load {
-    /// Takes over the fields that a call names.
+    /// Updates the fields that a JSON object contains.
     ///
     /// # Errors
-    /// Names the field.
+    /// The name of the field that is unknown or has a wrong value.
     pub fn change(&mut self, json: &Value) -> Result<(), String> {
         for (name, value) in json.as_object().ok_or("an object is wanted")? {
             let number = value.as_f64().filter(|x| *x >= 0.0).ok_or(format!("{name}: a number is wanted"));
@@ -93,9 +95,10 @@
     }
 }
 
-/// What came of it all.
+/// Totals over all RPCs.
 #[derive(Clone, Debug, Default)]
 pub struct ClientTotals {
+    /// The utility of all RPCs, and of those answered correctly within their soft deadline.
     pub asked: f64,
     pub served: f64,
     pub rpcs: u64,
@@ -104,7 +107,9 @@
     pub pushed_back: u64,
     pub aborted: u64,
     pub unanswered: u64,
+    /// RPCs that were not sent because too many were open.
     pub not_sent: u64,
+    /// Data that arrived on connections without a request.
     pub stray: u64,
 }
 
@@ -119,12 +124,13 @@
     pub deadline: Ns,
     pub tries: u32,
     pub front: usize,
+    /// How long the client waits for the answer of a try.
     pub patience: Ns,
-    /// Leaves early without having said so, and comes back at once.
+    /// The client disconnects early without having stated its deadline, and retries at once.
     pub leave: bool,
 }
 
-/// How a try ended.
+/// The outcome of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     Ok {
@@ -132,25 +138,25 @@
     },
     PushedBack,
     Aborted,
-    /// Malformed or unknown: never ran.
+    /// Rejected as malformed or unknown; it never ran.
     NotTaken,
-    /// No connection: never ran.
+    /// No connection; it never ran.
     Unreachable,
     Broken,
     GaveUp,
 }
 
-/// A try that is to be sent.
+/// A try to be sent.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     pub give_up_at: Ns,
-    /// The deadline that the front is told.
+    /// The deadline stated to the front.
     pub stated_deadline: Ns,
-    /// When to look whether it must be given up.
+    /// When to give up if no answer has arrived.
     pub check_at: Ns,
 }
 
-/// What becomes of an RPC after a try.
+/// What follows a try.
 pub enum NextStep {
     Done,
     RetryAt(Ns, Rpc),
@@ -161,7 +167,7 @@
     pub schedule: Schedule,
     pub fronts: usize,
     pub retries: u32,
-    /// Of what clients do later: waits, disputes. What they send first is the schedule's alone.
+    /// Random numbers for retry delays and disputes; the schedule has its own.
     pub rng: StdRng,
     pub totals: ClientTotals,
     pub times: Histogram<u64>,
@@ -169,7 +175,7 @@
 
 impl ClientModel {
     /// # Errors
-    /// None in practice: the histogram's bounds are fixed.
+    /// None in practice, as the histogram's bounds are fixed.
     pub fn new(
         settings: Settings, load: Load, arrivals: Arrivals, fronts: usize, retries: u32, work_ms: f64,
         seed: u64,
@@ -179,7 +185,7 @@
             settings,
             fronts,
             retries,
-            rng: StdRng::seed_from_u64(seed ^ AGAIN),
+            rng: StdRng::seed_from_u64(seed ^ RETRY_SEED),
             totals: ClientTotals::default(),
             times: Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|e| e.to_string())?,
         })
@@ -189,41 +195,41 @@
         &self.settings.methods[rpc.method]
     }
 
-    /// The RPC that is due, counted as asked for.
+    /// Takes the RPC that is due from the schedule and counts it.
     pub fn arrive(&mut self) -> Rpc {
         let rpc = self.schedule.arrive();
         self.count_asked(&rpc);
         rpc
     }
 
-    /// Counts an RPC as asked for.
+    /// Counts an RPC and its utility.
     pub fn count_asked(&mut self, rpc: &Rpc) {
         self.totals.rpcs += 1;
         self.totals.asked += self.settings.methods[rpc.method].utility;
     }
 
-    /// A try of an RPC; none when its time is over, and with it the RPC.
+    /// Starts a try of an RPC; none if no time is left, which ends the RPC.
     pub fn start_attempt(&mut self, now: Ns, rpc: &mut Rpc) -> Option<Attempt> {
         let give_up_at = rpc.deadline.min(now + rpc.patience);
         if give_up_at <= now + MS {
-            self.over(AttemptOutcome::GaveUp);
+            self.count_failure(AttemptOutcome::GaveUp);
             return None;
         }
         rpc.tries += 1;
-        // Those who leave early say nothing of it; the others tell what time they have.
+        // Clients that disconnect early state the full deadline; the others state how long they wait.
         let stated_deadline = if rpc.leave { rpc.deadline } else { give_up_at };
         let check_at = give_up_at + if rpc.leave { 0 } else { ANSWER_GRACE };
         Some(Attempt { give_up_at, stated_deadline, check_at })
     }
 
-    /// A try has ended; `wait`: when to return, if that was told.
+    /// Decides what follows a try; `wait` is the delay that the answer asked for, if any.
     pub fn attempt_ended(
-        &mut self, now: Ns, mut rpc: Rpc, how: AttemptOutcome, wait: Option<Ns>,
+        &mut self, now: Ns, mut rpc: Rpc, outcome: AttemptOutcome, wait: Option<Ns>,
     ) -> NextStep {
-        if let AttemptOutcome::Ok { right } = how {
+        if let AttemptOutcome::Ok { right } = outcome {
             let took = now - rpc.began;
-            let row = self.method(&rpc);
-            let (soft, utility) = (row.soft_deadline_ms as Ns * MS, row.utility);
+            let method = self.method(&rpc);
+            let (soft, utility) = (method.soft_deadline_ms as Ns * MS, method.utility);
             let _ = self.times.record((took / 1_000).max(1) as u64);
             self.totals.ok += 1;
             if took > soft {
@@ -233,44 +239,45 @@
             }
             return NextStep::Done;
         }
-        if rpc.tries > self.retries || !self.may_again(now, &rpc, how) {
-            self.over(how);
+        if rpc.tries > self.retries || !self.may_retry(now, &rpc, outcome) {
+            self.count_failure(outcome);
             return NextStep::Done;
         }
-        if how == AttemptOutcome::GaveUp && rpc.leave {
+        if outcome == AttemptOutcome::GaveUp && rpc.leave {
             rpc.patience *= 2;
             return NextStep::RetryAt(now, rpc);
         }
-        let spread = self.rng.random_range(0..WAIT);
-        let at = now + wait.unwrap_or(WAIT) + spread;
+        let spread = self.rng.random_range(0..RETRY_DELAY);
+        let at = now + wait.unwrap_or(RETRY_DELAY) + spread;
         if at >= rpc.deadline {
-            self.over(how);
+            self.count_failure(outcome);
             return NextStep::Done;
         }
-        if matches!(how, AttemptOutcome::Unreachable | AttemptOutcome::Broken) {
+        if matches!(outcome, AttemptOutcome::Unreachable | AttemptOutcome::Broken) {
             rpc.front = self.rng.random_range(0..self.fronts);
         }
         NextStep::RetryAt(at, rpc)
     }
 
-    /// May the client send it again after this? As its method and what it was told allow.
-    fn may_again(&self, now: Ns, rpc: &Rpc, how: AttemptOutcome) -> bool {
-        let row = self.method(rpc);
-        let harmless = matches!(
-            how,
+    /// Whether the client may retry, as the method's kind and the outcome allow.
+    fn may_retry(&self, now: Ns, rpc: &Rpc, outcome: AttemptOutcome) -> bool {
+        let method = self.method(rpc);
+        let never_ran = matches!(
+            outcome,
             AttemptOutcome::PushedBack | AttemptOutcome::Unreachable | AttemptOutcome::NotTaken
         );
-        match row.repeat {
+        match method.repeat {
             RepeatKind::Idempotent => true,
             RepeatKind::Tokened => {
-                harmless || row.group == GroupKind::All && now - rpc.began < row.remembered_ms as Ns * MS
+                never_ran
+                    || method.group == GroupKind::All && now - rpc.began < method.remembered_ms as Ns * MS
             }
-            RepeatKind::NonIdempotent => harmless,
+            RepeatKind::NonIdempotent => never_ran,
         }
     }
 
-    fn over(&mut self, how: AttemptOutcome) {
-        match how {
+    fn count_failure(&mut self, outcome: AttemptOutcome) {
+        match outcome {
             AttemptOutcome::PushedBack | AttemptOutcome::NotTaken => self.totals.pushed_back += 1,
             AttemptOutcome::Aborted => self.totals.aborted += 1,
             _ => self.totals.unanswered += 1,
--- a/fakes/src/lib.rs
+++ b/fakes/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for what surrounds the product in service: machines that run builds, and clients. They keep
-//! records of what crossed their ends of the sockets, from which a rehearsal is judged.
+//! Fakes of the systems around the product: machines that run builds, clients, a directory, the platform, and faulty
+//! fronts. They record what crossed their ends of the sockets, and a rehearsal is judged from these records.
 pub mod client;
 pub mod client_model;
 pub mod directory;
