--- a/fakes/src/directory.rs
+++ b/fakes/src/directory.rs
@@ -1,6 +1,6 @@
-//! A stand-in directory: a small LDAPv3 server (RFC 4511) with simple and EXTERNAL binds, StartTLS and LDAPS,
-//! searches with paging (RFC 2696) and content synchronisation (RFC 4533), and the faults that directories
-//! have. Its content is changed, and its faults are set, over HTTP on another port.
+//! A fake directory: a small LDAPv3 server (RFC 4511) with simple and EXTERNAL binds, StartTLS and LDAPS, searches with
+//! paging (RFC 2696) and content synchronization (RFC 4533), and faults that real directories show. Its entries and
+//! faults are set over HTTP on another port.
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, ExtendedKeyUsagePurpose, IsCa, KeyPair};
 use rockpick_ldap::filter;
 use rockpick_ldap::frames::Frames;
@@ -16,45 +16,47 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Entries at most.
-const MOST_ENTRIES: usize = 1_000_000;
-/// Deletions that are remembered for those who come with a cookie; an older cookie is not known any more.
-const MOST_GONE: usize = 10_000;
-/// A connection with more to be sent than this gets no more entries until it has taken some.
-const BACKLOG: usize = 256 * 1024;
-/// How often such connections are looked at.
-const PUMP: Ns = MS;
-/// Operations of a connection that wait, when answers are slow.
-const MOST_WAITING: usize = 256;
+/// The maximum number of entries.
+const MAX_ENTRIES: usize = 1_000_000;
+/// The number of deletions remembered for clients that resume with a cookie; an older cookie is rejected.
+const MAX_DELETIONS: usize = 10_000;
+/// A connection with more unsent bytes than this gets no further entries until some have been sent.
+const MAX_BACKLOG: usize = 256 * 1024;
+/// The interval at which connections with pending work are served.
+const PUMP_INTERVAL: Ns = MS;
+/// The maximum number of pending operations, and of delayed answers, of a connection.
+const MAX_PENDING: usize = 256;
 
 pub struct DirectoryServer {
     pub listen: SocketAddr,
-    /// Where its content and faults are set.
+    /// The address at which entries and faults are set.
     pub control: SocketAddr,
-    /// Begins with TLS.
+    /// Connections begin with TLS.
     pub ldaps: bool,
-    /// The name in its certificate, and is that out of date?
+    /// The name in its certificate.
     pub name: String,
+    /// Whether the certificate has expired.
     pub expired: bool,
-    /// Names and passwords that may bind; with none, anyone may.
+    /// The names and passwords that may bind; if empty, any may.
     pub accounts: Vec<(String, String)>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Fault {
-    /// Each answer this much later.
+    /// The delay of each answer.
     slow: Ns,
     silent: bool,
     half: bool,
     wrong_ids: bool,
     endless: bool,
     reset: bool,
-    /// Entries of a search at most.
+    /// The maximum number of entries that a search returns.
     size_limit: Option<usize>,
+    /// Rejects every cookie.
     forget: bool,
     no_sync: bool,
     refuse: bool,
-    /// It shows nothing of what it has.
+    /// Searches find no entries.
     empty: bool,
 }
 
@@ -93,15 +95,15 @@
     stamp: String,
 }
 
-/// A search under way: what is still to be looked at.
+/// The progress of a search.
 struct Running {
     id: u32,
     request: SearchRequest,
+    /// The next entry to consider.
     next: Option<[u8; 16]>,
-    /// Found so far, and where a page ends.
     found: usize,
     page: Option<usize>,
-    /// Of a synchronisation: the serial from which changes are wanted.
+    /// For a synchronization: the serial after which changes are sent.
     sync: Option<u64>,
 }
 
@@ -111,9 +113,9 @@
     secure: Option<Box<ServerConnection>>,
     running: VecDeque<Running>,
     /// Persistent searches: their ids and requests.
-    stays: Vec<(u32, SearchRequest)>,
-    /// Answers that wait for their time.
-    later: VecDeque<(Ns, Vec<u8>)>,
+    persistent: Vec<(u32, SearchRequest)>,
+    /// Answers held back by [`Fault::slow`].
+    delayed: VecDeque<(Ns, Vec<u8>)>,
 }
 
 struct Process {
@@ -125,25 +127,28 @@
     fault: Fault,
     items: BTreeMap<[u8; 16], Item>,
     dns: BTreeMap<String, [u8; 16]>,
-    gone: VecDeque<(u64, [u8; 16])>,
+    /// The latest deletions: the serial of each, and the entry's UUID.
+    deletions: VecDeque<(u64, [u8; 16])>,
+    /// The serial of the latest deletion that is no longer remembered.
     forgotten: u64,
+    /// The number of changes so far; cookies contain it.
     serial: u64,
     peers: BTreeMap<Id, Peer>,
     binds: VecDeque<Ns>,
-    bound: u64,
-    most_binds: usize,
-    searched: u64,
+    bind_count: u64,
+    max_binds_per_second: usize,
+    search_count: u64,
 }
 
-fn lower(dn: &str) -> String {
+fn normalize(dn: &str) -> String {
     dn.split(',').map(|p| p.trim().to_lowercase()).collect::<Vec<_>>().join(",")
 }
 
-/// The present as a directory writes it: YYYYMMDDHHMMSSZ (RFC 4517 §3.3.13).
-fn stamp() -> String {
+/// The current time as GeneralizedTime, YYYYMMDDHHMMSSZ (RFC 4517 §3.3.13).
+fn timestamp() -> String {
     let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_secs());
     let (days, rest) = (wall as i64 / 86_400, wall % 86_400);
-    // Days to a date (Howard Hinnant, chrono-compatible low-level date algorithms).
+    // Converts days to a date (Howard Hinnant, "chrono-Compatible Low-Level Date Algorithms").
     let z = days + 719_468;
     let (era, doe) = (z.div_euclid(146_097), z.rem_euclid(146_097));
     let yoe = (doe - doe / 1_460 + doe / 36_524 - doe / 146_096) / 365;
@@ -154,7 +159,7 @@
     format!("{year:04}{month:02}{day:02}{:02}{:02}{:02}Z", rest / 3_600, rest / 60 % 60, rest % 60)
 }
 
-/// An authority, what the server shows by it, and a certificate with its key for a client; all PEM.
+/// A certificate authority, the server's TLS configuration, and a client's certificate and key; all text is PEM.
 struct Certificates {
     authority: String,
     tls: Arc<ServerConfig>,
@@ -180,7 +185,7 @@
     let mut roots = RootCertStore::empty();
     let _ = roots.add(issuer.der().clone());
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let bad = |_| rcgen::Error::CouldNotParseCertificate;
+    let parse_error = |_| rcgen::Error::CouldNotParseCertificate;
     let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider.clone())
         .allow_unauthenticated()
         .build()
@@ -189,19 +194,19 @@
     let private = PrivateKeyDer::from(PrivatePkcs8KeyDer::from(key.serialize_der()));
     let config = ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .map_err(bad)?
+        .map_err(parse_error)?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain, private)
-        .map_err(bad)?;
+        .map_err(parse_error)?;
     let client = (client.pem(), client_key.serialize_pem());
     Ok(Certificates { authority: issuer.pem(), tls: Arc::new(config), client })
 }
 
 impl DirectoryServer {
-    /// Runs until a signal ends it; `ready` hears both addresses, LDAP's and the control's.
+    /// Runs until a signal; `ready` is called with the addresses of LDAP and of the control interface.
     ///
     /// # Errors
-    /// Addresses that can't be had, certificates that can't be made.
+    /// An address cannot be listened on, or a certificate cannot be generated.
     pub fn run(self, ready: impl FnOnce(SocketAddr, SocketAddr)) -> Result<(), String> {
         let say = |err: std::io::Error| err.to_string();
         let mut net = Net::new(256).map_err(say)?;
@@ -222,20 +227,20 @@
             fault: Fault::default(),
             items: BTreeMap::new(),
             dns: BTreeMap::new(),
-            gone: VecDeque::new(),
+            deletions: VecDeque::new(),
             forgotten: 0,
             serial: 1,
             peers: BTreeMap::new(),
             binds: VecDeque::new(),
-            bound: 0,
-            most_binds: 0,
-            searched: 0,
+            bind_count: 0,
+            max_binds_per_second: 0,
+            search_count: 0,
         };
-        process.work()
+        process.run()
     }
 }
 
-fn done(id: u32, code: u32, why: &str) -> Message {
+fn search_done(id: u32, code: u32, why: &str) -> Message {
     let empty = Vec::new();
     let result =
         Done { code: Code(code), matched: empty.into(), why: why.as_bytes().to_vec().into(), referral: None };
@@ -243,15 +248,17 @@
 }
 
 impl Process {
-    fn work(mut self) -> Result<(), String> {
+    fn run(mut self) -> Result<(), String> {
         let mut events = Vec::new();
         loop {
-            let busy = self.peers.values().any(|p| !p.running.is_empty() || !p.later.is_empty());
-            self.net.turn(&mut events, if busy { PUMP } else { SEC }).map_err(|err| err.to_string())?;
+            let busy = self.peers.values().any(|p| !p.running.is_empty() || !p.delayed.is_empty());
+            self.net
+                .turn(&mut events, if busy { PUMP_INTERVAL } else { SEC })
+                .map_err(|err| err.to_string())?;
             for event in std::mem::take(&mut events) {
                 match event {
-                    Event::StreamOpened { conn } => self.came(conn),
-                    Event::StreamData { conn, bytes } => self.bytes(conn, &bytes),
+                    Event::StreamOpened { conn } => self.connection_opened(conn),
+                    Event::StreamData { conn, bytes } => self.receive(conn, &bytes),
                     Event::StreamClosed { conn, .. } => drop(self.peers.remove(&conn)),
                     Event::Request { conn, request } => self.control(conn, &request),
                     Event::Signal { .. } => return Ok(()),
@@ -265,7 +272,7 @@
         }
     }
 
-    fn came(&mut self, conn: Id) {
+    fn connection_opened(&mut self, conn: Id) {
         if self.fault.reset {
             return self.net.close(conn);
         }
@@ -281,7 +288,7 @@
         self.net.close(conn);
     }
 
-    fn bytes(&mut self, conn: Id, bytes: &[u8]) {
+    fn receive(&mut self, conn: Id, bytes: &[u8]) {
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         let mut clear = Vec::new();
         match &mut peer.secure {
@@ -336,21 +343,21 @@
         }
         let bytes = message.bytes();
         if half {
-            self.put(conn, &bytes[..bytes.len() / 2]);
+            self.write_bytes(conn, &bytes[..bytes.len() / 2]);
             self.flush(conn);
             return self.drop(conn);
         }
         let Some(peer) = self.peers.get_mut(&conn) else { return };
-        if slow > 0 || !peer.later.is_empty() {
-            if peer.later.len() < MOST_WAITING {
-                peer.later.push_back((now + slow, bytes));
+        if slow > 0 || !peer.delayed.is_empty() {
+            if peer.delayed.len() < MAX_PENDING {
+                peer.delayed.push_back((now + slow, bytes));
             }
         } else {
-            self.put(conn, &bytes);
+            self.write_bytes(conn, &bytes);
         }
     }
 
-    fn put(&mut self, conn: Id, bytes: &[u8]) {
+    fn write_bytes(&mut self, conn: Id, bytes: &[u8]) {
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         match &mut peer.secure {
             Some(secure) => drop(secure.writer().write_all(bytes)),
@@ -375,7 +382,7 @@
             Op::Abandon(AbandonRequest(which)) => {
                 if let Some(peer) = self.peers.get_mut(&conn) {
                     peer.running.retain(|r| r.id != *which);
-                    peer.stays.retain(|(id, _)| id != which);
+                    peer.persistent.retain(|(id, _)| id != which);
                 }
             }
             Op::Extended(request) => {
@@ -397,18 +404,18 @@
                 }
             }
             Op::Search(request) => self.search(conn, &message, request.clone()),
-            _ => self.send(conn, &done(id, UNWILLING, "not a request that is known here")),
+            _ => self.send(conn, &search_done(id, UNWILLING, "not a request that is known here")),
         }
     }
 
     fn bind(&mut self, conn: Id, id: u32, bind: &BindRequest) {
         let now = self.net.now();
-        self.bound += 1;
+        self.bind_count += 1;
         self.binds.push_back(now);
         while self.binds.front().is_some_and(|t| *t <= now - SEC) {
             self.binds.pop_front();
         }
-        self.most_binds = self.most_binds.max(self.binds.len());
+        self.max_binds_per_second = self.max_binds_per_second.max(self.binds.len());
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         let code = match &bind.authentication {
             _ if self.fault.refuse => UNAVAILABLE,
@@ -416,7 +423,7 @@
             AuthenticationChoice::Simple(password) => {
                 let anyone = self.server.accounts.is_empty() || bind.name.is_empty() && password.is_empty();
                 let fits = |(dn, p): &(String, String)| {
-                    lower(dn) == lower(&bind.name.0) && p.as_bytes() == password.as_ref()
+                    normalize(dn) == normalize(&bind.name.0) && p.as_bytes() == password.as_ref()
                 };
                 if anyone || self.server.accounts.iter().any(fits) {
                     SUCCESS
@@ -442,9 +449,9 @@
     }
 
     fn search(&mut self, conn: Id, message: &Message, request: SearchRequest) {
-        self.searched += 1;
+        self.search_count += 1;
         let id = message.id;
-        let base = lower(&request.base_object.0);
+        let base = normalize(&request.base_object.0);
         if base.is_empty() && request.scope == SearchRequestScope::BaseObject {
             let text = |list: &[&[u8]]| {
                 list.iter().map(|v| v.to_vec().into()).collect::<Vec<rasn::types::OctetString>>()
@@ -463,11 +470,11 @@
                 .map(|(k, v)| Attribute { kind: k.as_bytes().to_vec().into(), values: v.into() });
             let entry = Entry { dn: Vec::new().into(), attributes: attributes.collect() };
             self.send(conn, &Message::new(id, Op::Entry(entry)));
-            return self.send(conn, &done(id, SUCCESS, ""));
+            return self.send(conn, &search_done(id, SUCCESS, ""));
         }
         let below = |dn: &String| base.is_empty() || dn == &base || dn.ends_with(&format!(",{base}"));
         if !self.dns.keys().any(below) && !self.items.is_empty() {
-            return self.send(conn, &done(id, NO_SUCH_OBJECT, "no such base"));
+            return self.send(conn, &search_done(id, NO_SUCH_OBJECT, "no such base"));
         }
         let paged = message.control(PAGED).and_then(value::<Paged>);
         let sync =
@@ -477,7 +484,7 @@
             running.page = Some(paged.size.max(1) as usize);
             if !paged.cookie.is_empty() {
                 let Ok(from) = <[u8; 16]>::try_from(paged.cookie.to_vec()) else {
-                    return self.send(conn, &done(id, UNWILLING, "the cookie is not known"));
+                    return self.send(conn, &search_done(id, UNWILLING, "the cookie is not known"));
                 };
                 running.next = Some(from);
             }
@@ -492,22 +499,23 @@
                     running.sync = Some(serial);
                 }
                 Some(_) => {
-                    return self.send(conn, &done(id, REFRESH_REQUIRED, "the cookie is not known any more"))
+                    return self
+                        .send(conn, &search_done(id, REFRESH_REQUIRED, "the cookie is not known any more"))
                 }
             }
         }
         if let Some(peer) = self.peers.get_mut(&conn) {
-            if peer.running.len() < MOST_WAITING {
+            if peer.running.len() < MAX_PENDING {
                 peer.running.push_back(running);
             }
         }
         self.pump(conn);
     }
 
-    /// An entry as a search shows it, if it does.
-    fn shown(&self, uuid: &[u8; 16], request: &SearchRequest) -> Option<Entry> {
+    /// The entry as the search returns it, if it matches.
+    fn matching_entry(&self, uuid: &[u8; 16], request: &SearchRequest) -> Option<Entry> {
         let item = self.items.get(uuid).filter(|_| !self.fault.empty)?;
-        let (dn, base) = (lower(&item.dn), lower(&request.base_object.0));
+        let (dn, base) = (normalize(&item.dn), normalize(&request.base_object.0));
         let within = match request.scope {
             SearchRequestScope::BaseObject => dn == base,
             SearchRequestScope::SingleLevel => dn.split_once(',').is_some_and(|(_, above)| above == base),
@@ -549,34 +557,34 @@
         self.serial.to_string().into_bytes().into()
     }
 
-    /// Goes on with what a connection waits for, as far as it takes it.
+    /// Sends delayed answers that are due, and continues the connection's searches as far as its send buffer permits.
     fn pump(&mut self, conn: Id) {
         let now = self.net.now();
         loop {
             let Some(peer) = self.peers.get_mut(&conn) else { return };
-            match peer.later.front() {
+            match peer.delayed.front() {
                 Some((at, _)) if *at <= now => {}
                 _ => break,
             }
-            if let Some((_, bytes)) = peer.later.pop_front() {
-                self.put(conn, &bytes);
+            if let Some((_, bytes)) = peer.delayed.pop_front() {
+                self.write_bytes(conn, &bytes);
             }
         }
         while let Some(mut running) = self.peers.get_mut(&conn).and_then(|p| p.running.pop_front()) {
-            let over = self.go_on(conn, &mut running);
+            let complete = self.continue_search(conn, &mut running);
             let Some(peer) = self.peers.get_mut(&conn) else { return };
-            if !over {
+            if !complete {
                 peer.running.push_front(running);
                 return;
             }
             if running.sync.is_some() {
-                peer.stays.push((running.id, running.request));
+                peer.persistent.push((running.id, running.request));
             }
         }
     }
 
-    /// True when the search is over.
-    fn go_on(&mut self, conn: Id, running: &mut Running) -> bool {
+    /// Continues a search; returns whether it is complete.
+    fn continue_search(&mut self, conn: Id, running: &mut Running) -> bool {
         let id = running.id;
         let limit = self.fault.size_limit.unwrap_or(usize::MAX);
         let limit = if running.request.size_limit > 0 {
@@ -585,10 +593,10 @@
             limit
         };
         loop {
-            if self.net.backlog(conn).is_none_or(|b| b > BACKLOG) || self.fault.silent {
+            if self.net.backlog(conn).is_none_or(|b| b > MAX_BACKLOG) || self.fault.silent {
                 return !self.peers.contains_key(&conn);
             }
-            if self.peers.get(&conn).is_some_and(|p| p.later.len() >= MOST_WAITING / 2) {
+            if self.peers.get(&conn).is_some_and(|p| p.delayed.len() >= MAX_PENDING / 2) {
                 return false;
             }
             let Some(from) = running.next else { break };
@@ -598,7 +606,7 @@
             };
             if running.page.is_some_and(|p| running.found >= p) {
                 let more = Paged { size: 0, cookie: uuid.to_vec().into() };
-                self.send(conn, &done(id, SUCCESS, "").with(PAGED, false, &more));
+                self.send(conn, &search_done(id, SUCCESS, "").with(PAGED, false, &more));
                 return true;
             }
             let next = u128::from_be_bytes(uuid).checked_add(1).map(u128::to_be_bytes);
@@ -606,9 +614,9 @@
             if running.sync.is_some_and(|since| serial <= since) {
                 continue;
             }
-            let Some(entry) = self.shown(&uuid, &running.request) else { continue };
+            let Some(entry) = self.matching_entry(&uuid, &running.request) else { continue };
             if running.found >= limit {
-                self.send(conn, &done(id, SIZE_LIMIT, "more than may be"));
+                self.send(conn, &search_done(id, SIZE_LIMIT, "more than may be"));
                 running.sync = None;
                 return true;
             }
@@ -622,45 +630,45 @@
         }
         match running.sync {
             None => {
-                let mut message = done(id, SUCCESS, "");
+                let mut message = search_done(id, SUCCESS, "");
                 if running.page.is_some() {
                     message = message.with(PAGED, false, &Paged { size: 0, cookie: Vec::new().into() });
                 }
                 self.send(conn, &message);
             }
             Some(since) => {
-                let gone: BTreeSet<[u8; 16]> = self
-                    .gone
+                let deleted: BTreeSet<[u8; 16]> = self
+                    .deletions
                     .iter()
                     .filter(|(s, u)| since > 0 && *s > since && !self.items.contains_key(u))
                     .map(|(_, u)| *u)
                     .collect();
-                if !gone.is_empty() {
+                if !deleted.is_empty() {
                     let uuids: Vec<rasn::types::OctetString> =
-                        gone.iter().map(|u| u.to_vec().into()).collect();
+                        deleted.iter().map(|u| u.to_vec().into()).collect();
                     let ids = SyncInfo::Ids(IdSet { cookie: None, deletes: true, uuids: uuids.into() });
-                    self.note(conn, id, &ids);
+                    self.send_sync_info(conn, id, &ids);
                 }
                 let refresh = Refresh { cookie: Some(self.cookie()), done: true };
                 let info = if since == 0 { SyncInfo::Present(refresh) } else { SyncInfo::Delete(refresh) };
-                self.note(conn, id, &info);
+                self.send_sync_info(conn, id, &info);
             }
         }
         true
     }
 
-    fn note(&mut self, conn: Id, id: u32, info: &SyncInfo) {
+    fn send_sync_info(&mut self, conn: Id, id: u32, info: &SyncInfo) {
         let between = Between { name: Some(SYNC_INFO.to_vec().into()), value: Some(write(info).into()) };
         self.send(conn, &Message::new(id, Op::Between(between)));
     }
 
-    /// Tells all who wait for changes.
-    fn changed(&mut self, uuid: [u8; 16], fresh: bool) {
+    /// Notifies the persistent searches of a changed entry.
+    fn notify_change(&mut self, uuid: [u8; 16], fresh: bool) {
         let stays: Vec<(Id, u32, SearchRequest)> = (self.peers.iter())
-            .flat_map(|(conn, p)| p.stays.iter().map(|(id, r)| (*conn, *id, r.clone())))
+            .flat_map(|(conn, p)| p.persistent.iter().map(|(id, r)| (*conn, *id, r.clone())))
             .collect();
         for (conn, id, request) in stays {
-            let shown = self.shown(&uuid, &request);
+            let shown = self.matching_entry(&uuid, &request);
             let state = match (&shown, fresh) {
                 (Some(_), true) => 1,
                 (Some(_), false) => 2,
@@ -673,7 +681,7 @@
         }
     }
 
-    // ---- control
+    // HTTP control interface.
 
     fn control(&mut self, conn: Id, request: &Request) {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
@@ -695,8 +703,8 @@
                 )
             }
             ("GET", "/status") => Ok(json!({ "entries": self.items.len(), "connections": self.peers.len(),
-                "staying": self.peers.values().map(|p| p.stays.len()).sum::<usize>(), "binds": self.bound,
-                "most_binds_a_second": self.most_binds, "searches": self.searched, "serial": self.serial })),
+                "staying": self.peers.values().map(|p| p.persistent.len()).sum::<usize>(), "binds": self.bind_count,
+                "most_binds_a_second": self.max_binds_per_second, "searches": self.search_count, "serial": self.serial })),
             _ => Err("POST /entries, /remove, /fault, GET /authority, /status are known".into()),
         };
         let (status, value) = match answer {
@@ -711,7 +719,7 @@
         );
     }
 
-    /// Puts entries: a list of objects with uuid, dn, and lists of text by attribute.
+    /// Adds or replaces entries: a list of objects with `uuid`, `dn`, and a list of texts for each attribute.
     fn put_entries(&mut self, body: &Value) -> Result<Value, String> {
         let list = body.as_array().ok_or("a list is wanted")?;
         let mut read = Vec::new();
@@ -727,19 +735,19 @@
             }
             read.push((id, dn.to_string(), attributes));
         }
-        if self.items.len() + read.len() > MOST_ENTRIES {
-            return Err(format!("more than {MOST_ENTRIES} entries"));
+        if self.items.len() + read.len() > MAX_ENTRIES {
+            return Err(format!("more than {MAX_ENTRIES} entries"));
         }
-        let stamp = stamp();
+        let stamp = timestamp();
         for (id, dn, attributes) in read {
             self.serial += 1;
             let item = Item { dn: dn.clone(), attributes, serial: self.serial, stamp: stamp.clone() };
             let before = self.items.insert(id, item);
             if let Some(before) = &before {
-                self.dns.remove(&lower(&before.dn));
+                self.dns.remove(&normalize(&before.dn));
             }
-            self.dns.insert(lower(&dn), id);
-            self.changed(id, before.is_none());
+            self.dns.insert(normalize(&dn), id);
+            self.notify_change(id, before.is_none());
         }
         Ok(json!({ "entries": self.items.len() }))
     }
@@ -749,12 +757,12 @@
         for id in ids.iter().filter_map(|v| uuid(v.as_str()?)) {
             if let Some(item) = self.items.remove(&id) {
                 self.serial += 1;
-                self.dns.remove(&lower(&item.dn));
-                self.gone.push_back((self.serial, id));
-                if self.gone.len() > MOST_GONE {
-                    self.forgotten = self.gone.pop_front().map_or(self.forgotten, |(s, _)| s);
+                self.dns.remove(&normalize(&item.dn));
+                self.deletions.push_back((self.serial, id));
+                if self.deletions.len() > MAX_DELETIONS {
+                    self.forgotten = self.deletions.pop_front().map_or(self.forgotten, |(s, _)| s);
                 }
-                self.changed(id, false);
+                self.notify_change(id, false);
             }
         }
         Ok(json!({ "entries": self.items.len() }))
--- a/fakes/src/schedule.rs
+++ b/fakes/src/schedule.rs
@@ -1,5 +1,5 @@
-//! When RPCs are due and what each is: fixed by the seed before the first is sent, whatever becomes of them.
-//! Poisson arrivals, bursts, or a former record played again.
+//! The schedule of RPCs: when each is due and what it calls. The seed determines it before the first RPC is sent,
+//! whatever the outcomes are. Arrivals are Poisson, in bursts, or replayed from a record.
 use crate::client_model::{Load, Rpc};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -7,31 +7,32 @@
 use rockpick_net::{Ns, MS, SEC};
 use serde_json::Value;
 
-/// Lines of a record at most: a replay is held in memory, some 64 bytes a line.
+/// The maximum number of lines of a record: a replay is held in memory, at about 64 bytes a line.
 pub const MAX_LINES: usize = 20_000_000;
 
-/// An RPC of a former record.
+/// An RPC read from a record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RecordedRpc {
-    /// Since the record's first.
+    /// The time since the record's first RPC.
     pub at: Ns,
     pub method: usize,
     pub key: u64,
     pub tenant: usize,
     pub work_ms: f64,
     pub front: usize,
-    /// What time its client had for it.
+    /// How long its client waited for the answer.
     pub patience: Ns,
     pub leave: bool,
 }
 
-/// How arrivals follow each other.
+/// The process by which RPCs arrive.
 #[derive(Clone, Debug, Default)]
 pub enum Arrivals {
-    /// Independent of each other, at the load's rate.
+    /// A Poisson process at the load's rate.
     #[default]
     Poisson,
-    /// Poisson with two rates by turns: for `on` the load's rate times `times`, for `off` the rate itself.
+    /// A Poisson process with two alternating rates: the load's rate times `times` for `on`, then the rate itself for
+    /// `off`.
     Bursts {
         on: Ns,
         off: Ns,
@@ -41,10 +42,10 @@
 }
 
 impl Arrivals {
-    /// Reads `poisson` or `bursts:ON_MS/OFF_MS/TIMES`.
+    /// Parses `poisson` or `bursts:ON_MS/OFF_MS/TIMES`.
     ///
     /// # Errors
-    /// Says what is wanted.
+    /// The expected forms, if the text has neither.
     ///
     /// ```
     /// use rockpick_fakes::schedule::Arrivals;
@@ -70,19 +71,19 @@
         }
     }
 
-    /// Reads what was sent first of each RPC in a client's record (JSON lines); a torn last line is left out.
+    /// Reads the first try of each RPC from a client's record (JSON lines); an incomplete last line is skipped.
     ///
     /// # Errors
-    /// A line that is none, named by its number; a record without RPCs.
+    /// The number of a malformed line; a record without RPCs.
     pub fn replay(text: &str, settings: &Settings, fronts: &[String]) -> Result<Arrivals, String> {
-        let mut pasts: Vec<(Ns, RecordedRpc)> = Vec::new();
+        let mut recorded: Vec<(Ns, RecordedRpc)> = Vec::new();
         let whole = text.rfind('\n').map_or(0, |end| end + 1);
         for (nth, line) in text[..whole].lines().enumerate() {
             let v: Value = serde_json::from_str(line).map_err(|err| format!("line {}: {err}", nth + 1))?;
             if v["event"] != "sent" || v["try"] != "1" {
                 continue;
             }
-            if pasts.len() == MAX_LINES {
+            if recorded.len() == MAX_LINES {
                 return Err(format!("line {}: more than {MAX_LINES} RPCs", nth + 1));
             }
             let missing = |what: &str| format!("line {}: {what} is missing or not known", nth + 1);
@@ -90,7 +91,7 @@
             let number = |name: &str| v[name].as_f64().filter(|x| *x >= 0.0).ok_or_else(|| missing(name));
             let method = settings.method_index(text("method")?).ok_or_else(|| missing("method"))?;
             let front = fronts.iter().position(|f| v["front"] == f.as_str());
-            let past = RecordedRpc {
+            let rpc = RecordedRpc {
                 at: 0,
                 method,
                 key: text("key")?.parse().map_err(|_| missing("key"))?,
@@ -100,11 +101,11 @@
                 patience: (number("left_ms")? * MS as f64) as Ns,
                 leave: v["leaves"] == true,
             };
-            pasts.push((number("t")? as Ns, past));
+            recorded.push((number("t")? as Ns, rpc));
         }
-        pasts.sort_by_key(|(t, _)| *t);
-        let begin = pasts.first().ok_or("no RPC was sent in this record")?.0;
-        Ok(Arrivals::Replay(pasts.into_iter().map(|(t, p)| RecordedRpc { at: t - begin, ..p }).collect()))
+        recorded.sort_by_key(|(t, _)| *t);
+        let begin = recorded.first().ok_or("no RPC was sent in this record")?.0;
+        Ok(Arrivals::Replay(recorded.into_iter().map(|(t, p)| RecordedRpc { at: t - begin, ..p }).collect()))
     }
 }
 
@@ -114,12 +115,12 @@
     settings: Settings,
     fronts: usize,
     work_ms: f64,
-    chance: StdRng,
+    rng: StdRng,
     zipf: Vec<f64>,
     begin: Ns,
-    /// RPCs so far: the next one's number less one.
-    many: u64,
-    /// When the next RPC is due; never, once a replay is over.
+    /// The number of RPCs so far, which is the id of the latest one.
+    count: u64,
+    /// When the next RPC is due; never, once a replay has ended.
     pub due: Ns,
 }
 
@@ -129,25 +130,25 @@
     ) -> Schedule {
         let mut sum = 0.0;
         let zipf = (1..=load.keys.max(1)).map(|i| (sum += (i as f64).powf(-load.zipf), sum).1).collect();
-        let chance = StdRng::seed_from_u64(seed);
-        Schedule { load, arrivals, settings, fronts, work_ms, chance, zipf, begin: 0, many: 0, due: 0 }
+        let rng = StdRng::seed_from_u64(seed);
+        Schedule { load, arrivals, settings, fronts, work_ms, rng, zipf, begin: 0, count: 0, due: 0 }
     }
 
-    /// The first RPC is due then.
+    /// Sets the time at which the first RPC is due.
     pub fn begin_at(&mut self, at: Ns) {
         (self.begin, self.due) = (at, at);
     }
 
-    /// The RPC that is due; the next one's time is drawn.
+    /// Takes the RPC that is due, and draws when the next one is due.
     pub fn arrive(&mut self) -> Rpc {
         let at = self.due;
-        self.many += 1;
-        if let Arrivals::Replay(pasts) = &self.arrivals {
-            let past = pasts[self.many as usize - 1];
-            self.due = pasts.get(self.many as usize).map_or(Ns::MAX, |next| self.begin + next.at);
-            let whole = self.settings.methods[past.method].deadline_ms as Ns * MS;
-            let (front, id) = (past.front % self.fronts, self.many);
-            let RecordedRpc { method, key, tenant, work_ms, patience, leave, .. } = past;
+        self.count += 1;
+        if let Arrivals::Replay(recorded) = &self.arrivals {
+            let rpc = recorded[self.count as usize - 1];
+            self.due = recorded.get(self.count as usize).map_or(Ns::MAX, |next| self.begin + next.at);
+            let whole = self.settings.methods[rpc.method].deadline_ms as Ns * MS;
+            let (front, id) = (rpc.front % self.fronts, self.count);
+            let RecordedRpc { method, key, tenant, work_ms, patience, leave, .. } = rpc;
             let deadline = at + whole;
             return Rpc {
                 id,
@@ -163,63 +164,65 @@
                 leave,
             };
         }
-        self.due += self.gap();
-        self.draw(at)
+        self.due += self.draw_interval();
+        self.draw_rpc(at)
     }
 
-    /// From an arrival to the next: the time in which an exponential number of mean arrivals passes.
-    fn gap(&mut self) -> Ns {
-        let mut left = -(1.0 - self.chance.random::<f64>()).ln();
+    /// The time until the next arrival: the time in which the expected number of arrivals reaches an exponentially
+    /// distributed value.
+    fn draw_interval(&mut self) -> Ns {
+        let mut left = -(1.0 - self.rng.random::<f64>()).ln();
         let rate = self.load.rate.max(0.01) / SEC as f64;
         let Arrivals::Bursts { on, off, times } = self.arrivals else { return (left / rate) as Ns };
         let mut at = self.due - self.begin;
         loop {
             let into = at % (on + off);
-            let (now, lasts) = if into < on { (rate * times, on - into) } else { (rate, on + off - into) };
-            if left <= now * lasts as f64 {
-                return at + (left / now) as Ns - (self.due - self.begin);
+            let (rate_now, remaining) =
+                if into < on { (rate * times, on - into) } else { (rate, on + off - into) };
+            if left <= rate_now * remaining as f64 {
+                return at + (left / rate_now) as Ns - (self.due - self.begin);
             }
-            left -= now * lasts as f64;
-            at += lasts;
+            left -= rate_now * remaining as f64;
+            at += remaining;
         }
     }
 
-    fn draw(&mut self, now: Ns) -> Rpc {
+    fn draw_rpc(&mut self, now: Ns) -> Rpc {
         let load = self.load.clone();
-        let mut odds = |p: f64| p > 0.0 && self.chance.random::<f64>() < p;
+        let mut happens = |p: f64| p > 0.0 && self.rng.random::<f64>() < p;
         let (hot, heavier, tail, hasty) =
-            (odds(load.hot), odds(load.heavier), odds(load.tail), odds(load.hasty));
-        let (caller, shift, greedy) = (odds(load.caller), odds(load.shift), odds(load.greedy));
-        let at = self.chance.random::<f64>() * self.zipf[self.zipf.len() - 1];
+            (happens(load.hot), happens(load.heavier), happens(load.tail), happens(load.hasty));
+        let (caller, shift, greedy) = (happens(load.caller), happens(load.shift), happens(load.greedy));
+        let at = self.rng.random::<f64>() * self.zipf[self.zipf.len() - 1];
         let key = if hot {
-            self.chance.random_range(0..load.hot_keys.max(1)) as u64
+            self.rng.random_range(0..load.hot_keys.max(1)) as u64
         } else {
             self.zipf.partition_point(|s| *s < at) as u64
         };
         let methods = self.settings.methods.len();
-        let method = if heavier { methods - 1 } else { self.chance.random_range(0..methods) };
+        let method = if heavier { methods - 1 } else { self.rng.random_range(0..methods) };
         let fronts = self.fronts;
         let front = match () {
             () if caller => 0,
-            () if shift => 2 * self.chance.random_range(0..fronts.div_ceil(2)),
-            () => self.chance.random_range(0..fronts),
+            () if shift => 2 * self.rng.random_range(0..fronts.div_ceil(2)),
+            () => self.rng.random_range(0..fronts),
         };
-        let exp = -(1.0 - self.chance.random::<f64>()).ln();
+        let exp = -(1.0 - self.rng.random::<f64>()).ln();
         let times = if tail && method == 0 { load.tail_times } else { 1.0 };
         let row = &self.settings.methods[method];
         let whole = row.deadline_ms as Ns * MS;
-        let share: f64 = self.chance.random_range(0.6..1.0);
+        let share: f64 = self.rng.random_range(0.6..1.0);
         let patience = if hasty {
             row.soft_deadline_ms as f64 * MS as f64 * load.patience
         } else {
             whole as f64 * share
         };
         Rpc {
-            id: self.many,
+            id: self.count,
             method,
             key,
-            tenant: if greedy { 0 } else { self.chance.random_range(0..3) },
-            // Half of the work is the same for all, half is drawn: a few ms at the least.
+            tenant: if greedy { 0 } else { self.rng.random_range(0..3) },
+            // Half of the work is constant and half is exponential, so that no RPC takes less than a few ms.
             work_ms: self.work_ms * (0.5 + 0.5 * exp).min(4.0) * times,
             began: now,
             deadline: now + whole,
@@ -241,7 +244,7 @@
     }
 
     #[test]
-    fn bursts_come_in_their_turns_at_their_rates() {
+    fn bursts_alternate_between_their_two_rates() {
         let mut s = schedule(Arrivals::Bursts { on: SEC / 5, off: SEC, times: 5.0 });
         s.begin_at(7 * SEC);
         let mut counts = [0; 2];
@@ -249,12 +252,12 @@
             counts[usize::from((s.due - 7 * SEC) % (6 * SEC / 5) >= SEC / 5)] += 1;
             s.arrive();
         }
-        // Ten turns: 10 x 0.2 s x 5,000 and 10 x 1 s x 1,000, each within four standard deviations.
+        // Ten cycles: 10 x 0.2 s x 5,000 and 10 x 1 s x 1,000, each within four standard deviations.
         assert!(counts.iter().all(|n: &i32| (9_600..10_400).contains(n)), "{counts:?}");
     }
 
     #[test]
-    fn a_record_plays_again_as_it_was_and_a_torn_end_is_left_out() {
+    fn a_replay_repeats_the_record_and_skips_an_incomplete_last_line() {
         let settings = Settings::example(2, 2);
         let names: Vec<String> = settings.fronts.iter().map(|f| f.name.clone()).collect();
         let line = |t: u64, nth: &str, key: u64| {
