--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,7 +1,7 @@
-//! What breaks the parts of the program that live together. A storm is a [`Plan`]: faults with a beginning and an end,
-//! drawn from a seed, written as text that can be read and replayed, and shrunk when something breaks
-//! ([`shrink`]). The same plan is played by [`simulation`] upon state machines in virtual time, and by [`relay`] and
-//! signals upon real processes. Nothing here knows what it breaks.
+//! Fault injection for systems of several processes. A [`Plan`] is a list of faults, each with a start and an end. It is
+//! drawn from a seed, written as text that can be edited and replayed, and reduced to the faults that matter when it
+//! reveals a failure ([`shrink`]). The same plan runs against state machines in virtual time ([`simulation`]), and with
+//! the [`relay`] and signals against real processes. Nothing here depends on the system under test.
 pub mod plan;
 pub mod relay;
 pub mod shrink;
@@ -10,7 +10,7 @@
 pub use plan::{Fault, LinkConditions, Plan, PlannedFault, RestartState};
 pub use shrink::shrink;
 
-/// A point in time or a span, in whole nanoseconds.
+/// A time or a duration, in nanoseconds.
 pub type Ns = i64;
 pub const MS: Ns = 1_000_000;
 pub const SEC: Ns = 1_000 * MS;
--- a/fault-injection/src/plan.rs
+++ b/fault-injection/src/plan.rs
@@ -1,64 +1,70 @@
-//! A storm's plan: which faults, upon whom, from when to when. One act a line of JSON, so that a plan is read, cut by
-//! hand, and replayed.
+//! Plans of faults: which fault affects which process, from when until when. Each fault is one line of JSON, so that a
+//! plan can be read, reduced by hand, and replayed.
 use crate::{Ns, MS, SEC};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::{Deserialize, Serialize};
 
-/// Most acts of a plan, and most processes: what a plan from a file may ask for.
+/// The maximum number of faults and of processes in a plan that is read from a file.
 pub const MAX_FAULTS: usize = 1_000;
 pub const MAX_PROCESSES: usize = 10_000;
 
-/// What a link does to what it carries, one way.
+/// The conditions of a link in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LinkConditions {
-    /// Datagrams lost, doubled, overtaken by later ones, with a bit flipped: shares of one.
+    /// The share of datagrams that are lost.
     pub lost: f64,
+    /// The share that are duplicated.
     pub doubled: f64,
+    /// The share that are delayed so that later ones overtake them.
     pub overtaken: f64,
+    /// The share with a flipped bit.
     pub flipped: f64,
-    /// Held back for so long, and for up to so much more.
+    /// The fixed delay, and the maximum of a random delay on top of it.
     pub delay: Ns,
     pub jitter: Ns,
-    /// Nothing passes; streams stay open and silent.
+    /// Drops everything; streams stay open and silent.
     pub cut: bool,
-    /// Bytes are held, and let go at once at the end; datagrams are lost.
+    /// Holds back the bytes of streams and releases them together at the end; drops datagrams.
     pub stalled: bool,
-    /// Streams are reset in the middle of what they carry.
+    /// Resets streams in the middle of their data.
     pub reset: bool,
-    /// Bytes a second, of streams; 0: no bound.
+    /// The bandwidth of streams, in bytes per second; 0: unlimited.
     pub narrow: u64,
 }
 
-/// With which folder a killed process returns.
+/// The state with which a killed process restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RestartState {
+    /// It does not restart.
     Never,
+    /// The state it had.
     Same,
     Empty,
-    /// As it was some time before.
+    /// The state it had some time earlier.
     Former,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Links from any of these to any of those; an empty list is everyone.
+    /// Changes the links from each process in `from` to each in `to`; an empty list means all processes.
     Links { from: Vec<usize>, to: Vec<usize>, way: LinkConditions },
-    /// Stands still: SIGSTOP, and SIGCONT at the end.
+    /// Suspends the process: SIGSTOP at the start, SIGCONT at the end.
     Stop { who: usize },
-    /// SIGKILL, and a new life at the end.
+    /// SIGKILL at the start; a restart at the end.
     Kill { who: usize, back: RestartState },
-    /// SIGTERM, and a new life at the end.
+    /// SIGTERM at the start; a restart at the end.
     Leave { who: usize },
-    /// Its clock runs fast or slow by parts of a million, or jumps ahead at the beginning.
+    /// The process's clock runs fast or slow by `ppm` parts per million, and jumps ahead by `jump` at the start.
     Clock { who: usize, ppm: i64, jump: Ns },
-    /// Its files lie: by the name that the file layer gives a fault.
+    /// The process's files misbehave; `how` is the file layer's name for the fault.
     Disk { who: usize, how: String },
 }
 
+/// A fault with its start and end.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlannedFault {
     pub from: Ns,
@@ -69,46 +75,46 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     pub seed: u64,
-    /// Processes, by index.
+    /// The number of processes; faults refer to them by index.
     pub parts: usize,
-    /// After the last act all is well for long enough to settle.
+    /// The duration of the run, with time to settle after the last fault.
     pub length: Ns,
     pub acts: Vec<PlannedFault>,
 }
 
-/// What a drawn plan may hold.
+/// Limits of a randomly drawn plan.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanLimits {
     pub max_faults: usize,
     pub parts: usize,
-    /// Acts begin within this, and last so long at most.
+    /// Faults start within `fault_window` and last for at most `max_duration`.
     pub fault_window: Ns,
     pub max_duration: Ns,
-    /// The quiet at the end.
+    /// The time without faults at the end.
     pub settle_time: Ns,
     pub kills: bool,
     pub clocks: bool,
-    /// Names of how disks may lie; none: they don't.
+    /// Names of the disk faults to draw from; empty: none.
     pub disks: &'static [&'static str],
 }
 
 impl Plan {
-    pub fn draw(seed: u64, range: PlanLimits) -> Plan {
-        let mut chance = StdRng::seed_from_u64(seed);
-        let chance = &mut chance;
-        let mut acts: Vec<PlannedFault> = (0..chance.random_range(1..=range.max_faults.max(1)))
+    pub fn draw(seed: u64, limits: PlanLimits) -> Plan {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let rng = &mut rng;
+        let mut acts: Vec<PlannedFault> = (0..rng.random_range(1..=limits.max_faults.max(1)))
             .map(|_| {
-                let from = chance.random_range(0..range.fault_window.max(1));
-                let until = from + chance.random_range(100 * MS..=range.max_duration.max(101 * MS));
-                PlannedFault { from, until, fault: fault(chance, range) }
+                let from = rng.random_range(0..limits.fault_window.max(1));
+                let until = from + rng.random_range(100 * MS..=limits.max_duration.max(101 * MS));
+                PlannedFault { from, until, fault: fault(rng, limits) }
             })
             .collect();
         acts.sort_by_key(|act| act.from);
         let end = acts.iter().map(|act| act.until).max().unwrap_or(0);
-        Plan { seed, parts: range.parts, length: end + range.settle_time, acts }
+        Plan { seed, parts: limits.parts, length: end + limits.settle_time, acts }
     }
 
-    /// A plan by hand: faults, each with its beginning and end.
+    /// Builds a plan from faults, each with its start and end.
     pub fn new(seed: u64, parts: usize, length: Ns, faults: &[(Ns, Ns, Fault)]) -> Plan {
         let act = |(from, until, fault): &(Ns, Ns, Fault)| PlannedFault {
             from: *from,
@@ -118,12 +124,12 @@
         Plan { seed, parts, length, acts: faults.iter().map(act).collect() }
     }
 
-    /// What the acts that are on, by index, make of a link: the worst of each, and of what it is without them.
+    /// The conditions of a link under the active faults, given by index: the worst of each condition, including `base`.
     pub fn way(&self, on: &[usize], from: usize, to: usize, base: LinkConditions) -> LinkConditions {
         on.iter().filter_map(|act| self.acts[*act].fault.way(from, to)).fold(base, LinkConditions::with)
     }
 
-    /// Beginnings and ends in order of time: when, which act, and whether it begins.
+    /// The starts and ends of all faults in order of time: the time, the fault's index, and whether it starts.
     pub fn edges(&self) -> Vec<(Ns, usize, bool)> {
         let both = |(i, act): (usize, &PlannedFault)| [(act.from, i, true), (act.until, i, false)];
         let mut edges: Vec<_> = self.acts.iter().enumerate().flat_map(both).collect();
@@ -141,8 +147,10 @@
         text
     }
 
+    /// Parses a plan written by [`Plan::write`].
+    ///
     /// # Errors
-    /// The line that can't be read, and why.
+    /// The number of the malformed line, and the reason.
     pub fn read(text: &str) -> Result<Plan, String> {
         #[derive(Deserialize)]
         struct Head {
@@ -151,25 +159,27 @@
             length: Ns,
         }
         let mut lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
-        let (_, head) = lines.next().ok_or("a plan without a line")?;
+        let (_, head) = lines.next().ok_or("the plan is empty")?;
         let Head { seed, parts, length } =
             serde_json::from_str(head).map_err(|err| format!("line 1: {err}"))?;
         if parts == 0 || parts > MAX_PROCESSES || !(0..=86_400 * SEC).contains(&length) {
-            return Err(format!("line 1: 1 to {MAX_PROCESSES} parts, a length of up to a day"));
+            return Err(format!(
+                "line 1: expected 1 to {MAX_PROCESSES} processes and a length of at most a day"
+            ));
         }
         let mut acts = Vec::new();
         for (number, line) in lines {
             let named = |why: String| format!("line {}: {why}", number + 1);
             let act: PlannedFault = serde_json::from_str(line).map_err(|err| named(err.to_string()))?;
             if act.from < 0 || act.until < act.from || act.until > length {
-                return Err(named("an act begins, and then ends, within the plan's length".into()));
+                return Err(named("a fault must start, and then end, within the length of the plan".into()));
             }
-            if act.fault.whom().iter().any(|who| *who >= parts) {
+            if act.fault.processes().iter().any(|who| *who >= parts) {
                 return Err(named(format!("processes are numbered from 0 to {}", parts - 1)));
             }
             acts.push(act);
             if acts.len() > MAX_FAULTS {
-                return Err(named(format!("more than {MAX_FAULTS} acts")));
+                return Err(named(format!("more than {MAX_FAULTS} faults")));
             }
         }
         Ok(Plan { seed, parts, length, acts })
@@ -177,7 +187,7 @@
 }
 
 impl Fault {
-    fn whom(&self) -> Vec<usize> {
+    fn processes(&self) -> Vec<usize> {
         match self {
             Fault::Links { from, to, .. } => from.iter().chain(to).copied().collect(),
             Fault::Stop { who }
@@ -188,7 +198,7 @@
         }
     }
 
-    /// Is it of the link from one process to another?
+    /// The conditions that the fault sets for the link between two processes, if any.
     fn way(&self, from: usize, to: usize) -> Option<&LinkConditions> {
         match self {
             Fault::Links { from: f, to: t, way }
@@ -201,8 +211,8 @@
     }
 }
 
-/// Two faults upon one link at once: the worse of each.
 impl LinkConditions {
+    /// Combines two faults of one link: the worse of each condition.
     pub fn with(self, other: &LinkConditions) -> LinkConditions {
         LinkConditions {
             lost: self.lost.max(other.lost),
@@ -222,80 +232,80 @@
     }
 }
 
-fn fault(chance: &mut StdRng, range: PlanLimits) -> Fault {
-    let who = chance.random_range(0..range.parts);
-    let kinds = 6 + 3 * usize::from(range.kills) + usize::from(range.clocks);
-    let kind = chance.random_range(0..kinds + 2 * usize::from(!range.disks.is_empty()));
+fn fault(rng: &mut StdRng, limits: PlanLimits) -> Fault {
+    let who = rng.random_range(0..limits.parts);
+    let kinds = 6 + 3 * usize::from(limits.kills) + usize::from(limits.clocks);
+    let kind = rng.random_range(0..kinds + 2 * usize::from(!limits.disks.is_empty()));
     if kind >= kinds {
-        return Fault::Disk { who, how: range.disks[chance.random_range(0..range.disks.len())].into() };
+        return Fault::Disk { who, how: limits.disks[rng.random_range(0..limits.disks.len())].into() };
     }
     match kind {
         0 => {
-            // A part of all is cut off, both ways.
-            let some = some(chance, range.parts);
+            // Partitions some processes from the others, in both directions.
+            let subset = subset(rng, limits.parts);
             let way = LinkConditions { cut: true, ..LinkConditions::default() };
-            Fault::Links { from: some.clone(), to: others(&some, range.parts), way }
+            Fault::Links { from: subset.clone(), to: others(&subset, limits.parts), way }
         }
         1 => {
-            // One way alone: sends and does not hear, or hears and is not heard.
-            let (from, to) = (some(chance, range.parts), some(chance, range.parts));
+            // Cuts links in one direction only.
+            let (from, to) = (subset(rng, limits.parts), subset(rng, limits.parts));
             Fault::Links { from, to, way: LinkConditions { cut: true, ..LinkConditions::default() } }
         }
         2 => {
-            let way = LinkConditions { lost: share(chance, 5, 60), ..LinkConditions::default() };
+            let way = LinkConditions { lost: share(rng, 5, 60), ..LinkConditions::default() };
             Fault::Links { from: Vec::new(), to: Vec::new(), way }
         }
         3 => {
             let way = LinkConditions {
-                doubled: share(chance, 0, 50),
-                overtaken: share(chance, 0, 50),
-                delay: chance.random_range(0..300 * MS),
-                jitter: chance.random_range(0..300 * MS),
+                doubled: share(rng, 0, 50),
+                overtaken: share(rng, 0, 50),
+                delay: rng.random_range(0..300 * MS),
+                jitter: rng.random_range(0..300 * MS),
                 ..LinkConditions::default()
             };
-            Fault::Links { from: some(chance, range.parts), to: Vec::new(), way }
+            Fault::Links { from: subset(rng, limits.parts), to: Vec::new(), way }
         }
         4 => {
             let way = LinkConditions { stalled: true, ..LinkConditions::default() };
-            Fault::Links { from: vec![who], to: some(chance, range.parts), way }
+            Fault::Links { from: vec![who], to: subset(rng, limits.parts), way }
         }
         5 => Fault::Stop { who },
-        6 | 7 if range.kills => {
+        6 | 7 if limits.kills => {
             let back =
-                [RestartState::Same, RestartState::Empty, RestartState::Former][chance.random_range(0..3)];
+                [RestartState::Same, RestartState::Empty, RestartState::Former][rng.random_range(0..3)];
             Fault::Kill { who, back }
         }
-        8 if range.kills => Fault::Leave { who },
+        8 if limits.kills => Fault::Leave { who },
         _ => {
-            let jump = if chance.random_bool(0.3) { chance.random_range(0..5 * SEC) } else { 0 };
-            Fault::Clock { who, ppm: chance.random_range(-10_000..=10_000), jump }
+            let jump = if rng.random_bool(0.3) { rng.random_range(0..5 * SEC) } else { 0 };
+            Fault::Clock { who, ppm: rng.random_range(-10_000..=10_000), jump }
         }
     }
 }
 
-/// Hundredths, which text keeps as they are.
-fn share(chance: &mut StdRng, from: u32, to: u32) -> f64 {
-    f64::from(chance.random_range(from..to)) / 100.0
+/// Draws a share in hundredths, which survive the conversion to text unchanged.
+fn share(rng: &mut StdRng, from: u32, to: u32) -> f64 {
+    f64::from(rng.random_range(from..to)) / 100.0
 }
 
-fn some(chance: &mut StdRng, parts: usize) -> Vec<usize> {
-    let some: Vec<usize> = (0..parts).filter(|_| chance.random_bool(0.4)).collect();
-    if some.is_empty() || some.len() == parts {
-        vec![chance.random_range(0..parts)]
+fn subset(rng: &mut StdRng, parts: usize) -> Vec<usize> {
+    let subset: Vec<usize> = (0..parts).filter(|_| rng.random_bool(0.4)).collect();
+    if subset.is_empty() || subset.len() == parts {
+        vec![rng.random_range(0..parts)]
     } else {
-        some
+        subset
     }
 }
 
-fn others(some: &[usize], parts: usize) -> Vec<usize> {
-    (0..parts).filter(|i| !some.contains(i)).collect()
+fn others(subset: &[usize], parts: usize) -> Vec<usize> {
+    (0..parts).filter(|i| !subset.contains(i)).collect()
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    pub fn range() -> PlanLimits {
+    pub fn limits() -> PlanLimits {
         let (fault_window, max_duration, settle_time) = (30 * SEC, 10 * SEC, 30 * SEC);
         PlanLimits {
             max_faults: 8,
@@ -310,20 +320,20 @@
     }
 
     #[test]
-    fn a_plan_is_drawn_written_and_read_alike() {
+    fn plans_are_reproducible_and_survive_conversion_to_text() {
         for seed in 0..200 {
-            let plan = Plan::draw(seed, range());
-            assert_eq!(plan, Plan::draw(seed, range()));
+            let plan = Plan::draw(seed, limits());
+            assert_eq!(plan, Plan::draw(seed, limits()));
             assert_eq!(Plan::read(&plan.write()).unwrap(), plan);
         }
     }
 
     #[test]
-    fn what_can_t_be_read_names_its_line() {
-        let good = Plan::draw(3, range()).write();
+    fn parse_errors_name_the_line() {
+        let good = Plan::draw(3, limits()).write();
         let first = good.lines().next().unwrap();
         for (text, named) in [
-            (String::new(), "without a line"),
+            (String::new(), "the plan is empty"),
             ("{\"seed\":1}".into(), "line 1"),
             (format!("{first}\nnonsense"), "line 2"),
             (format!("{first}\n{{\"from\":5,\"until\":4,\"fault\":{{\"stop\":{{\"who\":0}}}}}}"), "line 2"),
--- a/fault-injection/src/relay.rs
+++ b/fault-injection/src/relay.rs
@@ -10,16 +10,16 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Datagrams held back for a seat at most; one more is lost, as on a full line. Bytes of a stalled stream likewise: it is
-/// read no further.
-const MOST_HELD: usize = 4_096;
-const MOST_STALLED: usize = 1 << 20;
-/// Streams of one pair at once.
-const MOST_STREAMS: usize = 64;
-/// How late a change of a way is seen by a stream at rest.
-const LOOKS: Duration = Duration::from_millis(10);
+/// The maximum number of delayed datagrams for one process; further ones are lost, as in a full queue.
+const MAX_DELAYED: usize = 4_096;
+/// The maximum number of buffered bytes of a stalled stream; beyond it the stream is not read.
+const MAX_STALLED: usize = 1 << 20;
+/// The maximum number of concurrent streams of one pair.
+const MAX_STREAMS: usize = 64;
+/// How soon an idle stream notices a change of its link's conditions.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What passed, and what did not, by ordered pair.
+/// Counts of the traffic of one ordered pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkCounts {
     pub datagrams: u64,
@@ -37,20 +37,20 @@
 
 #[derive(Clone)]
 pub struct Relay {
-    /// By part: where the others send datagrams for it.
+    /// For each process, the address to which the others send its datagrams.
     pub addresses: Vec<SocketAddr>,
     inner: Arc<Mutex<Inner>>,
 }
 
 impl Relay {
-    /// Begins; its threads end with the process.
+    /// Starts the relay. Its threads run until the program exits.
     ///
     /// # Errors
-    /// Sockets that can't be had.
+    /// Sockets cannot be opened.
     pub fn start(parts: usize, seed: u64) -> std::io::Result<Relay> {
-        let socks: Vec<UdpSocket> =
+        let sockets: Vec<UdpSocket> =
             (0..parts).map(|_| UdpSocket::bind("127.0.0.1:0")).collect::<std::io::Result<_>>()?;
-        let addresses = socks.iter().map(UdpSocket::local_addr).collect::<std::io::Result<_>>()?;
+        let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<std::io::Result<_>>()?;
         let inner = Inner {
             parts,
             ways: vec![LinkConditions::default(); parts * parts],
@@ -58,11 +58,11 @@
             real: vec![None; parts],
         };
         let relay = Relay { addresses, inner: Arc::new(Mutex::new(inner)) };
-        let socks = Arc::new(socks);
+        let sockets = Arc::new(sockets);
         for to in 0..parts {
-            let (relay, socks) = (relay.clone(), socks.clone());
-            let chance = StdRng::seed_from_u64(seed ^ to as u64);
-            std::thread::spawn(move || relay.carry(to, &socks, chance));
+            let (relay, sockets) = (relay.clone(), sockets.clone());
+            let rng = StdRng::seed_from_u64(seed ^ to as u64);
+            std::thread::spawn(move || relay.forward_datagrams(to, &sockets, rng));
         }
         Ok(relay)
     }
@@ -71,7 +71,7 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where a part really is; datagrams come from there.
+    /// Sets the real address of a process, from which its datagrams come.
     pub fn set_address(&self, who: usize, at: SocketAddr) {
         self.inner().real[who] = Some(at);
     }
@@ -98,7 +98,7 @@
         note(&mut inner.passed[at]);
     }
 
-    fn carry(&self, to: usize, socks: &[UdpSocket], mut chance: StdRng) {
+    fn forward_datagrams(&self, to: usize, sockets: &[UdpSocket], mut rng: StdRng) {
         let mut buf = [0; 65_536];
         let mut held: BTreeMap<(Instant, u64), (usize, SocketAddr, Vec<u8>)> = BTreeMap::new();
         let mut serial = 0;
@@ -106,37 +106,37 @@
             let now = Instant::now();
             while let Some(entry) = held.first_entry().filter(|e| e.key().0 <= now) {
                 let (from, at, bytes) = entry.remove();
-                let _ = socks[from].send_to(&bytes, at);
+                let _ = sockets[from].send_to(&bytes, at);
             }
             let next = held.first_key_value().map(|((due, _), _)| *due - now);
             let wait = next.unwrap_or(Duration::from_secs(1)).max(Duration::from_millis(1));
-            let _ = socks[to].set_read_timeout(Some(wait));
-            let Ok((n, came)) = socks[to].recv_from(&mut buf) else { continue };
+            let _ = sockets[to].set_read_timeout(Some(wait));
+            let Ok((n, came)) = sockets[to].recv_from(&mut buf) else { continue };
             let (from, at) = {
                 let inner = self.inner();
                 (inner.real.iter().position(|r| *r == Some(came)), inner.real[to])
             };
-            // A stranger's datagram is not passed on.
+            // Drops datagrams from unknown addresses.
             let Some((from, at)) = from.zip(at) else { continue };
             let way = self.way(from, to);
-            if way.cut || way.stalled || chance.random_bool(way.lost.clamp(0.0, 1.0)) {
+            if way.cut || way.stalled || rng.random_bool(way.lost.clamp(0.0, 1.0)) {
                 self.note(from, to, |p| p.lost += 1);
                 continue;
             }
             let mut bytes = buf[..n].to_vec();
-            if !bytes.is_empty() && chance.random_bool(way.flipped.clamp(0.0, 1.0)) {
-                let bit = chance.random_range(0..n * 8);
+            if !bytes.is_empty() && rng.random_bool(way.flipped.clamp(0.0, 1.0)) {
+                let bit = rng.random_range(0..n * 8);
                 bytes[bit / 8] ^= 1 << (bit % 8);
             }
-            let copies = 1 + usize::from(chance.random_bool(way.doubled.clamp(0.0, 1.0)));
+            let copies = 1 + usize::from(rng.random_bool(way.doubled.clamp(0.0, 1.0)));
             for _ in 0..copies {
-                let overtaken = chance.random_bool(way.overtaken.clamp(0.0, 1.0));
-                let jitter = if way.jitter > 0 { chance.random_range(0..way.jitter) } else { 0 };
+                let overtaken = rng.random_bool(way.overtaken.clamp(0.0, 1.0));
+                let jitter = if way.jitter > 0 { rng.random_range(0..way.jitter) } else { 0 };
                 let late = way.delay + jitter + if overtaken { 50 * crate::MS } else { 0 };
                 self.note(from, to, |p| p.datagrams += 1);
                 if late == 0 {
-                    let _ = socks[from].send_to(&bytes, at);
-                } else if held.len() < MOST_HELD {
+                    let _ = sockets[from].send_to(&bytes, at);
+                } else if held.len() < MAX_DELAYED {
                     serial += 1;
                     let due = Instant::now() + Duration::from_nanos(late as u64);
                     held.insert((due, serial), (from, at, bytes.clone()));
@@ -145,10 +145,10 @@
         }
     }
 
-    /// An address at which one part reaches a stream listener of another.
+    /// Opens an address at which one process reaches the stream listener of another.
     ///
     /// # Errors
-    /// A socket that can't be had.
+    /// A socket cannot be opened.
     pub fn stream(&self, from: usize, to: usize, real: SocketAddr) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
@@ -158,14 +158,14 @@
             for io in listener.incoming().flatten() {
                 {
                     let mut open = open.lock().unwrap_or_else(PoisonError::into_inner);
-                    if *open >= MOST_STREAMS {
+                    if *open >= MAX_STREAMS {
                         continue;
                     }
                     *open += 1;
                 }
                 let (relay, open) = (relay.clone(), open.clone());
                 std::thread::spawn(move || {
-                    let _ = relay.pass(io, from, to, real);
+                    let _ = relay.forward_stream(io, from, to, real);
                     *open.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
                 });
             }
@@ -173,13 +173,16 @@
         Ok(at)
     }
 
-    /// A connection that comes up while the way is cut stays open and silent, as to a machine that has vanished.
-    fn pass(&self, near: TcpStream, from: usize, to: usize, real: SocketAddr) -> std::io::Result<()> {
+    /// Forwards a connection. One that is opened while the link is cut stays open and silent, like one to a host that has
+    /// disappeared.
+    fn forward_stream(
+        &self, near: TcpStream, from: usize, to: usize, real: SocketAddr,
+    ) -> std::io::Result<()> {
         while self.way(from, to).cut || self.way(to, from).cut {
-            if gone(&near)? {
+            if is_closed(&near)? {
                 return Ok(());
             }
-            std::thread::sleep(LOOKS);
+            std::thread::sleep(POLL_INTERVAL);
         }
         let far = TcpStream::connect(real)?;
         let (relay, near_too, far_too) = (self.clone(), near.try_clone()?, far.try_clone()?);
@@ -190,15 +193,15 @@
     }
 
     fn pump(&self, mut read: TcpStream, mut write: TcpStream, from: usize, to: usize) -> std::io::Result<()> {
-        let mut chance = StdRng::seed_from_u64((from * 31 + to) as u64);
+        let mut rng = StdRng::seed_from_u64((from * 31 + to) as u64);
         let mut buf = [0; 16_384];
         let mut held: Vec<u8> = Vec::new();
-        read.set_read_timeout(Some(LOOKS))?;
+        read.set_read_timeout(Some(POLL_INTERVAL))?;
         let mut ended = false;
         loop {
             let way = self.way(from, to);
             if way.reset && !held.is_empty() {
-                // In mid-frame: half of what there is goes on, and both sides hear of a broken connection.
+                // Resets in mid-frame: half of the buffered data is forwarded, then both sides are closed.
                 let half = held.len() / 2;
                 let _ = write.write_all(&held[..half]);
                 self.note(from, to, |p| p.resets += 1);
@@ -208,30 +211,30 @@
             }
             let passes = !way.cut && !way.stalled;
             if passes && !held.is_empty() {
-                let most = if way.narrow > 0 { (way.narrow / 100).max(1) as usize } else { held.len() };
-                let now: Vec<u8> = held.drain(..most.min(held.len())).collect();
+                let limit = if way.narrow > 0 { (way.narrow / 100).max(1) as usize } else { held.len() };
+                let now: Vec<u8> = held.drain(..limit.min(held.len())).collect();
                 if way.delay > 0 {
                     std::thread::sleep(Duration::from_nanos(way.delay as u64));
                 }
                 write.write_all(&now)?;
                 self.note(from, to, |p| p.bytes += now.len() as u64);
                 if way.narrow > 0 {
-                    std::thread::sleep(LOOKS);
+                    std::thread::sleep(POLL_INTERVAL);
                 }
             }
             if ended && held.is_empty() {
                 return write.shutdown(Shutdown::Write);
             }
-            if ended || held.len() >= MOST_STALLED || way.narrow > 0 && !held.is_empty() {
-                std::thread::sleep(if held.is_empty() { LOOKS } else { Duration::from_millis(1) });
+            if ended || held.len() >= MAX_STALLED || way.narrow > 0 && !held.is_empty() {
+                std::thread::sleep(if held.is_empty() { POLL_INTERVAL } else { Duration::from_millis(1) });
                 continue;
             }
             match read.read(&mut buf) {
                 Ok(0) => ended = true,
                 Ok(n) => {
                     held.extend_from_slice(&buf[..n]);
-                    if chance.random_bool(way.flipped.clamp(0.0, 1.0)) {
-                        let bit = chance.random_range(0..n * 8);
+                    if rng.random_bool(way.flipped.clamp(0.0, 1.0)) {
+                        let bit = rng.random_range(0..n * 8);
                         let at = held.len() - n + bit / 8;
                         held[at] ^= 1 << (bit % 8);
                     }
@@ -243,8 +246,8 @@
     }
 }
 
-/// Has the near side of a connection closed, with nothing read of it?
-fn gone(io: &TcpStream) -> std::io::Result<bool> {
+/// Whether the peer has closed the connection; reads no data from it.
+fn is_closed(io: &TcpStream) -> std::io::Result<bool> {
     io.set_read_timeout(Some(Duration::from_millis(1)))?;
     match io.peek(&mut [0]) {
         Ok(0) => Ok(true),
@@ -266,35 +269,35 @@
     }
 
     #[test]
-    fn datagrams_are_lost_doubled_and_late_by_ordered_pair() {
+    fn datagrams_are_lost_duplicated_and_delayed_by_ordered_pair() {
         let relay = Relay::start(2, 1).unwrap();
-        let socks = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
-        for (who, sock) in socks.iter().enumerate() {
+        let sockets = [0, 1].map(|_| UdpSocket::bind("127.0.0.1:0").unwrap());
+        for (who, sock) in sockets.iter().enumerate() {
             relay.set_address(who, sock.local_addr().unwrap());
             sock.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
         }
         let heard = |who: usize| {
             let mut buf = [0; 64];
-            socks[who].recv_from(&mut buf).ok().map(|(n, from)| (buf[..n].to_vec(), from))
+            sockets[who].recv_from(&mut buf).ok().map(|(n, from)| (buf[..n].to_vec(), from))
         };
-        socks[0].send_to(b"a", relay.addresses[1]).unwrap();
+        sockets[0].send_to(b"a", relay.addresses[1]).unwrap();
         assert_eq!(heard(1), Some((b"a".to_vec(), relay.addresses[0])));
         relay.set_link(0, 1, LinkConditions { cut: true, ..LinkConditions::default() });
-        socks[0].send_to(b"b", relay.addresses[1]).unwrap();
-        socks[1].send_to(b"c", relay.addresses[0]).unwrap();
+        sockets[0].send_to(b"b", relay.addresses[1]).unwrap();
+        sockets[1].send_to(b"c", relay.addresses[0]).unwrap();
         assert_eq!((heard(1), heard(0)), (None, Some((b"c".to_vec(), relay.addresses[1]))));
         relay.set_link(
             0,
             1,
             LinkConditions { doubled: 1.0, delay: 20 * crate::MS, ..LinkConditions::default() },
         );
-        socks[0].send_to(b"d", relay.addresses[1]).unwrap();
+        sockets[0].send_to(b"d", relay.addresses[1]).unwrap();
         assert_eq!([heard(1), heard(1), heard(1)].iter().flatten().count(), 2);
         assert_eq!((relay.counts(0, 1).lost, relay.counts(0, 1).datagrams), (1, 3));
     }
 
     #[test]
-    fn a_stalled_stream_stays_open_and_lets_go_at_once_and_a_reset_cuts_a_frame() {
+    fn a_stalled_stream_stays_open_and_releases_its_data_and_a_reset_cuts_a_frame() {
         let relay = Relay::start(2, 1).unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let at = relay.stream(0, 1, listener.local_addr().unwrap()).unwrap();
@@ -305,7 +308,7 @@
         relay.set_link(0, 1, LinkConditions { stalled: true, ..LinkConditions::default() });
         near.write_all(b"held").unwrap();
         assert!(far.read(&mut buf).is_err());
-        // The other direction goes on.
+        // The other direction is not affected.
         far.write_all(b"back").unwrap();
         near.read_exact(&mut buf[..4]).unwrap();
         relay.set_link(0, 1, LinkConditions::default());
@@ -317,7 +320,7 @@
         let mut rest = Vec::new();
         let _ = far.read_to_end(&mut rest);
         assert_eq!(rest, b"1234");
-        until("the reset is noted", || relay.counts(0, 1).resets == 1);
+        until("the reset is counted", || relay.counts(0, 1).resets == 1);
     }
 
     #[test]
@@ -329,8 +332,8 @@
         relay.set_link(1, 0, LinkConditions { cut: true, ..LinkConditions::default() });
         let near = TcpStream::connect(at).unwrap();
         std::thread::sleep(Duration::from_millis(100));
-        assert!(listener.accept().is_err() && !gone(&near).unwrap());
+        assert!(listener.accept().is_err() && !is_closed(&near).unwrap());
         relay.set_link(1, 0, LinkConditions::default());
-        until("it comes up", || listener.accept().is_ok());
+        until("the connection is established", || listener.accept().is_ok());
     }
 }
--- a/fault-injection/src/shrink.rs
+++ b/fault-injection/src/shrink.rs
@@ -1,26 +1,27 @@
-//! From a plan that breaks something to one that needs each fault left in it.
+//! Reduces a plan that reveals a failure to the faults that are needed to reveal it.
 use crate::plan::{Plan, PlannedFault};
 use crate::{Ns, MS};
 
-/// Acts are not made shorter than this.
-const SHORTEST: Ns = 50 * MS;
+/// The minimum duration to which a fault is shortened.
+const MIN_DURATION: Ns = 50 * MS;
 
-/// Plays smaller plans as long as one `breaks`, up to `most` plays: first without halves, then without single acts,
-/// then with shorter ones. Each act of what is returned is needed, unless the plays ran out.
-pub fn shrink(plan: &Plan, most: usize, mut breaks: impl FnMut(&Plan) -> bool) -> Plan {
+/// Tries smaller plans as long as one still `fails`, with at most `max_runs` runs: first it removes groups of faults, from
+/// half of them down to single ones, then it shortens the remaining faults. Each fault of the returned plan is needed,
+/// unless the number of runs was exhausted.
+pub fn shrink(plan: &Plan, max_runs: usize, mut fails: impl FnMut(&Plan) -> bool) -> Plan {
     let mut best = plan.clone();
-    let mut plays = 0;
-    let mut try_with = |acts: Vec<PlannedFault>, best: &mut Plan| {
-        if plays >= most {
+    let mut runs = 0;
+    let mut try_plan = |acts: Vec<PlannedFault>, best: &mut Plan| {
+        if runs >= max_runs {
             return false;
         }
-        plays += 1;
-        let less = Plan { acts, ..best.clone() };
-        let broke = breaks(&less);
-        if broke {
-            *best = less;
+        runs += 1;
+        let smaller = Plan { acts, ..best.clone() };
+        let failed = fails(&smaller);
+        if failed {
+            *best = smaller;
         }
-        broke
+        failed
     };
     let mut size = best.acts.len().div_ceil(2).max(1);
     loop {
@@ -29,7 +30,7 @@
         while at < best.acts.len() {
             let mut acts = best.acts.clone();
             acts.drain(at..(at + size).min(acts.len()));
-            if try_with(acts, &mut best) {
+            if try_plan(acts, &mut best) {
                 less = true;
             } else {
                 at += size;
@@ -44,11 +45,11 @@
         loop {
             let mut acts = best.acts.clone();
             let half = (acts[at].until - acts[at].from) / 2;
-            if half < SHORTEST {
+            if half < MIN_DURATION {
                 break;
             }
             acts[at].until = acts[at].from + half;
-            if !try_with(acts, &mut best) {
+            if !try_plan(acts, &mut best) {
                 break;
             }
         }
@@ -63,7 +64,7 @@
     use crate::SEC;
 
     #[test]
-    fn what_is_left_is_what_breaks() {
+    fn the_shrunk_plan_keeps_only_the_faults_that_cause_the_failure() {
         let range = PlanLimits {
             max_faults: 30,
             parts: 5,
@@ -74,20 +75,20 @@
             clocks: true,
             disks: &[],
         };
-        // Breaks by a stop of 2 s and more, of 3, with any kill of 1.
+        // Fails if process 3 is stopped for at least 2 s and process 1 is killed.
         let breaks = |plan: &Plan| {
             let stop =
                 |a: &PlannedFault| matches!(a.fault, Fault::Stop { who: 3 }) && a.until - a.from >= 2 * SEC;
             let kill = |a: &PlannedFault| matches!(a.fault, Fault::Kill { who: 1, .. });
             plan.acts.iter().any(stop) && plan.acts.iter().any(kill)
         };
-        let mut met = 0;
+        let mut failing_plans = 0;
         for plan in (0..400).map(|seed| Plan::draw(seed, range)).filter(|plan| breaks(plan)) {
             let less = shrink(&plan, 1_000, breaks);
             assert!(breaks(&less) && less.acts.len() == 2, "{less:?}");
             assert!(less.acts.iter().all(|a| a.until - a.from < 4 * SEC));
-            met += 1;
+            failing_plans += 1;
         }
-        assert!(met > 3);
+        assert!(failing_plans > 3);
     }
 }
--- a/fault-injection/src/simulation.rs
+++ b/fault-injection/src/simulation.rs
@@ -1,5 +1,5 @@
-//! Virtual time: state machines without I/O, each with a clock of its own, under a plan's faults. What each is told
-//! and does goes through [`SimulatedProcess`]; the world keeps the record that checkers read.
+//! A simulation in virtual time: state machines without I/O, each with its own clock, under the faults of a plan. All
+//! their input and output goes through [`SimulatedProcess`]; checkers inspect the simulation.
 use crate::plan::{Fault, LinkConditions, Plan, RestartState};
 use crate::{Ns, MS};
 use rand::rngs::StdRng;
@@ -7,80 +7,83 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Events of one play; a machine that makes more of them is broken.
+/// The maximum number of events of one run; a state machine that causes more is considered faulty.
 pub const MAX_EVENTS: u64 = 50_000_000;
 
-/// What a part does: letters to others by index, and the times at which it wants to be woken, by its own clock.
+/// The output of a process: messages to others by index, and the times, by its own clock, at which to wake it.
 #[derive(Default)]
 pub struct Output {
     pub messages: Vec<(usize, Vec<u8>)>,
     pub timers: Vec<Ns>,
 }
 
-/// A state machine, as the world sees it. Times are of its own clock, which begins anew with each life.
+/// A state machine under simulation. Times are those of its own clock, which starts at 0 with each instance.
 pub trait SimulatedProcess {
     fn start(&mut self, now: Ns, out: &mut Output);
     fn receive(&mut self, now: Ns, from: usize, bytes: &[u8], out: &mut Output);
     fn wake(&mut self, now: Ns, out: &mut Output);
-    /// Is asked to go; it is killed some time after.
+    /// Asks the process to stop; it is killed some time later.
     fn leave(&mut self, now: Ns, out: &mut Output);
 }
 
-enum Due {
-    Letter { to: usize, from: usize, bytes: Vec<u8> },
-    Wake { who: usize, life: u32, own: Ns },
-    Begins(usize),
-    Ends(usize),
-    Look,
+enum Event {
+    Message { to: usize, from: usize, bytes: Vec<u8> },
+    Wake { who: usize, instance: u32, own: Ns },
+    FaultStarts(usize),
+    FaultEnds(usize),
+    Check,
 }
 
-struct Seat<P> {
-    part: Option<P>,
-    life: u32,
-    /// Lives begin with a clock at 0; it runs at a pace and may have jumped.
-    born: Ns,
+/// A place in the system, and the process instance that occupies it.
+struct Slot<P> {
+    process: Option<P>,
+    /// The number of instances so far.
+    instance: u32,
+    /// Clock: it started at 0 at this time, runs fast or slow by `ppm`, and has jumped.
+    started: Ns,
     ppm: i64,
     jumped: Ns,
-    /// Stands still: what comes waits, as in a socket's buffer.
+    /// The number of active stops; meanwhile messages wait, as in a socket's buffer.
     stopped: u32,
-    waits: Vec<(usize, Vec<u8>)>,
+    waiting: Vec<(usize, Vec<u8>)>,
+    /// A timer expired while the process was stopped.
     woken: bool,
-    /// Kills that it has not come back from.
+    /// The number of kills from which it has not restarted.
     down: u32,
 }
 
-/// Letters that wait for a part that stands still; more are lost.
-const MOST_WAITING: usize = 200;
+/// The maximum number of messages that wait for a stopped process; further ones are lost.
+const MAX_WAITING: usize = 200;
 
 pub struct Simulation<P> {
-    seats: Vec<Seat<P>>,
+    seats: Vec<Slot<P>>,
     heap: BinaryHeap<Reverse<(Ns, u64, usize)>>,
-    dues: Vec<Option<Due>>,
+    dues: Vec<Option<Event>>,
     free: Vec<usize>,
     serial: u64,
     now: Ns,
-    chance: StdRng,
-    /// The plan's acts that are on now.
-    on: Vec<usize>,
+    rng: StdRng,
+    /// The indices of the plan's active faults.
+    active: Vec<usize>,
     plan: Plan,
     pub events: u64,
-    /// Letters and bytes that were sent, by part.
+    /// The number of messages and bytes sent, by process.
     pub sent: Vec<(u64, u64)>,
-    /// The way of every link without a fault.
+    /// The conditions of a link without faults.
     pub base: LinkConditions,
 }
 
 impl<P: SimulatedProcess> Simulation<P> {
-    /// All parts begin together.
+    /// Creates a simulation in which all processes start together.
     pub fn new(plan: Plan, base: LinkConditions) -> Simulation<P> {
-        let seat = |_| Seat {
-            part: None,
-            life: 0,
-            born: 0,
+        let seat = |_| Slot {
+            process: None,
+            instance: 0,
+            started: 0,
             ppm: 0,
             jumped: 0,
             stopped: 0,
-            waits: Vec::new(),
+            waiting: Vec::new(),
             woken: false,
             down: 0,
         };
@@ -91,16 +94,16 @@
             free: Vec::new(),
             serial: 0,
             now: 0,
-            chance: StdRng::seed_from_u64(plan.seed ^ 0x5707),
-            on: Vec::new(),
+            rng: StdRng::seed_from_u64(plan.seed ^ 0x5707),
+            active: Vec::new(),
             sent: vec![(0, 0); plan.parts],
             plan,
             events: 0,
             base,
         };
         for (at, act) in world.plan.acts.clone().iter().enumerate() {
-            world.put(act.from, Due::Begins(at));
-            world.put(act.until, Due::Ends(at));
+            world.schedule(act.from, Event::FaultStarts(at));
+            world.schedule(act.until, Event::FaultEnds(at));
         }
         world
     }
@@ -110,20 +113,20 @@
     }
 
     pub fn part(&self, who: usize) -> Option<&P> {
-        self.seats[who].part.as_ref()
+        self.seats[who].process.as_ref()
     }
 
     pub fn parts(&self) -> usize {
         self.seats.len()
     }
 
-    /// The lives that a seat has had; its part's clock now; does it run?
+    /// The number of instances a process has had, its current clock, and whether it runs.
     pub fn status(&self, who: usize) -> (u32, Ns, bool) {
         let seat = &self.seats[who];
-        (seat.life, self.clock(who), seat.part.is_some() && seat.stopped == 0)
+        (seat.instance, self.clock(who), seat.process.is_some() && seat.stopped == 0)
     }
 
-    fn put(&mut self, at: Ns, due: Due) {
+    fn schedule(&mut self, at: Ns, due: Event) {
         self.serial += 1;
         let slot = self.free.pop().unwrap_or_else(|| {
             self.dues.push(None);
@@ -133,32 +136,32 @@
         self.heap.push(Reverse((at, self.serial, slot)));
     }
 
-    /// A part's own clock.
+    /// The current time of a process's own clock.
     fn clock(&self, who: usize) -> Ns {
         let seat = &self.seats[who];
-        let lived = self.now - seat.born;
+        let lived = self.now - seat.started;
         lived + (i128::from(lived) * i128::from(seat.ppm) / 1_000_000) as Ns + seat.jumped
     }
 
-    /// When a part's clock will show a time.
+    /// The simulation time at which a process's clock will show `own`.
     fn when(&self, who: usize, own: Ns) -> Ns {
         let left = (own - self.clock(who)).max(0);
         self.now + (i128::from(left) * 1_000_000 / i128::from(1_000_000 + self.seats[who].ppm)) as Ns
     }
 
-    /// Plays to the plan's end: `make` gives a part's next life (its number, and how it returns), `look` sees the world
-    /// every `step`; it ends the play by an error.
+    /// Runs the plan to its end. `make` creates the next instance of a process, from its index, the number of earlier
+    /// instances, and the state to restart with. `check` inspects the simulation at every `step`; its error ends the run.
     ///
     /// # Errors
-    /// What `look` found, or too many events.
+    /// The error of `check`, or too many events.
     pub fn play(
         &mut self, step: Ns, mut make: impl FnMut(usize, u32, RestartState) -> P,
-        mut look: impl FnMut(&Simulation<P>) -> Result<(), String>,
+        mut check: impl FnMut(&Simulation<P>) -> Result<(), String>,
     ) -> Result<(), String> {
         for who in 0..self.seats.len() {
             self.begin(who, make(who, 0, RestartState::Empty));
         }
-        self.put(step, Due::Look);
+        self.schedule(step, Event::Check);
         while let Some(Reverse((at, _, slot))) = self.heap.pop() {
             if at > self.plan.length {
                 break;
@@ -170,37 +173,37 @@
             }
             self.free.push(slot);
             match self.dues[slot].take() {
-                Some(Due::Letter { to, from, bytes }) => self.arrives(to, from, bytes),
-                Some(Due::Wake { who, life, own }) => self.wakes(who, life, own),
-                Some(Due::Begins(act)) => self.fault(act, true, &mut make),
-                Some(Due::Ends(act)) => self.fault(act, false, &mut make),
-                Some(Due::Look) => {
-                    look(self)?;
-                    self.put(at + step, Due::Look);
+                Some(Event::Message { to, from, bytes }) => self.deliver(to, from, bytes),
+                Some(Event::Wake { who, instance, own }) => self.expire_timer(who, instance, own),
+                Some(Event::FaultStarts(act)) => self.fault(act, true, &mut make),
+                Some(Event::FaultEnds(act)) => self.fault(act, false, &mut make),
+                Some(Event::Check) => {
+                    check(self)?;
+                    self.schedule(at + step, Event::Check);
                 }
                 None => {}
             }
         }
-        look(self)
+        check(self)
     }
 
     fn begin(&mut self, who: usize, part: P) {
         let seat = &mut self.seats[who];
-        seat.life += 1;
-        (seat.part, seat.born, seat.jumped, seat.woken) = (Some(part), self.now, 0, false);
-        seat.waits.clear();
+        seat.instance += 1;
+        (seat.process, seat.started, seat.jumped, seat.woken) = (Some(part), self.now, 0, false);
+        seat.waiting.clear();
         self.with(who, |part, now, out| part.start(now, out));
     }
 
     fn with(&mut self, who: usize, act: impl FnOnce(&mut P, Ns, &mut Output)) {
         let now = self.clock(who);
-        let Some(part) = self.seats[who].part.as_mut() else { return };
+        let Some(part) = self.seats[who].process.as_mut() else { return };
         let mut out = Output::default();
         act(part, now, &mut out);
-        let life = self.seats[who].life;
+        let instance = self.seats[who].instance;
         for own in out.timers {
             let own = own.max(now + 1);
-            self.put(self.when(who, own), Due::Wake { who, life, own });
+            self.schedule(self.when(who, own), Event::Wake { who, instance, own });
         }
         for (to, bytes) in out.messages {
             self.send(who, to, bytes);
@@ -208,7 +211,7 @@
     }
 
     fn way(&self, from: usize, to: usize) -> LinkConditions {
-        self.plan.way(&self.on, from, to, self.base)
+        self.plan.way(&self.active, from, to, self.base)
     }
 
     fn send(&mut self, from: usize, to: usize, mut bytes: Vec<u8>) {
@@ -218,44 +221,44 @@
             return;
         }
         let way = self.way(from, to);
-        let chance = &mut self.chance;
-        if way.cut || way.stalled || chance.random_bool(way.lost.clamp(0.0, 1.0)) {
+        let rng = &mut self.rng;
+        if way.cut || way.stalled || rng.random_bool(way.lost.clamp(0.0, 1.0)) {
             return;
         }
-        if chance.random_bool(way.flipped.clamp(0.0, 1.0)) && !bytes.is_empty() {
-            let bit = chance.random_range(0..bytes.len() * 8);
+        if rng.random_bool(way.flipped.clamp(0.0, 1.0)) && !bytes.is_empty() {
+            let bit = rng.random_range(0..bytes.len() * 8);
             bytes[bit / 8] ^= 1 << (bit % 8);
         }
-        let copies = 1 + usize::from(chance.random_bool(way.doubled.clamp(0.0, 1.0)));
+        let copies = 1 + usize::from(rng.random_bool(way.doubled.clamp(0.0, 1.0)));
         for _ in 0..copies {
-            let late = if self.chance.random_bool(way.overtaken.clamp(0.0, 1.0)) { 50 * MS } else { 0 };
-            let jitter = if way.jitter > 0 { self.chance.random_range(0..way.jitter) } else { 0 };
-            let due = Due::Letter { to, from, bytes: bytes.clone() };
-            self.put(self.now + way.delay + late + jitter + 1, due);
+            let late = if self.rng.random_bool(way.overtaken.clamp(0.0, 1.0)) { 50 * MS } else { 0 };
+            let jitter = if way.jitter > 0 { self.rng.random_range(0..way.jitter) } else { 0 };
+            let due = Event::Message { to, from, bytes: bytes.clone() };
+            self.schedule(self.now + way.delay + late + jitter + 1, due);
         }
     }
 
-    fn arrives(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
+    fn deliver(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
         let seat = &mut self.seats[to];
         if seat.stopped > 0 {
-            if seat.part.is_some() && seat.waits.len() < MOST_WAITING {
-                seat.waits.push((from, bytes));
+            if seat.process.is_some() && seat.waiting.len() < MAX_WAITING {
+                seat.waiting.push((from, bytes));
             }
             return;
         }
         self.with(to, |part, now, out| part.receive(now, from, &bytes, out));
     }
 
-    fn wakes(&mut self, who: usize, life: u32, own: Ns) {
+    fn expire_timer(&mut self, who: usize, instance: u32, own: Ns) {
         let short = self.clock(who) < own;
         let seat = &mut self.seats[who];
-        if seat.life != life {
+        if seat.instance != instance {
             return;
         }
-        // A loop holds its timers against the process's own clock: one whose pace has changed since is waited for.
+        // Event loops compare timers with the process's own clock: if its rate has changed since, wait for the rest.
         if short {
             let at = self.when(who, own).max(self.now + 1);
-            return self.put(at, Due::Wake { who, life, own });
+            return self.schedule(at, Event::Wake { who, instance, own });
         }
         if seat.stopped > 0 {
             seat.woken = true;
@@ -266,9 +269,9 @@
 
     fn fault(&mut self, act: usize, begins: bool, make: &mut impl FnMut(usize, u32, RestartState) -> P) {
         if begins {
-            self.on.push(act);
+            self.active.push(act);
         } else {
-            self.on.retain(|on| *on != act);
+            self.active.retain(|on| *on != act);
         }
         match self.plan.acts[act].fault.clone() {
             Fault::Links { .. } | Fault::Disk { .. } => {}
@@ -276,9 +279,10 @@
                 let seat = &mut self.seats[who];
                 seat.stopped = if begins { seat.stopped + 1 } else { seat.stopped.saturating_sub(1) };
                 if !begins && seat.stopped == 0 {
-                    // It wakes to what has waited, in the order that a loop takes: sockets before timers.
-                    let (waits, woken) = (std::mem::take(&mut seat.waits), std::mem::take(&mut seat.woken));
-                    for (from, bytes) in waits {
+                    // Delivers what has waited in the order of an event loop: sockets before timers.
+                    let (waiting, woken) =
+                        (std::mem::take(&mut seat.waiting), std::mem::take(&mut seat.woken));
+                    for (from, bytes) in waiting {
                         self.with(who, |part, now, out| part.receive(now, from, &bytes, out));
                     }
                     if woken {
@@ -298,8 +302,8 @@
                 let seat = &mut self.seats[who];
                 seat.ppm = if begins { ppm } else { 0 };
                 seat.jumped += if begins { jump } else { 0 };
-                // A pace that changes moves no time that has been.
-                let lived = self.now - seat.born;
+                // A change of rate must not alter the time that the clock has shown so far.
+                let lived = self.now - seat.started;
                 let shows =
                     lived + (i128::from(lived) * i128::from(seat.ppm) / 1_000_000) as Ns + seat.jumped;
                 let jump = if begins { jump } else { 0 };
@@ -315,13 +319,13 @@
         let seat = &mut self.seats[who];
         if begins {
             seat.down += 1;
-            seat.part = None;
-            seat.waits.clear();
+            seat.process = None;
+            seat.waiting.clear();
         } else {
             seat.down = seat.down.saturating_sub(1);
             if seat.down == 0 && back != RestartState::Never {
-                let life = seat.life;
-                let part = make(who, life, back);
+                let instance = seat.instance;
+                let part = make(who, instance, back);
                 self.begin(who, part);
             }
         }
@@ -333,7 +337,7 @@
     use super::*;
     use crate::SEC;
 
-    /// Sends its clock to the next part every second.
+    /// Sends a message to the other process every second.
     struct Ticker {
         me: usize,
         heard: Vec<(Ns, usize)>,
@@ -361,7 +365,7 @@
     }
 
     #[test]
-    fn each_fault_does_what_its_name_says() {
+    fn each_fault_has_its_effect() {
         let cut = |from| Fault::Links {
             from: vec![from],
             to: vec![],
@@ -369,16 +373,16 @@
         };
         let counts = |heard: [Vec<(Ns, usize)>; 2]| heard.map(|h| h.len());
         assert_eq!(counts(heard(&[])), [10, 10]);
-        // One way alone.
+        // One direction only.
         assert_eq!(counts(heard(&[(2 * SEC + 1, 6 * SEC + 1, cut(0))])), [10, 6]);
         let stop = heard(&[(2 * SEC + 1, 6 * SEC + 1, Fault::Stop { who: 1 })]);
-        // It wakes to what came, and to one of its own timers.
+        // It receives what has waited, and one of its own timers expires.
         assert_eq!(stop[1].iter().filter(|(at, _)| (*at - 6 * SEC).abs() < MS).count(), 5);
         assert_eq!(stop[0].len(), 7);
         let kill = Fault::Kill { who: 1, back: RestartState::Empty };
         assert_eq!(counts(heard(&[(2 * SEC + 1, 6 * SEC + 1, kill)])), [6, 5]);
         let fast = heard(&[(0, 10 * SEC, Fault::Clock { who: 0, ppm: 10_000, jump: 3 * SEC })]);
-        // Its clock has jumped and runs fast; timers that were set go by the time that passes.
+        // Its clock has jumped and runs fast; timers that were already set follow the elapsed time.
         assert!(fast[0].last().is_some_and(|(at, _)| *at > 13 * SEC) && fast[1].len() == 10, "{fast:?}");
         let doubled = LinkConditions { doubled: 1.0, ..LinkConditions::default() };
         let doubled = Fault::Links { from: vec![], to: vec![], way: doubled };
--- a/loadgen/src/lib.rs
+++ b/loadgen/src/lib.rs
@@ -1,9 +1,9 @@
-//! Load at real fronts, as clients make it: an open loop on a schedule fixed beforehand. An RPC's time counts
-//! from when it was due, whether or not it could be sent then, so that a front that stands still is not
-//! spared the RPCs that would have come meanwhile (Tene, "How not to measure latency"). Threads share one
-//! schedule: each makes all of it and sends its part, so that their number changes nothing but who sends.
+//! Open-loop load on real fronts, with a schedule fixed in advance. The latency of an RPC counts from when it was due,
+//! whether or not it could be sent then, so that a front that stalls is charged for the RPCs that were due meanwhile
+//! (Tene, "How NOT to Measure Latency"). All threads follow one schedule: each generates all of it and sends its
+//! share, so that the number of threads does not change the load.
 //!
-//! The tool watches itself: how late it sends, how busy its threads are, what it could not hold open.
+//! The tool monitors itself: how late it sends, how busy its threads are, and how many RPCs it could not hold open.
 mod thread;
 
 use hdrhistogram::Histogram;
@@ -15,83 +15,85 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Threads at most: each makes the whole schedule, which costs some 200 ns an RPC.
+/// The maximum number of threads: each generates the whole schedule, at a cost of about 200 ns per RPC.
 pub const MAX_THREADS: usize = 64;
-/// From spawning threads to the first RPC: all are up by then.
-const LEAD: Duration = Duration::from_millis(100);
-/// A send later than this has not kept its schedule: below it lie epoll's own wakes.
-const LATE: Ns = 2 * MS;
-/// A thread that works more of its time than this sends late before long.
-const BUSY: f64 = 0.8;
-
-/// What is to be sent, and where.
+/// The time from spawning the threads to the first RPC, so that all have started by then.
+const START_DELAY: Duration = Duration::from_millis(100);
+/// A send that is later than this is off schedule. Smaller delays are caused by epoll's own wake-ups.
+const MAX_LAG: Ns = 2 * MS;
+/// A thread that is busy for a larger share of its time than this will soon send late.
+const MAX_BUSY: f64 = 0.8;
+
+/// The configuration of a load test.
 #[derive(Clone)]
 pub struct LoadTest {
     pub fronts: Vec<SocketAddr>,
-    /// Their names among the settings' fronts, in the same order.
+    /// Their names in the settings, in the same order.
     pub names: Vec<String>,
     pub settings: Settings,
     pub load: Load,
     pub arrivals: Arrivals,
     pub duration: Ns,
-    /// Tries after the first.
+    /// The number of tries after the first.
     pub retries: u32,
     pub work_ms: f64,
     pub seed: u64,
     pub threads: usize,
-    /// RPCs open or waiting for their next try, over all threads; one more is not sent, and told.
+    /// The maximum number of RPCs that are open or waiting for a retry, over all threads; further ones are not sent, and
+    /// are reported.
     pub max_open: usize,
-    /// File for a record of each try, for a replay or the checker.
+    /// The file to record each try in, for a replay or for the checker.
     pub record: Option<PathBuf>,
 }
 
-/// One method's ok RPCs.
+/// Latencies of the ok RPCs of one method, in us.
 #[derive(Clone)]
 pub struct Times {
-    /// From when it was due to its ok, and from the last try's sending to its ok; us.
+    /// From when the RPC was due to its answer.
     pub due: Histogram<u64>,
+    /// From the sending of the last try to its answer.
     pub sent: Histogram<u64>,
 }
 
-/// What came of it.
+/// The result of a load test.
 pub struct Result {
     pub tolls: ClientTotals,
     pub tries: u64,
     pub times: Vec<Times>,
-    /// How late first tries were sent, us.
+    /// How late first tries were sent, in us.
     pub lag: Histogram<u64>,
-    /// Utility asked for and served in time, by the second in which RPCs were due.
+    /// Utility requested and utility served in time, by the second in which the RPCs were due.
     pub by_second: Vec<[f64; 2]>,
     /// Ok RPCs by build.
     pub builds: std::collections::BTreeMap<u32, u64>,
-    /// Share of its time that each thread worked.
+    /// The share of its time that each thread was busy.
     pub busy: Vec<f64>,
     pub threads: usize,
 }
 
-/// Microseconds up to ten minutes, to three digits.
-pub(crate) fn micros() -> std::result::Result<Histogram<u64>, String> {
+/// Creates a histogram of microseconds, up to ten minutes, with three significant digits.
+pub(crate) fn latency_histogram() -> std::result::Result<Histogram<u64>, String> {
     Histogram::new_with_bounds(1, 600_000_000, 3).map_err(|err| err.to_string())
 }
 
 impl LoadTest {
-    /// Sends for as long as told and waits for what is open.
+    /// Sends RPCs for the configured duration and waits until all open ones have ended.
     ///
     /// # Errors
-    /// A course that makes no sense, sockets or the record that can't be had, a thread that failed.
+    /// The configuration is invalid, sockets or the record cannot be opened, or a thread failed.
     pub fn run(&self) -> std::result::Result<Result, String> {
         if self.fronts.is_empty() || self.fronts.len() != self.names.len() {
-            return Err("no fronts, or not a name for each".into());
+            return Err("no fronts, or not as many names as fronts".into());
         }
         if !(1..=MAX_THREADS).contains(&self.threads) || self.max_open < self.threads {
-            return Err(format!("1 to {MAX_THREADS} threads, and an open RPC for each at the least"));
+            return Err(format!("expected 1 to {MAX_THREADS} threads, and at least one open RPC for each"));
         }
-        let begin = Instant::now() + LEAD;
+        let begin = Instant::now() + START_DELAY;
         let parts = std::thread::scope(|scope| {
             let run = |nth| scope.spawn(move || thread::run(self, nth, begin));
             let threads: Vec<_> = (0..self.threads).map(run).collect();
             let joined = threads.into_iter().map(|t| t.join());
-            joined.map(|r| r.unwrap_or_else(|_| Err("a thread has panicked".into()))).collect::<Vec<_>>()
+            joined.map(|r| r.unwrap_or_else(|_| Err("a thread panicked".into()))).collect::<Vec<_>>()
         });
         let mut all: Option<Result> = None;
         for part in parts {
@@ -138,24 +140,24 @@
         Ok(())
     }
 
-    /// All methods' times from when RPCs were due.
+    /// Latencies over all methods, from when the RPCs were due.
     ///
     /// # Errors
-    /// None in practice: the histograms' bounds are the same.
+    /// None in practice, as all histograms have the same bounds.
     pub fn all(&self) -> std::result::Result<Histogram<u64>, String> {
-        let mut all = micros()?;
+        let mut all = latency_histogram()?;
         self.times.iter().try_for_each(|t| all.add(&t.due)).map_err(|err| err.to_string())?;
         Ok(all)
     }
 
-    /// Ok RPCs at the newest build, as a share of all ok; none while there is one build alone.
+    /// The share of ok RPCs that the newest build answered; 0 if there is only one build.
     pub fn newest(&self) -> f64 {
         let all: u64 = self.builds.values().sum();
         let newest = self.builds.last_key_value().filter(|_| self.builds.len() > 1).map_or(0, |(_, n)| *n);
         newest as f64 / all.max(1) as f64
     }
 
-    /// In what the tool itself was the limit: where this says anything, the figures are not the fronts' own.
+    /// The ways in which the tool itself was the bottleneck. If there are any, the figures do not show the fronts' limits.
     pub fn limits(&self) -> Vec<String> {
         let mut limits = Vec::new();
         if self.tolls.not_sent > 0 {
@@ -165,11 +167,11 @@
             ));
         }
         let late = self.lag.value_at_quantile(0.99) as Ns * 1_000;
-        if late > LATE {
+        if late > MAX_LAG {
             limits.push(format!("one in a hundred was sent {:.1} ms late or more", late as f64 / MS as f64));
         }
         let busiest = self.busy.iter().copied().fold(0.0, f64::max);
-        if busiest > BUSY {
+        if busiest > MAX_BUSY {
             limits.push(format!("its busiest thread worked {:.0}% of the time", 100.0 * busiest));
         }
         limits
@@ -189,7 +191,7 @@
             tolls: ClientTotals::default(),
             tries: 0,
             times: Vec::new(),
-            lag: micros().unwrap(),
+            lag: latency_histogram().unwrap(),
             by_second: Vec::new(),
             builds: [(1, 70), (2, 30)].into(),
             busy: vec![0.2, 0.5],
@@ -198,7 +200,7 @@
     }
 
     #[test]
-    fn a_tool_in_time_is_no_limit_and_each_way_of_being_one_is_told() {
+    fn each_limit_of_the_tool_is_reported_and_none_when_it_keeps_up() {
         assert_eq!((result().limits(), result().newest()), (Vec::<String>::new(), 0.3));
         let mut r = result();
         r.lag.record_n(5_000, 10).unwrap();
@@ -208,7 +210,7 @@
     }
 
     #[test]
-    fn parts_add_up() {
+    fn results_of_threads_are_summed() {
         let (mut a, mut b) = (result(), result());
         (a.tolls.ok, b.tolls.ok, b.by_second) = (3, 4, vec![[2.0, 1.0]]);
         b.lag.record(9).unwrap();
--- a/loadgen/tests/load.rs
+++ b/loadgen/tests/load.rs
@@ -1,4 +1,4 @@
-//! The tool against small fronts made here, on loopback.
+//! The load generator against small scripted fronts on loopback.
 use rockpick_control::Settings;
 use rockpick_fakes::{Arrivals, Load};
 use rockpick_loadgen::LoadTest;
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-/// A front that answers ok at once, but for a span after its first RPC in which it stands still.
-fn front(stands_still: std::ops::Range<Ns>) -> SocketAddr {
+/// Starts a front that answers ok at once, except that it stalls for a period after its first RPC.
+fn front(stall: std::ops::Range<Ns>) -> SocketAddr {
     let (to, from) = mpsc::channel();
     std::thread::spawn(move || {
         let mut net = Net::new(10_000).unwrap();
@@ -19,8 +19,8 @@
             for event in events.drain(..) {
                 if let Event::Request { conn, .. } = event {
                     let first = *first.get_or_insert(net.now());
-                    if stands_still.contains(&(net.now() - first)) {
-                        let left = stands_still.end - (net.now() - first);
+                    if stall.contains(&(net.now() - first)) {
+                        let left = stall.end - (net.now() - first);
                         std::thread::sleep(std::time::Duration::from_nanos(left as u64));
                     }
                     net.answer(conn, 200, &[("Rockpick-Answer", "ok"), ("Rockpick-Build", "1")], b"{}");
@@ -49,32 +49,32 @@
     }
 }
 
-/// What a closed loop would hide: those that were due while the front stood still waited for it.
+/// Guards against coordinated omission: RPCs that are due while the front stalls must count from their due time.
 #[test]
-fn rpcs_that_were_due_while_a_front_stood_still_count_from_when_they_were_due() {
-    // Sixty wait for their connection meanwhile: fewer than any system's bound on those.
+fn rpcs_due_while_a_front_stalls_count_from_their_due_time() {
+    // Sixty connections wait to be accepted meanwhile, fewer than any system's limit on pending connections.
     let load = Load { rate: 200.0, ..Load::default() };
-    let came = LoadTest { load, ..course(vec![front(300 * MS..600 * MS)]) }.run().unwrap();
-    let all = came.all().unwrap();
-    assert_eq!((came.tolls.ok, all.len()), (came.tolls.rpcs, came.tolls.ok), "{:?}", came.tolls);
-    // 0.3 s of 1 s, so waits up to 0.3 s are spread evenly over three tenths of all.
+    let result = LoadTest { load, ..course(vec![front(300 * MS..600 * MS)]) }.run().unwrap();
+    let all = result.all().unwrap();
+    assert_eq!((result.tolls.ok, all.len()), (result.tolls.rpcs, result.tolls.ok), "{:?}", result.tolls);
+    // The stall lasts 0.3 s of 1 s, so waits of up to 0.3 s are spread evenly over three tenths of all RPCs.
     let slow = all.iter_recorded().filter(|v| v.value_iterated_to() > 100_000).map(|v| v.count_at_value());
     let share = slow.sum::<u64>() as f64 / all.len() as f64;
     assert!((0.12..0.5).contains(&share), "{share}");
     assert!(all.max() >= 200_000, "{}", all.max());
 }
 
-/// The number of threads changes who sends, not what.
+/// Guards against a schedule that depends on the number of threads, and checks that a record can be replayed.
 #[test]
-fn the_schedule_is_the_same_whatever_the_threads_and_a_record_plays_again() {
+fn the_schedule_does_not_depend_on_the_number_of_threads_and_a_record_can_be_replayed() {
     let dir = tempfile::tempdir().unwrap();
     let at = front(0..0);
     let mut sent = Vec::new();
     let record = |threads: usize, arrivals: Arrivals| {
         let path = dir.path().join(format!("{threads}.jsonl"));
         let course = LoadTest { threads, arrivals, record: Some(path.clone()), ..course(vec![at]) };
-        let came = course.run().unwrap();
-        assert_eq!(came.tolls.ok, came.tolls.rpcs, "{:?}", came.tolls);
+        let result = course.run().unwrap();
+        assert_eq!(result.tolls.ok, result.tolls.rpcs, "{:?}", result.tolls);
         std::fs::read_to_string(path).unwrap()
     };
     for threads in [1, 3] {
@@ -94,9 +94,13 @@
 }
 
 #[test]
-fn a_tool_that_can_not_hold_what_is_open_says_so() {
+fn rpcs_beyond_the_limit_of_open_ones_are_reported_as_not_sent() {
     let course = LoadTest { max_open: 8, threads: 1, ..course(vec![front(100 * MS..700 * MS)]) };
-    let came = course.run().unwrap();
-    assert!(came.tolls.not_sent > 50 && came.limits()[0].contains("were not sent"), "{:?}", came.limits());
+    let result = course.run().unwrap();
+    assert!(
+        result.tolls.not_sent > 50 && result.limits()[0].contains("were not sent"),
+        "{:?}",
+        result.limits()
+    );
     assert!(LoadTest { threads: 0, ..course }.run().is_err());
 }
