--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -121,7 +121,7 @@
 }
 
 fn line(came: &Came, choice: String, seed: u64) -> Result<Line, String> {
-    let (t, all) = (&came.tolls, came.all()?);
+    let (t, all) = (&came.totals, came.all()?);
     Ok(Line {
         choice,
         seed,
@@ -142,7 +142,7 @@
 }
 
 fn show(course: &LoadTest, came: &Came, line: &Line) -> Result<(), Bad2> {
-    let t = &came.tolls;
+    let t = &came.totals;
     println!(
         "service {:.4} (utility within the soft deadline over utility asked for); {} RPCs, {} tries, {} threads",
         line.service, t.rpcs, came.tries, came.threads
--- a/cli/tests/answers.rs
+++ b/cli/tests/answers.rs
@@ -80,7 +80,7 @@
     let (gate, closes, reached) =
         (Gate::default(), Arc::<AtomicUsize>::default(), Arc::<AtomicUsize>::default());
     let (machine_gate, closing, count) = (gate.clone(), closes.clone(), reached.clone());
-    let at = served(move |_, mut line| {
+    let at = machine_served_by(move |_, mut line| {
         let block_at = |now: Step| {
             if step == now {
                 count.fetch_add(1, Ordering::SeqCst);
@@ -201,7 +201,7 @@
 #[test]
 fn each_of_many_simultaneous_clients_gets_an_answer() {
     const CLIENTS: u64 = 200;
-    let machine = machine(&[Does::Answers]);
+    let machine = machine(&[QueryAction::Answer]);
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", machine.at, 1, "active")]);
     config["limits"]["sockets"] = 64.into();
--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -27,7 +27,7 @@
 fn gated_machine(value: &'static [u8]) -> (SocketAddr, Gate, [Arc<AtomicUsize>; 2]) {
     let (gate, counts) = (Gate::default(), [(); 2].map(|()| Arc::new(AtomicUsize::new(0))));
     let (held, [connections, queries]) = (gate.clone(), counts.clone());
-    let at = served(move |_, mut line| {
+    let at = machine_served_by(move |_, mut line| {
         line.hello()?;
         connections.fetch_add(1, Ordering::SeqCst);
         held.pass();
@@ -51,7 +51,7 @@
 
 #[test]
 fn pushed_rosters_are_received_though_the_module_requests_none() {
-    let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (a, b) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
     config["settings"]["discovery"] = "automatic".into();
@@ -62,7 +62,7 @@
 
 #[test]
 fn indented_rosters_are_parsed() {
-    let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (a, b) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     wait_until_polled(&platform);
@@ -74,7 +74,7 @@
 /// Guards against a restarted node that treats a watch without news as not connected, and rejects RPCs for good.
 #[test]
 fn a_watch_with_only_heartbeats_confirms_the_initial_roster() {
-    let a = machine(&[Does::Answers]);
+    let a = machine(&[QueryAction::Answer]);
     let platform = Platform::begin();
     let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     wait_until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
@@ -87,7 +87,7 @@
 /// attempt at the latest; and if watches never send data, the list must be requested as well.
 #[test]
 fn a_silent_watch_is_replaced_in_time_and_a_list_is_fetched_if_the_next_is_silent_too() {
-    let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (a, b) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     wait_until("the watch sends data", || platform.last_sign.lock().unwrap().is_some());
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_pick_whose_machine_is_replaced_while_it_connects_is_not_sent() {
-    let ((at, gate, [_, old]), new) = (gated_machine(b"old"), machine(&[Does::Answers]));
+    let ((at, gate, [_, old]), new) = (gated_machine(b"old"), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", at, 1, "active")]);
     config["settings"]["permissions"]["dialTimeoutMs"] = 1_500.into();
@@ -143,7 +143,7 @@
 /// The pick was decided for a build on trial that is withdrawn before the connection is ready.
 #[test]
 fn a_pick_whose_build_is_withdrawn_while_it_connects_is_not_sent() {
-    let ((new, gate, [connections, queries]), old) = (gated_machine(b"new"), machine(&[Does::Answers]));
+    let ((new, gate, [connections, queries]), old) = (gated_machine(b"new"), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new, 2, "active")]);
     config["settings"]["permissions"]["dialTimeoutMs"] = 1_800.into();
@@ -164,7 +164,7 @@
 /// The new build has answered a key of a one-way release, and the answer is lost: no earlier build may get that key.
 #[test]
 fn a_key_whose_answer_is_lost_goes_to_no_earlier_build() {
-    let (old, new) = (machine(&[Does::Answers]), machine(&[Does::Closes]));
+    let (old, new) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Close]));
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", old.at, 1, "active"), ("b", new.at, 2, "active")]);
     config["settings"]["extra"]["oneWay"] = true.into();
@@ -190,7 +190,7 @@
     let (gate, connections, queries) =
         (Gate::default(), Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
     let serve = |gate: Gate, connections: Arc<AtomicUsize>, queries: Arc<Mutex<usize>>| {
-        move |_: usize, mut line: Line| {
+        move |_: usize, mut line: MachineConnection| {
             line.hello()?;
             // The first connection is closed after the query; that of the repeat is ready late.
             let first = connections.fetch_add(1, Ordering::SeqCst) == 0;
@@ -206,7 +206,8 @@
             line.answers(VALUE)
         }
     };
-    let machines = [(); 2].map(|()| served(serve(gate.clone(), connections.clone(), queries.clone())));
+    let machines =
+        [(); 2].map(|()| machine_served_by(serve(gate.clone(), connections.clone(), queries.clone())));
     let platform = Platform::begin();
     let mut config =
         configuration(&platform, &[("a", machines[0], 1, "active"), ("b", machines[1], 1, "active")]);
@@ -229,7 +230,7 @@
 /// A duplicate of an answer that arrives some milliseconds late must not be taken for the next answer.
 #[test]
 fn a_late_copy_of_an_answer_is_not_taken_for_another() {
-    let at = served(|number, mut line| {
+    let at = machine_served_by(|number, mut line| {
         line.hello()?;
         line.welcome()?;
         line.query()?;
@@ -255,7 +256,7 @@
 /// same turn, the new connection first.
 #[test]
 fn a_connection_with_unread_bytes_is_not_evicted_for_a_new_one() {
-    let a = machine(&[Does::Answers]);
+    let a = machine(&[QueryAction::Answer]);
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
     config["limits"]["sockets"] = 64.into();
@@ -283,7 +284,7 @@
 fn pipelined_commands_are_answered_in_a_shutdown() {
     let gate = Gate::default();
     let machine_gate = gate.clone();
-    let at = served(move |_, mut line| {
+    let at = machine_served_by(move |_, mut line| {
         line.hello()?;
         line.welcome()?;
         while line.query().is_some() {
@@ -305,7 +306,7 @@
 
 #[test]
 fn a_connection_that_came_before_the_listener_closed_is_served() {
-    let a = machine(&[Does::Answers]);
+    let a = machine(&[QueryAction::Answer]);
     let platform = Platform::begin();
     let mut node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     let (mut ready, mut new) = (node.client(), node.connect());
@@ -322,7 +323,7 @@
     const MANY: u64 = 100;
     let large = vec![b'x'; 64 * 1024];
     let answer = row(&large);
-    let at = served(move |_, mut line| {
+    let at = machine_served_by(move |_, mut line| {
         line.hello()?;
         line.welcome()?;
         while line.query().is_some() {
@@ -347,7 +348,7 @@
 
 #[test]
 fn a_shutdown_ends_in_time_though_a_client_is_never_idle() {
-    let a = machine(&[Does::Answers]);
+    let a = machine(&[QueryAction::Answer]);
     let platform = Platform::begin();
     let mut node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     let mut client = node.client();
@@ -374,7 +375,7 @@
 
 #[test]
 fn a_configuration_that_is_complete_only_after_the_signal_is_read() {
-    let a = machine(&[Does::Answers]);
+    let a = machine(&[QueryAction::Answer]);
     let (platform, other) = (Platform::begin(), Platform::begin());
     let node = Node::start(&configuration(&platform, &[("a", a.at, 1, "active")]));
     wait_until_polled(&platform);
@@ -390,7 +391,7 @@
 #[test]
 fn a_flood_of_partial_commands_closes_no_client_that_sends_little() {
     const PART: usize = 128 * 1024;
-    let a = machine(&[Does::Answers]);
+    let a = machine(&[QueryAction::Answer]);
     let platform = Platform::begin();
     let mut config = configuration(&platform, &[("a", a.at, 1, "active")]);
     config["limits"]["sockets"] = 512.into();
--- a/cli/tests/node.rs
+++ b/cli/tests/node.rs
@@ -21,7 +21,7 @@
 }
 
 /// Serves enough RPCs for the decision module to allow several open ones; then sets the machine's script.
-fn warm_up(machine: &Machine, client: &mut Client, next: &[Does]) -> usize {
+fn warm_up(machine: &Machine, client: &mut Client, next: &[QueryAction]) -> usize {
     for id in 0..100 {
         assert!(matches!(client.rpc(&lookup(1 << 32 | id, 900)), Said::Value(_)));
     }
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_node_is_ready_without_machines_and_forwards_an_rpc_with_only_its_deadline_replaced() {
-    let machine = machine(&[Does::Answers]);
+    let machine = machine(&[QueryAction::Answer]);
     let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     assert_eq!(client.rpc(""), Said::Empty);
@@ -55,18 +55,18 @@
     for (opens, does, lookup_rejected, save_rejected) in [
         // (how the machine accepts, what it does, whether a lookup is pushed back, whether a save is, as it never
         // ran)
-        (Opens::Welcomes, Does::Errs("XX000"), true, false),
-        (Opens::Welcomes, Does::Closes, true, false),
-        (Opens::Welcomes, Does::Errs("53300"), true, true),
-        (Opens::Welcomes, Does::Says(noise(300)), true, false),
-        (Opens::Welcomes, Does::Says(huge), true, false),
-        (Opens::Welcomes, Does::Says(row(b"value")[..50].to_vec()), false, false),
-        (Opens::Welcomes, Does::Never, false, false),
-        (Opens::Closes, Does::Answers, true, true),
-        (Opens::Never, Does::Answers, true, true),
-        (Opens::Full, Does::Answers, true, true),
+        (ConnectionAction::Accept, QueryAction::Error("XX000"), true, false),
+        (ConnectionAction::Accept, QueryAction::Close, true, false),
+        (ConnectionAction::Accept, QueryAction::Error("53300"), true, true),
+        (ConnectionAction::Accept, QueryAction::Send(noise(300)), true, false),
+        (ConnectionAction::Accept, QueryAction::Send(huge), true, false),
+        (ConnectionAction::Accept, QueryAction::Send(row(b"value")[..50].to_vec()), false, false),
+        (ConnectionAction::Accept, QueryAction::Ignore, false, false),
+        (ConnectionAction::Close, QueryAction::Answer, true, true),
+        (ConnectionAction::Ignore, QueryAction::Answer, true, true),
+        (ConnectionAction::Reject, QueryAction::Answer, true, true),
     ] {
-        let machine = machine_that(opens, std::slice::from_ref(&does));
+        let machine = machine_with_connection_action(opens, std::slice::from_ref(&does));
         let (_platform, node) = node_with(&machine);
         let mut client = node.client();
         for (statement, rejected) in [(lookup(1, 600), lookup_rejected), (save(2, 600), save_rejected)] {
@@ -86,7 +86,7 @@
 #[test]
 fn what_provably_never_ran_goes_to_another_machine_and_what_may_have_run_does_not() {
     let refused = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let (full, good) = (machine(&[Does::Errs("53300")]), machine(&[Does::Answers]));
+    let (full, good) = (machine(&[QueryAction::Error("53300")]), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     let machines = [("a", refused, 1, "active"), ("b", full.at, 1, "active"), ("c", good.at, 1, "active")];
     let mut config = configuration(&platform, &machines);
@@ -100,7 +100,7 @@
     assert_eq!(good.queries(), 20);
     // Broken after the statement was sent: aborted, and each statement is sent only once.
     let all: Vec<Machine> =
-        (0..10).map(|i| machine(&[if i == 3 { Does::Answers } else { Does::Closes }])).collect();
+        (0..10).map(|i| machine(&[if i == 3 { QueryAction::Answer } else { QueryAction::Close }])).collect();
     let names: Vec<String> = (0..10).map(|i| format!("m{i}")).collect();
     let machines: Vec<_> = names.iter().zip(&all).map(|(n, m)| (n.as_str(), m.at, 1, "active")).collect();
     let node = Node::start(&configuration(&platform, &machines));
@@ -115,7 +115,7 @@
 #[test]
 fn an_answer_followed_by_more_data_is_served_and_the_next_rpc_uses_a_new_connection() {
     for more in [row(b"another"), b"noise".to_vec(), b"Z".to_vec()] {
-        let machine = machine(&[Does::Adds(more), Does::Answers]);
+        let machine = machine(&[QueryAction::AnswerThenSend(more), QueryAction::Answer]);
         let (_platform, node) = node_with(&machine);
         let mut client = node.client();
         for id in 1..=2 {
@@ -128,7 +128,7 @@
 
 #[test]
 fn invalid_client_input_gets_an_error_and_never_reaches_a_machine() {
-    let machine = machine(&[Does::Answers]);
+    let machine = machine(&[QueryAction::Answer]);
     let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     let good = lookup(1, 900);
@@ -172,10 +172,10 @@
 
 #[test]
 fn the_id_of_an_open_rpc_is_rejected_and_pipelined_commands_are_answered_in_order() {
-    let machine = machine(&[Does::Answers]);
+    let machine = machine(&[QueryAction::Answer]);
     let (_platform, node) = node_with(&machine);
     let (mut first, mut second) = (node.client(), node.client());
-    let before = warm_up(&machine, &mut first, &[Does::Never, Does::Answers]);
+    let before = warm_up(&machine, &mut first, &[QueryAction::Ignore, QueryAction::Answer]);
     first.ask(&lookup(7, 700));
     wait_until("the first is sent", || machine.queries() > before);
     assert!(failed(&second.rpc(&lookup(7, 700))), "the id of an open RPC");
@@ -192,7 +192,8 @@
 
 #[test]
 fn a_draining_machine_gets_no_rpc_and_a_returning_name_is_a_new_machine() {
-    let (a, b, c) = (machine(&[Does::Answers]), machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (a, b, c) =
+        (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let (platform, node) = node_with(&a);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
@@ -225,7 +226,7 @@
 /// Guards against a restarted node that keeps using a machine of its initial roster which has left since.
 #[test]
 fn a_machine_that_left_after_the_initial_roster_is_not_used() {
-    let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (a, b) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     platform.list(false, &[("b", b.at, 1, "active")]);
     platform.list(false, &[("b", b.at, 1, "left")]);
@@ -247,7 +248,7 @@
 
 #[test]
 fn a_client_that_waits_beyond_its_deadline_gets_an_answer() {
-    let machine = machine(&[Does::Never]);
+    let machine = machine(&[QueryAction::Ignore]);
     let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     // Without any time left nothing is sent, and the RPC is pushed back.
@@ -263,7 +264,7 @@
 
 #[test]
 fn a_vote_without_a_valid_reply_is_cast_again_and_a_counted_one_is_not() {
-    let (old, new) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (old, new) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let platform = Platform::begin();
     *platform.answer.lock().unwrap() = None;
     let node =
@@ -305,7 +306,7 @@
 
 #[test]
 fn a_reload_moves_to_other_addresses_and_an_unreadable_file_changes_nothing() {
-    let (a, b) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (a, b) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let (platform, node) = node_with(&a);
     wait_until_polled(&platform);
     node.rewrite_config("{ half");
@@ -327,10 +328,10 @@
 
 #[test]
 fn a_shutdown_answers_open_rpcs_serves_new_ones_and_ends() {
-    let machine = machine(&[Does::Answers]);
+    let machine = machine(&[QueryAction::Answer]);
     let (_platform, mut node) = node_with(&machine);
     let (mut waiting, mut active) = (node.client(), node.client());
-    let before = warm_up(&machine, &mut waiting, &[Does::Never, Does::Answers]);
+    let before = warm_up(&machine, &mut waiting, &[QueryAction::Ignore, QueryAction::Answer]);
     waiting.ask(&lookup(1, 900));
     wait_until("it is sent", || machine.queries() > before);
     let began = Instant::now();
@@ -345,7 +346,7 @@
 
 #[test]
 fn silent_connections_are_evicted_and_descriptors_stay_within_their_limit() {
-    let machine = machine(&[Does::Answers]);
+    let machine = machine(&[QueryAction::Answer]);
     let (_platform, node) = node_with(&machine);
     let mut client = node.client();
     assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
@@ -384,7 +385,7 @@
 /// other process and has only TCP and UDP sockets over IPv4.
 #[test]
 fn a_node_is_one_process_with_only_ipv4_sockets() {
-    let machine = machine(&[Does::Answers]);
+    let machine = machine(&[QueryAction::Answer]);
     let (platform, node) = node_with(&machine);
     wait_until_polled(&platform);
     assert!(matches!(node.client().rpc(&lookup(1, 900)), Said::Value(_)));
@@ -413,7 +414,7 @@
 /// and sends it nothing more, even if an older status arrives late.
 #[test]
 fn a_node_learns_from_a_peer_that_a_build_was_withdrawn() {
-    let (old, new) = (machine(&[Does::Answers]), machine(&[Does::Answers]));
+    let (old, new) = (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let machines = [("a", old.at, 1, "active"), ("b", new.at, 2, "active")];
     let platforms = [Platform::begin(), Platform::begin()];
     let mut key = tempfile::NamedTempFile::new().unwrap();
--- a/cli/tests/pipelining.rs
+++ b/cli/tests/pipelining.rs
@@ -49,7 +49,7 @@
 
     fn begin(&self) -> SocketAddr {
         let held = self.clone();
-        served(move |_, mut line| {
+        machine_served_by(move |_, mut line| {
             line.hello()?;
             line.welcome()?;
             while let Some(text) = line.query() {
@@ -177,7 +177,7 @@
 fn unsent_picks_of_a_disconnected_client_are_dropped() {
     let (counts, gate) = (Arc::new(Mutex::new([0, 0])), Gate::default());
     let (seen, held) = (counts.clone(), gate.clone());
-    let at = served(move |_, mut line| {
+    let at = machine_served_by(move |_, mut line| {
         line.hello()?;
         seen.lock().unwrap()[0] += 1;
         held.pass();
--- a/fakes/src/scripted.rs
+++ b/fakes/src/scripted.rs
@@ -14,30 +14,30 @@
 
 /// What a machine does with a query.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Does {
-    Answers,
+pub enum QueryAction {
+    Answer,
     /// An error with this code.
-    Errs(&'static str),
+    Error(&'static str),
     /// Closes once the query is there.
-    Closes,
+    Close,
     /// Reads and says nothing.
-    Never,
+    Ignore,
     /// These bytes in place of an answer.
-    Says(Vec<u8>),
+    Send(Vec<u8>),
     /// A good answer, and these bytes behind it.
-    Adds(Vec<u8>),
+    AnswerThenSend(Vec<u8>),
 }
 
 /// What a machine does with a connection.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Opens {
-    Welcomes,
+pub enum ConnectionAction {
+    Accept,
     /// Closes before its welcome.
-    Closes,
+    Close,
     /// Says nothing.
-    Never,
+    Ignore,
     /// Turns it away: too many connections.
-    Full,
+    Reject,
 }
 
 type Got = Arc<Mutex<Vec<(usize, String)>>>;
@@ -48,14 +48,14 @@
     pub at: SocketAddr,
     /// Queries, with the number of the connection that brought each.
     pub got: Got,
-    pub script: Arc<Mutex<Vec<Does>>>,
+    pub script: Arc<Mutex<Vec<QueryAction>>>,
 }
 
-pub fn machine(script: &[Does]) -> Machine {
-    machine_that(Opens::Welcomes, script)
+pub fn machine(script: &[QueryAction]) -> Machine {
+    machine_with_connection_action(ConnectionAction::Accept, script)
 }
 
-pub fn machine_that(opens: Opens, script: &[Does]) -> Machine {
+pub fn machine_with_connection_action(opens: ConnectionAction, script: &[QueryAction]) -> Machine {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let machine = Machine { at, got: Got::default(), script: Arc::new(Mutex::new(script.to_vec())) };
@@ -70,26 +70,28 @@
 }
 
 /// A machine whose every connection the test serves, told its number.
-pub fn served(by: impl Fn(usize, Line) -> Option<()> + Send + Sync + 'static) -> SocketAddr {
+pub fn machine_served_by(
+    by: impl Fn(usize, MachineConnection) -> Option<()> + Send + Sync + 'static,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let by = Arc::new(by);
     std::thread::spawn(move || {
         for (number, io) in listener.incoming().flatten().enumerate() {
             let by = by.clone();
-            std::thread::spawn(move || by(number, Line { io, came: Vec::new() }));
+            std::thread::spawn(move || by(number, MachineConnection { io, came: Vec::new() }));
         }
     });
     at
 }
 
 /// A connection from the node, as a machine has it.
-pub struct Line {
+pub struct MachineConnection {
     pub io: TcpStream,
     came: Vec<u8>,
 }
 
-impl Line {
+impl MachineConnection {
     /// Reads the startup message.
     pub fn hello(&mut self) -> Option<()> {
         let used = loop {
@@ -165,7 +167,7 @@
 }
 
 impl Machine {
-    fn serve(&self, mut io: TcpStream, opens: Opens, number: usize) -> Option<()> {
+    fn serve(&self, mut io: TcpStream, opens: ConnectionAction, number: usize) -> Option<()> {
         let mut came = Vec::new();
         let used = loop {
             match pg::read_startup(&came) {
@@ -176,13 +178,13 @@
         came.drain(..used);
         let mut out = Vec::new();
         match opens {
-            Opens::Welcomes => pg::put_startup_response(&mut out),
-            Opens::Closes => return None,
-            Opens::Never => {
+            ConnectionAction::Accept => pg::put_startup_response(&mut out),
+            ConnectionAction::Close => return None,
+            ConnectionAction::Ignore => {
                 more(&mut io, &mut came);
                 return None;
             }
-            Opens::Full => {
+            ConnectionAction::Reject => {
                 pg::put_error(&mut out, true, pg::TOO_MANY_CONNECTIONS, "too many connections", None)
             }
         }
@@ -199,12 +201,12 @@
             };
             let mut out = Vec::new();
             match does {
-                Does::Answers => out = row(b"value"),
-                Does::Errs(code) => pg::put_error(&mut out, false, code, "no", None),
-                Does::Closes => return None,
-                Does::Never => {}
-                Does::Says(bytes) => out = bytes,
-                Does::Adds(bytes) => out = [row(b"value"), bytes].concat(),
+                QueryAction::Answer => out = row(b"value"),
+                QueryAction::Error(code) => pg::put_error(&mut out, false, code, "no", None),
+                QueryAction::Close => return None,
+                QueryAction::Ignore => {}
+                QueryAction::Send(bytes) => out = bytes,
+                QueryAction::AnswerThenSend(bytes) => out = [row(b"value"), bytes].concat(),
             }
             io.write_all(&out).ok()?;
         }
--- a/fault-injection/src/simulation.rs
+++ b/fault-injection/src/simulation.rs
@@ -112,11 +112,11 @@
         self.now
     }
 
-    pub fn part(&self, who: usize) -> Option<&P> {
+    pub fn process(&self, who: usize) -> Option<&P> {
         self.seats[who].process.as_ref()
     }
 
-    pub fn parts(&self) -> usize {
+    pub fn process_count(&self) -> usize {
         self.seats.len()
     }
 
@@ -154,7 +154,7 @@
     ///
     /// # Errors
     /// The error of `check`, or too many events.
-    pub fn play(
+    pub fn run(
         &mut self, step: Ns, mut make: impl FnMut(usize, u32, RestartState) -> P,
         mut check: impl FnMut(&Simulation<P>) -> Result<(), String>,
     ) -> Result<(), String> {
@@ -360,8 +360,8 @@
     fn heard(faults: &[(Ns, Ns, Fault)]) -> [Vec<(Ns, usize)>; 2] {
         let plan = Plan::new(1, 2, 10 * SEC + MS, faults);
         let mut world = Simulation::new(plan, LinkConditions::default());
-        world.play(SEC, |me, _, _| Ticker { me, heard: Vec::new() }, |_| Ok(())).unwrap();
-        [0, 1].map(|i| world.part(i).map_or(Vec::new(), |p| p.heard.clone()))
+        world.run(SEC, |me, _, _| Ticker { me, heard: Vec::new() }, |_| Ok(())).unwrap();
+        [0, 1].map(|i| world.process(i).map_or(Vec::new(), |p| p.heard.clone()))
     }
 
     #[test]
--- a/loadgen/src/lib.rs
+++ b/loadgen/src/lib.rs
@@ -57,7 +57,7 @@
 
 /// The result of a load test.
 pub struct Result {
-    pub tolls: ClientTotals,
+    pub totals: ClientTotals,
     pub tries: u64,
     pub times: Vec<Times>,
     /// How late first tries were sent, in us.
@@ -110,7 +110,7 @@
 impl Result {
     fn add(&mut self, other: Result) -> std::result::Result<(), String> {
         let sum = |a: &mut Histogram<u64>, b: &Histogram<u64>| a.add(b).map_err(|err| err.to_string());
-        let (t, o) = (&mut self.tolls, &other.tolls);
+        let (t, o) = (&mut self.totals, &other.totals);
         (t.asked, t.served) = (t.asked + o.asked, t.served + o.served);
         let counts: [(&mut u64, u64); 8] = [
             (&mut t.rpcs, o.rpcs),
@@ -160,10 +160,10 @@
     /// The ways in which the tool itself was the bottleneck. If there are any, the figures do not show the fronts' limits.
     pub fn limits(&self) -> Vec<String> {
         let mut limits = Vec::new();
-        if self.tolls.not_sent > 0 {
+        if self.totals.not_sent > 0 {
             limits.push(format!(
                 "{} RPCs were not sent, as too many were open: give --most-open or more threads",
-                self.tolls.not_sent
+                self.totals.not_sent
             ));
         }
         let late = self.lag.value_at_quantile(0.99) as Ns * 1_000;
@@ -188,7 +188,7 @@
 
     fn result() -> Result {
         Result {
-            tolls: ClientTotals::default(),
+            totals: ClientTotals::default(),
             tries: 0,
             times: Vec::new(),
             lag: latency_histogram().unwrap(),
@@ -204,7 +204,7 @@
         assert_eq!((result().limits(), result().newest()), (Vec::<String>::new(), 0.3));
         let mut r = result();
         r.lag.record_n(5_000, 10).unwrap();
-        (r.tolls.not_sent, r.busy[1]) = (7, 0.93);
+        (r.totals.not_sent, r.busy[1]) = (7, 0.93);
         let said = r.limits().join("; ");
         assert!(said.contains("7 RPCs") && said.contains("5.0 ms late") && said.contains("93%"), "{said}");
     }
@@ -212,10 +212,10 @@
     #[test]
     fn results_of_threads_are_summed() {
         let (mut a, mut b) = (result(), result());
-        (a.tolls.ok, b.tolls.ok, b.by_second) = (3, 4, vec![[2.0, 1.0]]);
+        (a.totals.ok, b.totals.ok, b.by_second) = (3, 4, vec![[2.0, 1.0]]);
         b.lag.record(9).unwrap();
         a.add(b).unwrap();
-        assert_eq!((a.tolls.ok, a.lag.len(), a.threads, a.by_second.len()), (7, 1, 4, 1));
+        assert_eq!((a.totals.ok, a.lag.len(), a.threads, a.by_second.len()), (7, 1, 4, 1));
         assert_eq!(a.builds[&2], 60);
     }
 }
--- a/loadgen/src/thread.rs
+++ b/loadgen/src/thread.rs
@@ -52,7 +52,7 @@
     model.schedule.begin_at(begin);
     let times = || Ok::<Times, String>(Times { due: latency_histogram()?, sent: latency_histogram()? });
     let result = Result {
-        tolls: Default::default(),
+        totals: Default::default(),
         tries: 0,
         times: test.settings.methods.iter().map(|_| times()).collect::<std::result::Result<_, _>>()?,
         lag: latency_histogram()?,
@@ -79,8 +79,8 @@
     };
     thread.run()?;
     let Thread { mut result, model, net, .. } = thread;
-    result.tolls = model.totals;
-    result.tolls.stray = net.unexpected_data;
+    result.totals = model.totals;
+    result.totals.stray = net.unexpected_data;
     Ok(result)
 }
 
--- a/loadgen/tests/load.rs
+++ b/loadgen/tests/load.rs
@@ -56,7 +56,7 @@
     let load = Load { rate: 200.0, ..Load::default() };
     let result = LoadTest { load, ..course(vec![front(300 * MS..600 * MS)]) }.run().unwrap();
     let all = result.all().unwrap();
-    assert_eq!((result.tolls.ok, all.len()), (result.tolls.rpcs, result.tolls.ok), "{:?}", result.tolls);
+    assert_eq!((result.totals.ok, all.len()), (result.totals.rpcs, result.totals.ok), "{:?}", result.totals);
     // The stall lasts 0.3 s of 1 s, so waits of up to 0.3 s are spread evenly over three tenths of all RPCs.
     let slow = all.iter_recorded().filter(|v| v.value_iterated_to() > 100_000).map(|v| v.count_at_value());
     let share = slow.sum::<u64>() as f64 / all.len() as f64;
@@ -74,7 +74,7 @@
         let path = dir.path().join(format!("{threads}.jsonl"));
         let course = LoadTest { threads, arrivals, record: Some(path.clone()), ..course(vec![at]) };
         let result = course.run().unwrap();
-        assert_eq!(result.tolls.ok, result.tolls.rpcs, "{:?}", result.tolls);
+        assert_eq!(result.totals.ok, result.totals.rpcs, "{:?}", result.totals);
         std::fs::read_to_string(path).unwrap()
     };
     for threads in [1, 3] {
@@ -98,7 +98,7 @@
     let course = LoadTest { max_open: 8, threads: 1, ..course(vec![front(100 * MS..700 * MS)]) };
     let result = course.run().unwrap();
     assert!(
-        result.tolls.not_sent > 50 && result.limits()[0].contains("were not sent"),
+        result.totals.not_sent > 50 && result.limits()[0].contains("were not sent"),
         "{:?}",
         result.limits()
     );
--- a/membership/tests/measurements.rs
+++ b/membership/tests/measurements.rs
@@ -94,7 +94,7 @@
     let mut sent = (0u64, 0u64);
     let mut from = (0u64, 0u64);
     world
-        .play(SEC, make, |world| {
+        .run(SEC, make, |world| {
             let sum = world.sent.iter().fold((0, 0), |s, (n, b)| (s.0 + n, s.1 + b));
             if world.now() == dies {
                 sent = sum;
@@ -110,7 +110,7 @@
     let mut found: Vec<f64> = Vec::new();
     let (mut false_suspicions, mut gone) = (0, 0);
     for who in 0..last {
-        let changes = &world.part(who).unwrap().changes;
+        let changes = &world.process(who).unwrap().changes;
         let when =
             changes.iter().find(|(at, c)| *at > dies && matches!(c, Change::Gone(r) if r.name == name));
         found.extend(when.map(|(at, _)| (*at - dies) as f64 / SEC as f64));
--- a/membership/tests/simulation.rs
+++ b/membership/tests/simulation.rs
@@ -161,10 +161,10 @@
     let make = |who: usize, instance, _: RestartState| {
         member(plan, who, instance, if who == 0 { bug } else { Bug::None })
     };
-    world.play(SEC, make, |world| {
-        for who in 0..world.parts() {
+    world.run(SEC, make, |world| {
+        for who in 0..world.process_count() {
             let (instance, ..) = world.status(who);
-            let Some(part) = world.part(who) else { continue };
+            let Some(part) = world.process(who) else { continue };
             let living = part.bug == Bug::CountsOnlyPresent;
             let counted =
                 if living { part.membership.present_count() as u32 } else { part.membership.minimum_count() };
@@ -188,12 +188,12 @@
 
 /// At the end, all running members must hold each other for alive, in their present instances, and nobody else for present.
 fn check_agreement(world: &Simulation<TestMember>) -> Result<(), String> {
-    let running_parts: Vec<usize> = (0..world.parts()).filter(|w| world.status(*w).2).collect();
+    let running_parts: Vec<usize> = (0..world.process_count()).filter(|w| world.status(*w).2).collect();
     for me in &running_parts {
-        let membership = &world.part(*me).expect("running").membership;
-        for who in (0..world.parts()).filter(|w| w != me) {
+        let membership = &world.process(*me).expect("running").membership;
+        for who in (0..world.process_count()).filter(|w| w != me) {
             let record = membership.record(&name(who));
-            let instance = world.part(who).map(|p| p.membership.own_record().instance);
+            let instance = world.process(who).map(|p| p.membership.own_record().instance);
             match (running_parts.contains(&who), record) {
                 (true, Some(r)) if r.status == Status::Alive && Some(r.instance) == instance => {}
                 (false, Some(r)) if !r.is_present() => {}
@@ -202,7 +202,7 @@
                     let held = |m: &usize| {
                         let row =
                             |r: &Record| format!("{} {:?} incarnation {}", r.name, r.status, r.incarnation);
-                        let membership = &world.part(*m).expect("running").membership;
+                        let membership = &world.process(*m).expect("running").membership;
                         let all: Vec<String> = membership.others().map(row).collect();
                         format!("\n  {m}: {}, health penalty {}", all.join(", "), membership.health_penalty())
                     };
@@ -277,7 +277,7 @@
 }
 
 fn changes(world: &Simulation<TestMember>, me: usize, who: usize) -> Vec<String> {
-    let changes = world.part(me).expect("running").changes.iter();
+    let changes = world.process(me).expect("running").changes.iter();
     let of = |record: &Record, what: &str| (record.name == name(who)).then(|| what.to_string());
     changes
         .filter_map(|(_, change)| match change {
@@ -360,15 +360,15 @@
         }
         member
     };
-    world.play(SEC, make, |_| Ok(())).unwrap();
+    world.run(SEC, make, |_| Ok(())).unwrap();
     let taken = |who: usize| {
-        world.part(who).unwrap().changes.iter().filter(|(_, c)| matches!(c, Change::NameTaken(_))).count()
+        world.process(who).unwrap().changes.iter().filter(|(_, c)| matches!(c, Change::NameTaken(_))).count()
     };
     assert_eq!(
         (taken(2), taken(3)),
-        if world.part(2).unwrap().membership.own_record().instance > 77 { (0, 1) } else { (1, 0) }
+        if world.process(2).unwrap().membership.own_record().instance > 77 { (0, 1) } else { (1, 0) }
     );
-    let kept = world.part(0).unwrap().membership.record("f2").unwrap();
+    let kept = world.process(0).unwrap().membership.record("f2").unwrap();
     assert_eq!((kept.status, kept.address), (Status::Alive, if taken(2) == 0 { at(2) } else { at(3) }));
 }
 
--- a/raft/tests/simulation.rs
+++ b/raft/tests/simulation.rs
@@ -418,7 +418,7 @@
         }))
     };
     let seen = history.clone();
-    world.play(20 * MS, make, |world| {
+    world.run(20 * MS, make, |world| {
         clock.set(world.now());
         let on = |act: &&rockpick_fault_injection::PlannedFault| (act.from..act.until).contains(&world.now());
         faulty.set(plan.acts.iter().filter(on).any(|act| matches!(act.fault, Fault::Disk { .. })));
@@ -439,7 +439,7 @@
     }
     // At the end no node may be more than 200 calls behind, and all answered calls must have been applied.
     let states: Vec<&TestNode> = (0..nodes)
-        .filter_map(|who| match world.part(who) {
+        .filter_map(|who| match world.process(who) {
             Some(Participant::Node(node)) => Some(&**node),
             _ => None,
         })
--- a/rehearse/src/node_soak/machines.rs
+++ b/rehearse/src/node_soak/machines.rs
@@ -3,7 +3,7 @@
 use super::fault_plan::Conduct;
 use super::{lock, Clock};
 use rockpick::Ns;
-use rockpick_fakes::scripted::{row, served, Line};
+use rockpick_fakes::scripted::{machine_served_by, row, MachineConnection};
 use rockpick_net::MS;
 use rockpick_pg as pg;
 use std::io::Write;
@@ -43,7 +43,7 @@
         let (up, conduct) = (AtomicBool::new(true), Mutex::new(Conduct::Usual));
         let state = Arc::new(State { number, clock, up, conduct, attempts });
         let theirs = state.clone();
-        let at = served(move |_, line| theirs.serve(line));
+        let at = machine_served_by(move |_, line| theirs.serve(line));
         Machine { name: format!("m{number}"), at, state }
     }
 
@@ -77,7 +77,7 @@
         *lock(&self.conduct)
     }
 
-    fn serve(&self, mut line: Line) -> Closed {
+    fn serve(&self, mut line: MachineConnection) -> Closed {
         line.hello()?;
         self.is_up().then_some(())?;
         line.welcome()?;
@@ -95,7 +95,7 @@
         }
     }
 
-    fn answer(&self, line: &mut Line, conduct: Conduct, request: u64) -> Closed {
+    fn answer(&self, line: &mut MachineConnection, conduct: Conduct, request: u64) -> Closed {
         let mut words = row(&value_of(request));
         match conduct {
             Conduct::Usual | Conduct::ClosesResting => {
--- a/replication/tests/measurements.rs
+++ b/replication/tests/measurements.rs
@@ -91,7 +91,7 @@
     let sent =
         |world: &Simulation<TestReplica>| world.sent.iter().fold((0, 0), |s, (n, b)| (s.0 + n, s.1 + b));
     let began = std::time::Instant::now();
-    let done = world.play(SEC, make, |world| {
+    let done = world.run(SEC, make, |world| {
         if world.now() <= 2 * SEC {
             before = sent(world);
         }
--- a/replication/tests/simulation.rs
+++ b/replication/tests/simulation.rs
@@ -247,10 +247,10 @@
         }
     };
     let seen = expected.clone();
-    world.play(50 * MS, make, |world| {
+    world.run(50 * MS, make, |world| {
         if (world.now() / SEC) % 7 == 3 && world.now() % SEC == 0 {
-            for who in 0..world.parts() {
-                if let Some(part) = world.part(who) {
+            for who in 0..world.process_count() {
+                if let Some(part) = world.process(who) {
                     let tables =
                         TABLES.into_iter().flat_map(|t| part.replica.store().rows_from(Key::first_of(t)));
                     saved_rows.borrow_mut().insert(who, tables.map(|(k, r, d)| (*k, *r, *d)).collect());
@@ -268,7 +268,7 @@
 fn check_result(result: &RunResult) -> Result<(), String> {
     let (world, expected) = (&result.world, result.expected.borrow());
     let running: Vec<&TestReplica> =
-        (0..world.parts()).filter(|w| world.status(*w).2).filter_map(|w| world.part(w)).collect();
+        (0..world.process_count()).filter(|w| world.status(*w).2).filter_map(|w| world.process(w)).collect();
     let Some(first) = running.first() else { return Ok(()) };
     for part in &running {
         for table in TABLES {
@@ -290,7 +290,7 @@
                 row => return Err(format!("{} counted {all}, {bad} of {build}; all have {row:?}", part.me)),
             }
         }
-        if !part.replica.is_complete(Table::Bindings) && running.len() == world.parts() {
+        if !part.replica.is_complete(Table::Bindings) && running.len() == world.process_count() {
             return Err(format!("{} is not complete", part.me));
         }
     }
@@ -316,7 +316,7 @@
 fn check_withdrawals(
     world: &Simulation<TestReplica>, was: &mut BTreeMap<(u64, u32), bool>,
 ) -> Result<(), String> {
-    for part in (0..world.parts()).filter_map(|w| world.part(w)) {
+    for part in (0..world.process_count()).filter_map(|w| world.process(w)) {
         for build in 1..=BUILDS {
             let now = part.replica.is_withdrawn(build);
             if was.insert((part.origin, build), now) == Some(true) && !now {
@@ -334,16 +334,17 @@
     let result = run_with(plan, bug, |world, _| {
         check_withdrawals(world, &mut was)?;
         // Each instance makes changes up to a time of its own clock.
-        let done = |w: usize| world.part(w).is_none_or(|p| world.status(w).1 >= p.until);
-        if world.now() >= plan.length - 50 * SEC && quiet.is_none() && (0..world.parts()).all(done) {
+        let done = |w: usize| world.process(w).is_none_or(|p| world.status(w).1 >= p.until);
+        if world.now() >= plan.length - 50 * SEC && quiet.is_none() && (0..world.process_count()).all(done) {
             quiet = Some(world.now());
         }
         if let (Some(quiet), None) = (quiet, equal) {
             let digests = |part: &TestReplica| TABLES.map(|table| part.replica.store().table_digest(table));
-            let all: Vec<_> = (0..world.parts()).filter_map(|w| world.part(w)).map(digests).collect();
+            let all: Vec<_> =
+                (0..world.process_count()).filter_map(|w| world.process(w)).map(digests).collect();
             equal = all.iter().all(|w| *w == all[0]).then(|| world.now() - quiet);
         }
-        let parts: Vec<&TestReplica> = (0..world.parts()).filter_map(|w| world.part(w)).collect();
+        let parts: Vec<&TestReplica> = (0..world.process_count()).filter_map(|w| world.process(w)).collect();
         for part in &parts {
             let (start, own, _) = world.status(part.me);
             let fresh = start > 1 && own < 200 * MS && part.replica.is_complete(Table::Bindings);
@@ -457,12 +458,12 @@
             makes_changes: false,
         }
     };
-    world.play(SEC, make, |_| Ok(())).unwrap();
+    world.run(SEC, make, |_| Ok(())).unwrap();
     let reported =
         expected.borrow().notices.values().flatten().any(|f| *f == Notice::Conflict(Key::Bound(7)));
     assert!(reported && corrupted.get());
     for who in 0..3 {
-        assert_eq!(world.part(who).unwrap().replica.bound_build(7), Some(4), "{who}");
+        assert_eq!(world.process(who).unwrap().replica.bound_build(7), Some(4), "{who}");
     }
 }
 
