--- a/fakes/src/scripted.rs
+++ b/fakes/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Scripted peers of a live node: machines, discovery, the platform and clients, a thread a connection. They do what a test or
-//! a soak tells them, and a panic in one ends only its thread.
+//! Scripted peers of a live node: machines, discovery, the platform and clients, with one thread per connection. They
+//! follow the instructions of a test or a soak; a panic in one ends only its thread.
 use rockpick_pg as pg;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// The longest that a client waits for words from the node.
+/// How long a client waits for data from the node.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 /// What a machine does with a query.
@@ -18,13 +18,13 @@
     Answer,
     /// An error with this code.
     Error(&'static str),
-    /// Closes once the query is there.
+    /// Closes the connection after receiving the query.
     Close,
-    /// Reads and says nothing.
+    /// Reads the query and sends nothing.
     Ignore,
-    /// These bytes in place of an answer.
+    /// Sends these bytes in place of an answer.
     Send(Vec<u8>),
-    /// A good answer, and these bytes behind it.
+    /// Sends a valid answer, followed by these bytes.
     AnswerThenSend(Vec<u8>),
 }
 
@@ -32,22 +32,22 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ConnectionAction {
     Accept,
-    /// Closes before its welcome.
+    /// Closes the connection before the startup response.
     Close,
-    /// Says nothing.
+    /// Sends nothing.
     Ignore,
-    /// Turns it away: too many connections.
+    /// Rejects the connection with `too many connections`.
     Reject,
 }
 
-type Got = Arc<Mutex<Vec<(usize, String)>>>;
+type ReceivedQueries = Arc<Mutex<Vec<(usize, String)>>>;
 
-/// A machine: does what its script says, the last act for ever.
+/// A machine that follows its script and repeats the last action forever.
 #[derive(Clone)]
 pub struct Machine {
     pub at: SocketAddr,
-    /// Queries, with the number of the connection that brought each.
-    pub got: Got,
+    /// The queries received, each with the number of its connection.
+    pub got: ReceivedQueries,
     pub script: Arc<Mutex<Vec<QueryAction>>>,
 }
 
@@ -58,18 +58,19 @@
 pub fn machine_with_connection_action(opens: ConnectionAction, script: &[QueryAction]) -> Machine {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let machine = Machine { at, got: Got::default(), script: Arc::new(Mutex::new(script.to_vec())) };
-    let theirs = machine.clone();
+    let machine =
+        Machine { at, got: ReceivedQueries::default(), script: Arc::new(Mutex::new(script.to_vec())) };
+    let served_machine = machine.clone();
     std::thread::spawn(move || {
         for (number, io) in listener.incoming().flatten().enumerate() {
-            let machine = theirs.clone();
+            let machine = served_machine.clone();
             std::thread::spawn(move || machine.serve(io, opens, number));
         }
     });
     machine
 }
 
-/// A machine whose every connection the test serves, told its number.
+/// Starts a machine whose connections are served by a function of the caller, which gets the connection's number.
 pub fn machine_served_by(
     by: impl Fn(usize, MachineConnection) -> Option<()> + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -79,28 +80,28 @@
     std::thread::spawn(move || {
         for (number, io) in listener.incoming().flatten().enumerate() {
             let by = by.clone();
-            std::thread::spawn(move || by(number, MachineConnection { io, came: Vec::new() }));
+            std::thread::spawn(move || by(number, MachineConnection { io, received: Vec::new() }));
         }
     });
     at
 }
 
-/// A connection from the node, as a machine has it.
+/// The machine's end of a connection from the node.
 pub struct MachineConnection {
     pub io: TcpStream,
-    came: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl MachineConnection {
     /// Reads the startup message.
     pub fn hello(&mut self) -> Option<()> {
         let used = loop {
-            match pg::read_startup(&self.came) {
+            match pg::read_startup(&self.received) {
                 Ok(pg::StartupMessage::Startup { used }) => break used,
-                _ => more(&mut self.io, &mut self.came)?,
+                _ => read_more(&mut self.io, &mut self.received)?,
             }
         };
-        self.came.drain(..used);
+        self.received.drain(..used);
         Some(())
     }
 
@@ -110,9 +111,9 @@
         self.io.write_all(&out).ok()
     }
 
-    /// The next query's text.
+    /// Reads the text of the next query.
     pub fn query(&mut self) -> Option<String> {
-        let (_, body) = message(&mut self.io, &mut self.came)?;
+        let (_, body) = read_message(&mut self.io, &mut self.received)?;
         Some(pg::read_cstr(&body)?.to_string())
     }
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// Holds whoever passes until it is opened.
+/// Blocks the threads that pass until it is opened.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -136,23 +137,23 @@
     }
 }
 
-/// One message, whole; none: the connection is over.
-fn message(io: &mut TcpStream, came: &mut Vec<u8>) -> Option<(u8, Vec<u8>)> {
+/// Reads one complete message; none if the connection has ended.
+fn read_message(io: &mut TcpStream, received: &mut Vec<u8>) -> Option<(u8, Vec<u8>)> {
     loop {
-        if let Ok(pg::Frame::Complete { tag, body, used }) = pg::read_frame(came, 1 << 20) {
+        if let Ok(pg::Frame::Complete { tag, body, used }) = pg::read_frame(received, 1 << 20) {
             let whole = (tag, body.to_vec());
-            came.drain(..used);
+            received.drain(..used);
             return Some(whole);
         }
-        more(io, came)?;
+        read_more(io, received)?;
     }
 }
 
-fn more(io: &mut TcpStream, came: &mut Vec<u8>) -> Option<()> {
+fn read_more(io: &mut TcpStream, received: &mut Vec<u8>) -> Option<()> {
     let mut buf = [0; 4096];
     match io.read(&mut buf) {
         Ok(n) if n > 0 => {
-            came.extend_from_slice(&buf[..n]);
+            received.extend_from_slice(&buf[..n]);
             Some(())
         }
         _ => None,
@@ -168,20 +169,20 @@
 
 impl Machine {
     fn serve(&self, mut io: TcpStream, opens: ConnectionAction, number: usize) -> Option<()> {
-        let mut came = Vec::new();
+        let mut received = Vec::new();
         let used = loop {
-            match pg::read_startup(&came) {
+            match pg::read_startup(&received) {
                 Ok(pg::StartupMessage::Startup { used }) => break used,
-                _ => more(&mut io, &mut came)?,
+                _ => read_more(&mut io, &mut received)?,
             }
         };
-        came.drain(..used);
+        received.drain(..used);
         let mut out = Vec::new();
         match opens {
             ConnectionAction::Accept => pg::put_startup_response(&mut out),
             ConnectionAction::Close => return None,
             ConnectionAction::Ignore => {
-                more(&mut io, &mut came);
+                read_more(&mut io, &mut received);
                 return None;
             }
             ConnectionAction::Reject => {
@@ -189,7 +190,7 @@
             }
         }
         io.write_all(&out).ok()?;
-        while let Some((b'Q', body)) = message(&mut io, &mut came) {
+        while let Some((b'Q', body)) = read_message(&mut io, &mut received) {
             self.got.lock().unwrap().push((number, pg::read_cstr(&body).unwrap().to_string()));
             let does = {
                 let mut script = self.script.lock().unwrap();
@@ -218,27 +219,28 @@
     }
 }
 
-/// Discovery and the desk: they tell what the test says, to whoever asks, from the first line on.
+/// Fake discovery and platform desk: each sends the test's lines, from the first one on, to whoever connects.
 #[derive(Clone)]
 pub struct Platform {
     pub discovery: SocketAddr,
     pub desk: SocketAddr,
     lists: Arc<Mutex<Vec<String>>>,
     news: Arc<Mutex<Vec<String>>>,
-    /// Votes that came; how each is answered: none, the connection is closed.
+    /// The votes received.
     pub votes: Arc<Mutex<Vec<String>>>,
+    /// The answer to each vote; none: the connection is closed.
     pub answer: Arc<Mutex<Option<String>>>,
-    /// Watches, and connections for news, that were asked for.
+    /// The number of watches and of news connections that were opened.
     pub asked: Arc<Mutex<[usize; 2]>>,
-    /// Watches say nothing any more, those that are asked for neither.
+    /// All watches, including new ones, send nothing.
     pub mute: Arc<AtomicBool>,
-    /// When a watch last said something.
+    /// When a watch last sent data.
     pub last_sign: Arc<Mutex<Option<Instant>>>,
-    /// What is answered to who asks for the list.
+    /// The answer to requests for the full list.
     pub whole: Arc<Mutex<String>>,
-    /// Discovery is down: it ends its watches and closes whatever is asked.
+    /// Discovery is down: it ends its watches and closes every connection.
     pub down: Arc<AtomicBool>,
-    /// When each line of the list was first written to a watch.
+    /// When each line was first written to a watch.
     pub written: Arc<Mutex<Vec<Instant>>>,
 }
 
@@ -262,7 +264,7 @@
         platform.at_other_addresses()
     }
 
-    /// The same platform at further addresses, as a new configuration may name them.
+    /// Serves the same platform at additional addresses, for a changed configuration.
     pub fn at_other_addresses(&self) -> Platform {
         let (discovery, desk) =
             (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
@@ -283,7 +285,7 @@
         platform
     }
 
-    /// A line of the watch, of hosts as [`host`] writes them; its number among all lines.
+    /// Adds a line to the watch, with hosts as [`host`] writes them; returns the line's index.
     pub fn change(&self, hosts: &[Value]) -> usize {
         let mut lists = self.lists.lock().unwrap();
         let seq = lists.len() + 1;
@@ -291,31 +293,31 @@
         seq - 1
     }
 
-    /// Lines of the watch so far.
+    /// The number of lines of the watch so far.
     pub fn lines(&self) -> usize {
         self.lists.lock().unwrap().len()
     }
 
-    /// A line of the watch.
+    /// Adds a line to the watch.
     pub fn list(&self, whole: bool, machines: &[(&str, SocketAddr, u32, &str)]) {
         let mut lists = self.lists.lock().unwrap();
         let seq = lists.len() as u64 + 1;
         lists.push(list(seq, whole, machines).to_string());
     }
 
-    /// The same over many lines, as it may also come.
+    /// Adds a line to the watch as indented JSON, which spans several lines of text.
     pub fn list_indented(&self, machines: &[(&str, SocketAddr, u32, &str)]) {
         let mut lists = self.lists.lock().unwrap();
         let seq = lists.len() as u64 + 1;
         lists.push(serde_json::to_string_pretty(&list(seq, false, machines)).unwrap());
     }
 
-    /// What is answered to who asks for the list.
+    /// Sets the answer to requests for the full list.
     pub fn answer_list(&self, seq: u64, machines: &[(&str, SocketAddr, u32, &str)]) {
         *self.whole.lock().unwrap() = list(seq, true, machines).to_string();
     }
 
-    /// A line of the desk.
+    /// Adds a line of news at the desk.
     pub fn news(&self, line: &str) {
         self.news.lock().unwrap().push(line.to_string());
     }
@@ -346,31 +348,31 @@
         } else {
             io.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
         }
-        // A watch goes on after a version. What began and ended in between is no change, as with any such list.
+        // A watch resumes after a version. Hosts that appeared and left in between are omitted, as in any such watch.
         let after = line
             .split_once("after=")
             .map_or(0, |(_, n)| n.split(' ').next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(0));
-        let mut told_so_far = 0;
+        let mut lines_sent = 0;
         let mute = || !desk && self.mute.load(Ordering::SeqCst);
-        let mut spoke = false;
+        let mut sent_first = false;
         for turn in 0.. {
             if down() {
                 return None;
             }
-            if !mute() && !desk && !spoke && told.lock().unwrap().len() > 1 {
+            if !mute() && !desk && !sent_first && told.lock().unwrap().len() > 1 {
                 let lines = told.lock().unwrap().clone();
-                told_so_far = lines.len();
+                lines_sent = lines.len();
                 let net = net_change(&lines[after.min(lines.len())..], lines.len());
                 io.write_all(format!("{:x}\r\n{net}\n\r\n", net.len() + 1).as_bytes()).ok()?;
-                self.wrote(told_so_far);
+                self.record_written(lines_sent);
             }
-            spoke |= !mute();
+            sent_first |= !mute();
             std::thread::sleep(Duration::from_millis(2));
             if mute() {
                 continue;
             }
-            let lines: Vec<String> = told.lock().unwrap()[told_so_far..].to_vec();
-            told_so_far += lines.len();
+            let lines: Vec<String> = told.lock().unwrap()[lines_sent..].to_vec();
+            lines_sent += lines.len();
             let alive = (turn % 100 == 0).then(|| if desk { "*".to_string() } else { String::new() });
             for line in lines.into_iter().chain(alive) {
                 let said = match desk {
@@ -383,37 +385,40 @@
                 }
             }
             if !desk {
-                self.wrote(told_so_far);
+                self.record_written(lines_sent);
             }
         }
         None
     }
 
-    /// Notes when lines up to this one were first written.
-    fn wrote(&self, lines: usize) {
+    /// Records the time at which lines up to this number were first written.
+    fn record_written(&self, lines: usize) {
         let mut written = self.written.lock().unwrap();
         let known = written.len();
         written.resize(lines.max(known), Instant::now());
     }
 }
 
-/// Lines of a watch as one: the last word of each machine, but for one that came and left in them.
+/// Merges lines of a watch into one: the last state of each machine, without those that appeared and left in them.
 fn net_change(lines: &[String], seq: usize) -> String {
     let mut met: BTreeMap<String, (bool, Value)> = BTreeMap::new();
     for line in lines {
         let told: Value = serde_json::from_str(line).unwrap();
         for host in told["hosts"].as_array().unwrap() {
-            let came = host["health"] == "active";
+            let appeared = host["health"] == "active";
             let name = host["host"].as_str().unwrap().to_string();
-            met.entry(name).or_insert_with(|| (came, host.clone())).1 = host.clone();
+            met.entry(name).or_insert_with(|| (appeared, host.clone())).1 = host.clone();
         }
     }
-    let hosts: Vec<Value> =
-        met.into_values().filter(|(came, last)| !came || last["health"] != "left").map(|m| m.1).collect();
+    let hosts: Vec<Value> = met
+        .into_values()
+        .filter(|(appeared, last)| !appeared || last["health"] != "left")
+        .map(|m| m.1)
+        .collect();
     json!({ "seq": seq, "whole": false, "hosts": hosts }).to_string()
 }
 
-/// A machine as discovery lists it.
+/// A machine in the format of discovery.
 pub fn host(name: &str, at: SocketAddr, build: u32, health: &str, born_ms: u64) -> Value {
     json!({ "host": name, "dial": at.to_string(), "site": "a", "class": "m", "block": 0,
         "health": health, "share": 1.0, "born_ms": born_ms, "version_no": build })
@@ -427,7 +432,7 @@
 
 pub const SOCKETS: usize = 128;
 
-/// A node's configuration; `save` may run once, `lookup` at will.
+/// A node's configuration, in which `save` is non-idempotent and `lookup` is idempotent.
 pub fn configuration(platform: &Platform, machines: &[(&str, SocketAddr, u32, &str)]) -> Value {
     json!({ "name": "n0", "listen": "127.0.0.1:0", "discovery": platform.discovery.to_string(), "seed": "8c1f",
         "limits": { "cores": 1.0, "memory_mb": 64, "sockets": SOCKETS },
@@ -446,37 +451,37 @@
 
 pub struct Client {
     pub io: TcpStream,
-    came: Vec<u8>,
+    received: Vec<u8>,
 }
 
-/// An answer as a client sees it.
+/// The answer that a client received.
 #[derive(Debug, PartialEq)]
 pub enum Said {
     Value(Vec<u8>),
-    /// Code, and the field D.
+    /// The error code, and the detail field D.
     Error(String, Option<String>),
     Empty,
     Closed,
 }
 
 impl Client {
-    /// A connection that has said nothing.
+    /// Opens a connection without sending anything.
     pub fn connect(to: SocketAddr) -> std::io::Result<Client> {
         let io = TcpStream::connect(to)?;
         io.set_read_timeout(Some(PATIENCE))?;
-        Ok(Client { io, came: Vec::new() })
+        Ok(Client { io, received: Vec::new() })
     }
 
-    /// Says its first words, and reads the welcome.
+    /// Sends the startup message and reads the response.
     pub fn startup(&mut self) {
         let mut hello = Vec::new();
         pg::put_startup(&mut hello, "api", "ledger");
         self.io.write_all(&hello).unwrap();
-        while self.message().expect("a welcome").0 != b'Z' {}
+        while self.message().expect("a startup response").0 != b'Z' {}
     }
 
     pub fn message(&mut self) -> Option<(u8, Vec<u8>)> {
-        message(&mut self.io, &mut self.came)
+        read_message(&mut self.io, &mut self.received)
     }
 
     pub fn ask(&mut self, statement: &str) {
@@ -485,7 +490,7 @@
         self.io.write_all(&out).unwrap();
     }
 
-    /// The next answer, up to ReadyForQuery.
+    /// Reads the next answer, up to ReadyForQuery.
     pub fn hear(&mut self) -> Said {
         let mut said = Said::Closed;
         loop {
