--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -20,8 +20,8 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use rockpick_control::settings::is_valid_name;
+use rockpick_fakes::{Clients, Defect, Load, Machine};
 use rockpick_net::{MS, SEC};
-use rockpick_standin::{Bad, Clients, Load, Machine};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -554,10 +554,10 @@
             if !(2..=50).contains(&peers) {
                 return Err(Bad2("--peers: 2 to 50".into()));
             }
-            let read = |file: PathBuf| -> Result<rockpick_storm::Plan, Bad2> {
+            let read = |file: PathBuf| -> Result<rockpick_fault_injection::Plan, Bad2> {
                 let named = |why: String| Bad2(format!("{}: {why}", file.display()));
                 let text = std::fs::read_to_string(&file).map_err(|err| named(err.to_string()))?;
-                rockpick_storm::Plan::read(&text).map_err(named)
+                rockpick_fault_injection::Plan::read(&text).map_err(named)
             };
             let plan = plan.map(read).transpose()?;
             let kept = storms::Storms { fronts: peers, first, seeds, lanes, plan, shrinks: shrink }.run()?;
@@ -581,7 +581,7 @@
             let bad = match bad {
                 None => None,
                 Some(text) => {
-                    Some(Bad::read(&text).ok_or(Bad2(format!("--bad {text}: KIND:SIZE is wanted")))?)
+                    Some(Defect::parse(&text).ok_or(Bad2(format!("--bad {text}: KIND:SIZE is wanted")))?)
                 }
             };
             if !(speed > 0.0 && speed <= 1e3 && (1..=1024).contains(&cores)) {
@@ -620,10 +620,10 @@
             let clients = Clients {
                 fronts,
                 names,
-                charter,
+                settings: charter,
                 load: Load { rate, ..Load::default() },
                 listen: listen.listen,
-                lasts: (seconds * SEC as f64) as i64,
+                duration: (seconds * SEC as f64) as i64,
                 retries,
                 work_ms,
                 disputes,
@@ -642,8 +642,7 @@
             let accounts: Option<Vec<(String, String)>> = account.iter().map(split).collect();
             let accounts = accounts.ok_or(Bad2("--account: DN=PASSWORD is wanted".into()))?;
             let listen = listen.listen;
-            let server =
-                rockpick_standin::DirectoryServer { listen, control, ldaps, name, expired, accounts };
+            let server = rockpick_fakes::DirectoryServer { listen, control, ldaps, name, expired, accounts };
             let told = |at, control| {
                 ready(at);
                 println!("control {control}");
@@ -674,7 +673,7 @@
         }
         What::Faulty { listen, at, name, breaks, seed } => {
             let (listen, controller) = (listen.listen, at.controller);
-            rockpick_standin::Faulty { name, listen, controller, breaks, seed }.run(ready).map_err(Bad2)?;
+            rockpick_fakes::Faulty { name, listen, controller, breaks, seed }.run(ready).map_err(Bad2)?;
             good
         }
         What::Rehearse(plan) => match rockpick_rehearse::run(*plan) {
--- a/cli/tests/directory.rs
+++ b/cli/tests/directory.rs
@@ -4,9 +4,9 @@
 
 use peers::*;
 use rockpick_control::Settings;
+use rockpick_fakes::DirectoryServer;
 use rockpick_net::{Event, Net, Ns, MS, SEC};
 use rockpick_rehearse::call;
-use rockpick_standin::DirectoryServer;
 use rockpick_tenant::settings::{Credentials, Server};
 use rockpick_tenant::{DirectorySettings, DirectoryWorker, Identity, Link};
 use serde_json::{json, Value};
--- a/emu/src/line.rs
+++ b/emu/src/line.rs
@@ -1,9 +1,9 @@
 //! The summary of a day, stored as a line of JSON. Emulated days, rehearsals and load runs share the format; all
 //! figures are computed from the records of clients and machines.
 use rockpick_control::Settings;
+use rockpick_fakes::machine_model::JobEvent;
 use rockpick_rehearse::day::Action;
 use rockpick_rehearse::judge::{ClientEvent, Evidence, Judgement};
-use rockpick_standin::shop::Did;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -82,7 +82,7 @@
         let mut newest: Vec<[f64; 2]> = Vec::new();
         let mut told = evidence.stages.iter().peekable();
         let mut build = settings.first_build;
-        let mut arrived: Vec<_> = evidence.machines.iter().filter(|m| m.event == Did::Arrived).collect();
+        let mut arrived: Vec<_> = evidence.machines.iter().filter(|m| m.event == JobEvent::Arrived).collect();
         arrived.sort_by_key(|m| m.t);
         for m in arrived {
             while let Some(t) = told.next_if(|t| t.t <= m.t) {
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -11,6 +11,12 @@
 use rockpick_control::release::{Release, Running};
 use rockpick_control::roster::{Heartbeat, Order, Roster};
 use rockpick_control::Settings;
+use rockpick_fakes::client_model::{AttemptOutcome, ClientModel, ClientTotals, Load, NextStep, Rpc};
+use rockpick_fakes::machine_model::{
+    Defect, Environment, Fault, Job, JobEvent, MachineModel, MachineSettings, Reply, DELAYED,
+};
+use rockpick_fakes::schedule::Arrivals;
+use rockpick_fault_injection::Fault as StormFault;
 use rockpick_front::restart;
 use rockpick_ldap::message::{Attribute, Entry as LdapEntry};
 use rockpick_ldap::News;
@@ -19,10 +25,6 @@
 use rockpick_rehearse::judge::{
     ClientEvent, ClientRecord, Evidence, MachineRecord, ProcessAction, StageRecord,
 };
-use rockpick_standin::crowd::{Crowd, How, Load, Next, Rpc, Tolls};
-use rockpick_standin::schedule::Arrivals;
-use rockpick_standin::shop::{Bad, Did, Fault, Job, Kind, Reply, Shop, Yard, HELD};
-use rockpick_storm::Fault as StormFault;
 use rockpick_tenant::{Directory, EntryMapping, Limits, Tenants, UnknownCallers};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -85,7 +87,7 @@
         right: bool,
     },
     PickTimeout(u32, u32, u64),
-    ClientReply(u64, How, Ns),
+    ClientReply(u64, AttemptOutcome, Ns),
     ClientTimeout(u64),
     ClientDisconnected(u32, u32, u64),
     PickAbandoned(u32, u32, u64),
@@ -160,7 +162,7 @@
     build: u32,
     /// Increases with every start and kill of the process.
     run: u32,
-    shop: Option<Shop<PickTag>>,
+    shop: Option<MachineModel<PickTag>>,
     /// Unreachable though its process runs: it accepts picks, but sends neither replies nor heartbeats.
     silent: bool,
     leaving: bool,
@@ -235,7 +237,7 @@
 /// A simulated fleet and the day it runs through.
 pub struct World {
     pub charter: Settings,
-    pub crowd: Crowd,
+    pub crowd: ClientModel,
     now: Ns,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
     serial: u64,
@@ -266,7 +268,7 @@
     vote_tokens: f64,
     vote_tokens_at: Ns,
     controller_stopped_until: Ns,
-    bad_builds: BTreeMap<u32, Bad>,
+    bad_builds: BTreeMap<u32, Defect>,
     shared_slowdown: f64,
     note_delivery: DatagramFaults,
     partitioned: bool,
@@ -295,7 +297,7 @@
 
 /// The result of a run.
 pub struct Outcome {
-    pub tolls: Tolls,
+    pub tolls: ClientTotals,
     pub evidence: Evidence,
     pub events: u64,
     pub virtual_seconds: f64,
@@ -321,8 +323,8 @@
     fell: Option<(f64, f64, Ns)>,
 }
 
-impl Yard<PickTag> for MachineContext<'_> {
-    fn say(&mut self, did: Did, tag: &PickTag) {
+impl Environment<PickTag> for MachineContext<'_> {
+    fn record(&mut self, did: JobEvent, tag: &PickTag) {
         if let Some(lines) = &mut self.lines {
             lines.push(MachineRecord {
                 t: self.now,
@@ -337,13 +339,13 @@
             });
         }
     }
-    fn fell(&mut self, sent: f64, budget: f64, age: Ns) {
+    fn collapsed(&mut self, sent: f64, budget: f64, age: Ns) {
         self.fell = Some((sent, budget, age));
     }
     fn reply(&mut self, conn: u64, tag: &PickTag, reply: Reply) {
         self.replies.push((conn, *tag, reply));
     }
-    fn wake(&mut self, at: Ns, serial: u64) {
+    fn set_timer(&mut self, at: Ns, serial: u64) {
         self.wakes.push((at, serial));
     }
 }
@@ -373,7 +375,7 @@
             return Err(format!("{}: {}", wrong.field, wrong.why));
         }
         let fronts = charter.fronts.len();
-        let crowd = Crowd::new(charter.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
+        let crowd = ClientModel::new(charter.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
         let release = Release::new(&charter);
         let mut world = World {
             crowd,
@@ -479,7 +481,7 @@
         }
         self.evidence.machine_names = self.machines.iter().map(|m| (m.name.clone(), Some(m.place))).collect();
         Outcome {
-            tolls: self.crowd.tolls.clone(),
+            tolls: self.crowd.totals.clone(),
             evidence: self.evidence,
             events: self.events,
             virtual_seconds: self.now as f64 / SEC as f64,
@@ -527,10 +529,10 @@
             Event::PickArrives { front, call, machine, run } => self.pick_arrives(front, call, machine, run),
             Event::MachineTimer(machine, run, serial) => {
                 self.with_machine(machine, run, |shop, now, context| {
-                    if serial & HELD != 0 {
-                        shop.held_over(context, serial)
+                    if serial & DELAYED != 0 {
+                        shop.send_delayed(context, serial)
                     } else {
-                        shop.done(now, context, serial)
+                        shop.finish(now, context, serial)
                     }
                 })
             }
@@ -561,7 +563,7 @@
                 }
             }
             Event::PickAbandoned(machine, run, call) => {
-                self.with_machine(machine, run, |shop, _, context| shop.left(context, call))
+                self.with_machine(machine, run, |shop, _, context| shop.connection_closed(context, call))
             }
             Event::ControllerTick => {
                 self.controller_tick();
@@ -634,7 +636,7 @@
             return;
         }
         let rpc = self.crowd.arrive();
-        let (utility, tenant_index) = (self.crowd.row(&rpc).utility, rpc.tenant % 3);
+        let (utility, tenant_index) = (self.crowd.method(&rpc).utility, rpc.tenant % 3);
         self.firms[tenant_index][0] += utility;
         let second = ((self.now - SEC) / SEC).max(0) as usize;
         self.firm_seconds.resize(self.firm_seconds.len().max(second + 1), [[0.0; 2]; 3]);
@@ -647,16 +649,16 @@
     }
 
     fn send(&mut self, mut rpc: Rpc) {
-        let Some(sending) = self.crowd.begin(self.now, &mut rpc) else { return };
+        let Some(sending) = self.crowd.start_attempt(self.now, &mut rpc) else { return };
         let front = rpc.front as u32;
         self.record_client(&rpc, front, ClientEvent::Sent { leaves: rpc.leave }, false);
         self.last_id += 1;
         let id = self.last_id;
         let incarnation = self.fronts[front as usize].incarnation;
-        let timeout_at = sending.look;
+        let timeout_at = sending.check_at;
         let latency = self.with_jitter(self.wires.client);
         if self.fronts[front as usize].front.is_none() {
-            self.schedule(self.now + 2 * latency, Event::ClientReply(id, How::Unreachable, -1));
+            self.schedule(self.now + 2 * latency, Event::ClientReply(id, AttemptOutcome::Unreachable, -1));
         } else {
             self.schedule(self.now + latency, Event::RequestArrives(front, id));
             self.schedule(timeout_at, Event::ClientTimeout(id));
@@ -667,26 +669,28 @@
                 rpc,
                 front,
                 incarnation,
-                announced_deadline: sending.told,
-                client_deadline: sending.gives_up,
+                announced_deadline: sending.stated_deadline,
+                client_deadline: sending.give_up_at,
                 timeout_at,
             },
         );
     }
 
-    fn reply_received(&mut self, attempt: u64, how: How, wait: Ns) {
+    fn reply_received(&mut self, attempt: u64, how: AttemptOutcome, wait: Ns) {
         let Some(t) = self.attempts.remove(&attempt) else { return };
         let saw = match how {
-            How::Ok { right } => ClientEvent::Ok { right },
-            How::PushedBack => ClientEvent::PushedBack,
-            How::Aborted => ClientEvent::Aborted,
-            How::NotTaken => ClientEvent::Rejected,
-            How::Unreachable => ClientEvent::Unreachable,
-            How::Broken => ClientEvent::ConnectionLost,
-            How::GaveUp => ClientEvent::GaveUp,
+            AttemptOutcome::Ok { right } => ClientEvent::Ok { right },
+            AttemptOutcome::PushedBack => ClientEvent::PushedBack,
+            AttemptOutcome::Aborted => ClientEvent::Aborted,
+            AttemptOutcome::NotTaken => ClientEvent::Rejected,
+            AttemptOutcome::Unreachable => ClientEvent::Unreachable,
+            AttemptOutcome::Broken => ClientEvent::ConnectionLost,
+            AttemptOutcome::GaveUp => ClientEvent::GaveUp,
         };
-        let row = self.crowd.row(&t.rpc);
-        if how == (How::Ok { right: true }) && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS {
+        let row = self.crowd.method(&t.rpc);
+        if how == (AttemptOutcome::Ok { right: true })
+            && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS
+        {
             let (utility, tenant_index) = (row.utility, t.rpc.tenant % 3);
             self.firms[tenant_index][1] += utility;
             let second = ((t.rpc.began - SEC) / SEC).max(0) as usize;
@@ -698,11 +702,11 @@
         self.attempt_ended(t.rpc, how, (wait >= 0).then_some(wait));
     }
 
-    fn attempt_ended(&mut self, rpc: Rpc, how: How, wait: Option<Ns>) {
-        match self.crowd.after(self.now, rpc, how, wait) {
-            Next::Over => {}
-            Next::At(at, rpc) if at <= self.now => self.send(rpc),
-            Next::At(at, rpc) => {
+    fn attempt_ended(&mut self, rpc: Rpc, how: AttemptOutcome, wait: Option<Ns>) {
+        match self.crowd.attempt_ended(self.now, rpc, how, wait) {
+            NextStep::Done => {}
+            NextStep::RetryAt(at, rpc) if at <= self.now => self.send(rpc),
+            NextStep::RetryAt(at, rpc) => {
                 self.last_id += 1;
                 self.delayed_retries.insert(self.last_id, rpc);
                 self.schedule(at, Event::ClientRetry(self.last_id));
@@ -715,7 +719,7 @@
         self.record_client(&t.rpc, t.front, ClientEvent::GaveUp, false);
         let latency = self.with_jitter(self.wires.client);
         self.schedule(self.now + latency, Event::ClientDisconnected(t.front, t.incarnation, attempt));
-        self.attempt_ended(t.rpc, How::GaveUp, None);
+        self.attempt_ended(t.rpc, AttemptOutcome::GaveUp, None);
     }
 
     // Fronts
@@ -785,8 +789,8 @@
                         );
                     }
                 }
-                Action::PushBack(rpc, wait) => self.reply(front, rpc, How::PushedBack, wait),
-                Action::Abort(rpc) => self.reply(front, rpc, How::Aborted, -1),
+                Action::PushBack(rpc, wait) => self.reply(front, rpc, AttemptOutcome::PushedBack, wait),
+                Action::Abort(rpc) => self.reply(front, rpc, AttemptOutcome::Aborted, -1),
                 Action::WakeAt(at, tag) => self.schedule(at, Event::FrontTimer(front, incarnation, tag)),
                 Action::SendNote(peer, note) => {
                     let note = Rc::new(note);
@@ -863,12 +867,15 @@
         let in_time = restart::can_answer_in_time(t.announced_deadline - self.now, margin);
         let node = &mut self.fronts[front as usize];
         if node.incarnation != t.incarnation || node.front.is_none() {
-            return self.reply_received(attempt, How::Unreachable, -1);
+            return self.reply_received(attempt, AttemptOutcome::Unreachable, -1);
         }
         let (method, key, tenant_key) = (t.rpc.method, t.rpc.key, t.rpc.tenant as u32);
         if !in_time {
             let latency = self.with_jitter(self.wires.client);
-            return self.schedule(self.now + latency, Event::ClientReply(attempt, How::PushedBack, SEC / 4));
+            return self.schedule(
+                self.now + latency,
+                Event::ClientReply(attempt, AttemptOutcome::PushedBack, SEC / 4),
+            );
         }
         let (deadline, incarnation, now) = (t.announced_deadline, node.incarnation, self.now);
         let mut tenant = None;
@@ -877,8 +884,10 @@
                 Ok(id) => tenant = Some(id),
                 Err(wait) => {
                     let latency = self.with_jitter(self.wires.client);
-                    return self
-                        .schedule(self.now + latency, Event::ClientReply(attempt, How::PushedBack, wait));
+                    return self.schedule(
+                        self.now + latency,
+                        Event::ClientReply(attempt, AttemptOutcome::PushedBack, wait),
+                    );
                 }
             }
         }
@@ -927,20 +936,20 @@
         let up: Vec<usize> = node.roster.iter().filter(|m| m.state == State::Up).map(|m| m.machine).collect();
         let left = node.open[rpc].as_ref().map_or(0, |o| o.deadline - margin - self.now);
         if up.is_empty() || left <= 0 {
-            return self.reply(front, rpc, How::Aborted, -1);
+            return self.reply(front, rpc, AttemptOutcome::Aborted, -1);
         }
         node.next_machine += 1;
         let machine = up[(node.next_machine + front as usize) % up.len()];
         self.send_pick(front, rpc, machine, left);
     }
 
-    fn reply(&mut self, front: u32, rpc: usize, how: How, wait: Ns) {
+    fn reply(&mut self, front: u32, rpc: usize, how: AttemptOutcome, wait: Ns) {
         let node = &mut self.fronts[front as usize];
         let Some(open) = node.open[rpc].as_ref().filter(|_| !node.rpc_ids.finished(rpc)) else { return };
         let (attempt, tenant) = (open.attempt, open.tenant);
         let served = match how {
-            How::Ok { .. } => Some(true),
-            How::PushedBack => Some(false),
+            AttemptOutcome::Ok { .. } => Some(true),
+            AttemptOutcome::PushedBack => Some(false),
             _ => None,
         };
         if let (Some(limits), Some(tenant), Some(served)) = (&mut node.limits, tenant, served) {
@@ -973,7 +982,7 @@
             *count = [count[0] + 1, count[1] + u32::from(outcome != PickOutcome::Ok)];
         }
         if outcome == PickOutcome::Ok {
-            self.reply(front, rpc, How::Ok { right }, -1);
+            self.reply(front, rpc, AttemptOutcome::Ok { right }, -1);
         }
         let last = self.fronts[front as usize].rpc_ids.finished(rpc);
         self.with_module(front, incarnation, |f, ctl| f.pick_ended(ctl, rpc, number, outcome, took, last));
@@ -981,7 +990,7 @@
             if number < PLAIN_RETRIES {
                 self.plain_pick(front, rpc)
             } else {
-                self.reply(front, rpc, How::Aborted, -1)
+                self.reply(front, rpc, AttemptOutcome::Aborted, -1)
             }
         }
         self.release_rpc(front, rpc);
@@ -1040,7 +1049,8 @@
     // Machines
 
     fn with_machine(
-        &mut self, machine: u32, run: u32, act: impl FnOnce(&mut Shop<PickTag>, Ns, &mut MachineContext),
+        &mut self, machine: u32, run: u32,
+        act: impl FnOnce(&mut MachineModel<PickTag>, Ns, &mut MachineContext),
     ) {
         let now = self.now;
         let m = &mut self.machines[machine as usize];
@@ -1108,10 +1118,10 @@
         }
         let name = &self.charter.fronts[front as usize].name;
         let Some(shop) = &m.shop else { return };
-        if shop.fault.cuts(name) {
+        if shop.fault.is_partitioned_from(name) {
             return; // the pick ends by its timeout
         }
-        let faulty = shop.fault.meets(name);
+        let faulty = shop.fault.affects(name);
         // Connections are limited; each RPC at the machine holds one.
         let at_connection_limit =
             shop.fault.connections.is_some_and(|most| shop.busy + shop.waiting() >= most);
@@ -1123,7 +1133,7 @@
             );
         }
         let job = Job::new(call, tag, work, until, last_method, faulty);
-        self.with_machine(machine, run, |shop, now, context| shop.arrived(now, context, job));
+        self.with_machine(machine, run, |shop, now, context| shop.arrive(now, context, job));
     }
 
     fn start_machine(&mut self, place: usize, build: u32) {
@@ -1149,7 +1159,7 @@
         let g = &self.charter.guard;
         let p = &self.charter.places[place];
         let warm = !self.start_cold;
-        let kind = Kind {
+        let kind = MachineSettings {
             cores: p.weight.round().max(1.0) as usize,
             speed: 1.0,
             bad: self.bad_builds.get(&build).copied(),
@@ -1164,7 +1174,7 @@
         if m.shop.is_some() {
             return;
         }
-        let mut shop = Shop::new(kind, born, seed);
+        let mut shop = MachineModel::new(kind, born, seed);
         if let Some(fault) = &self.fleet_fault {
             shop.fault = fault.clone();
         }
@@ -1259,7 +1269,7 @@
             place: &place,
             build: m.build,
             run: u64::from(m.run),
-            age: self.now - shop.born,
+            age: self.now - shop.started,
             leaving: m.leaving,
             open_rpcs: (shop.busy + shop.waiting()) as u32,
         };
@@ -1402,9 +1412,9 @@
         let now = self.now;
         match act {
             ScriptAction::Offer { build, bad } => {
-                if let Some(bad) = bad.as_deref().and_then(Bad::read) {
+                if let Some(bad) = bad.as_deref().and_then(Defect::parse) {
                     self.bad_builds.insert(*build, bad);
-                    if let Bad::Shared(size) = bad {
+                    if let Defect::Shared(size) = bad {
                         self.shared_slowdown = size;
                     }
                 }
@@ -1435,7 +1445,7 @@
                 open.sort_unstable();
                 for attempt in open {
                     let latency = self.with_jitter(self.wires.client);
-                    self.schedule(now + latency, Event::ClientReply(attempt, How::Broken, -1));
+                    self.schedule(now + latency, Event::ClientReply(attempt, AttemptOutcome::Broken, -1));
                 }
                 let mut calls: Vec<(u64, u32)> = (self.open_picks.iter())
                     .filter(|(_, p)| p.0 == *front as u32)
@@ -1477,7 +1487,7 @@
                 }
             }
             ScriptAction::Fault { share, fault } => {
-                let Ok(fault) = Fault::read(fault) else { return };
+                let Ok(fault) = Fault::parse(fault) else { return };
                 let up = self.running_machines();
                 let count = (share * up.len() as f64).ceil() as usize;
                 for m in up.into_iter().take(count) {
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/crew.rs
@@ -5,9 +5,9 @@
 use crate::judge::{self, Judgement, RawRecords};
 use crate::{call, watch};
 use rockpick_control::Settings;
-use rockpick_standin::record::{clock, Record};
-use rockpick_storm::relay::Relay;
-use rockpick_storm::{Fault, Return, Way};
+use rockpick_fakes::record::{monotonic_ns, Record};
+use rockpick_fault_injection::relay::Relay;
+use rockpick_fault_injection::{Fault, LinkConditions, RestartState};
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -138,7 +138,7 @@
     carried: day::DatagramFaults,
     zones: Vec<u32>,
     /// The storm of a day of peers: which acts are on; by front, how often it is stopped and down.
-    storm: Option<rockpick_storm::Plan>,
+    storm: Option<rockpick_fault_injection::Plan>,
     on: Vec<usize>,
     stopped: Vec<u32>,
     down: Vec<u32>,
@@ -179,7 +179,11 @@
     let (script, lasts) = day::script(&plan)?;
     let charter = day::settings(&plan)?;
     let out = plan.out.clone().unwrap_or_else(|| {
-        std::env::temp_dir().join(format!("rockpick-rehearsal-{}-{}", std::process::id(), clock() / SEC))
+        std::env::temp_dir().join(format!(
+            "rockpick-rehearsal-{}-{}",
+            std::process::id(),
+            monotonic_ns() / SEC
+        ))
     });
     crate::begin_folder(&out)?;
     let text = serde_json::to_string(&plan).map_err(|err| err.to_string())?;
@@ -196,7 +200,7 @@
     fn assemble(plan: Plan, charter: Settings, out: PathBuf) -> Result<Crew, String> {
         let say = |err: std::io::Error| err.to_string();
         let acts = Record::open(Some(&out.join("acts.jsonl"))).map_err(say)?;
-        let relay = Relay::begin(2 * plan.fronts, plan.seed).map_err(say)?;
+        let relay = Relay::start(2 * plan.fronts, plan.seed).map_err(say)?;
         let storm = plan.is_peers_day().then(|| day::storm(&plan));
         if let Some(storm) = &storm {
             std::fs::write(out.join("storm.jsonl"), storm.write()).map_err(say)?;
@@ -262,7 +266,7 @@
                 crew.start_agent(place)?;
             }
         }
-        let by = clock() + UP_WITHIN;
+        let by = monotonic_ns() + UP_WITHIN;
         loop {
             crew.host()?;
             let status = call(crew.control_at, "GET", "/status", "")?;
@@ -272,7 +276,7 @@
             if up >= crew.plan.machines && watching >= crew.plan.fronts {
                 break;
             }
-            if clock() > by {
+            if monotonic_ns() > by {
                 return Err(format!("only {up} machines and {watching} fronts came up"));
             }
             std::thread::sleep(BEAT);
@@ -295,7 +299,7 @@
 
     /// Do all fronts know what the directory has come back with?
     fn look(&mut self) {
-        let now = clock();
+        let now = monotonic_ns();
         let Some(returned) = self.returned.filter(|_| self.in_force.is_none() && now - self.looked > SEC / 5)
         else {
             return;
@@ -338,7 +342,7 @@
         let seed = (self.plan.seed.wrapping_mul(1_000) + front as u64 + self.starts * 7_919).to_string();
         self.starts += 1;
         let state = self.out.join(&name);
-        let (state, notes) = (state.to_string_lossy().into_owned(), self.relay.seats[front].to_string());
+        let (state, notes) = (state.to_string_lossy().into_owned(), self.relay.addresses[front].to_string());
         let mut args = match self.plan.faulty {
             Some(rule) => words(&[
                 "faulty",
@@ -377,7 +381,7 @@
             args.push(format!("--clock-ppm={}", day::clock_ppm(&self.plan, front)));
         }
         let company = self.storm.is_some() && !self.plan.alone;
-        let seat = |front: usize| self.relay.seats[self.plan.fronts + front].to_string();
+        let seat = |front: usize| self.relay.addresses[self.plan.fronts + front].to_string();
         if company {
             let others: Vec<String> =
                 (0..self.plan.fronts).filter(|i| *i != front).take(3).map(seat).collect();
@@ -395,10 +399,10 @@
             serde_json::from_slice::<Value>(&answer.body).ok()?[field].as_str()?.parse().ok()
         };
         if let Some(at) = told("/status", "notes") {
-            self.relay.real(front, at);
+            self.relay.set_address(front, at);
         }
         if let (true, Some(at)) = (company, told("/peers", "listen")) {
-            self.relay.real(self.plan.fronts + front, at);
+            self.relay.set_address(self.plan.fronts + front, at);
         }
         Ok(())
     }
@@ -406,18 +410,21 @@
     /// What each link between fronts does now, for notes and for peers.
     fn links(&self) {
         let fronts = self.plan.fronts;
-        let carried = Way {
+        let carried = LinkConditions {
             lost: self.carried.loss,
             doubled: self.carried.duplication,
             jitter: self.carried.max_delay_ms as i64 * 1_000_000,
-            ..Way::default()
+            ..LinkConditions::default()
         };
         for (from, to) in (0..fronts).flat_map(|a| (0..fronts).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            let parted = Way { cut: self.zones.get(from) != self.zones.get(to), ..Way::default() };
+            let parted = LinkConditions {
+                cut: self.zones.get(from) != self.zones.get(to),
+                ..LinkConditions::default()
+            };
             let storm = self.storm.as_ref().map_or(carried, |s| s.way(&self.on, from, to, carried));
             let way = storm.with(&parted);
-            self.relay.set(from, to, way);
-            self.relay.set(fronts + from, fronts + to, way);
+            self.relay.set_link(from, to, way);
+            self.relay.set_link(fronts + from, fronts + to, way);
         }
     }
 
@@ -445,7 +452,7 @@
             // Its clients would have to be told; here a front that leaves is killed.
             Fault::Leave { who } => {
                 count(&mut self.down[who]);
-                self.take_down(who, begins, Return::Same)?;
+                self.take_down(who, begins, RestartState::Same)?;
             }
             Fault::Disk { who, how } => {
                 let name = self.charter.fronts[who].name.clone();
@@ -468,7 +475,7 @@
         }
     }
 
-    fn take_down(&mut self, who: usize, begins: bool, back: Return) -> Result<(), String> {
+    fn take_down(&mut self, who: usize, begins: bool, back: RestartState) -> Result<(), String> {
         let name = self.charter.fronts[who].name.clone();
         let files = ["json", "peers.rows"].map(|kind| {
             let file = self.out.join(&name).join(format!("{name}.{kind}"));
@@ -485,9 +492,9 @@
             self.fronts[who] = None;
             for (file, former) in &files {
                 match back {
-                    Return::Empty => drop(std::fs::remove_file(file)),
-                    Return::Former => drop(std::fs::copy(former, file)),
-                    Return::Same | Return::Never => {}
+                    RestartState::Empty => drop(std::fs::remove_file(file)),
+                    RestartState::Former => drop(std::fs::copy(former, file)),
+                    RestartState::Same | RestartState::Never => {}
                 }
             }
         } else if self.down[who] == 0 && self.fronts[who].is_none() {
@@ -644,7 +651,7 @@
 
     /// Starts what the controller wants and is not there; clears away what has ended.
     fn host(&mut self) -> Result<(), String> {
-        let now = clock();
+        let now = monotonic_ns();
         self.machines.retain(|_, m| !m.ended());
         if self.plan.agents || now - self.hosted < HOST {
             return Ok(());
@@ -708,11 +715,11 @@
     }
 
     fn note(&mut self, act: &str, who: &str) {
-        self.acts.put(json!({ "act": act, "who": who }));
+        self.acts.write(json!({ "act": act, "who": who }));
     }
 
     fn act(&mut self, act: &Action) -> Result<(), String> {
-        let now = clock();
+        let now = monotonic_ns();
         let after = |ms: u64| now + ms as i64 * 1_000_000;
         match act {
             Action::Offer { build, bad } => {
@@ -817,7 +824,7 @@
                 self.note(if *back { "start" } else { "kill" }, "directory");
                 if *back {
                     self.start_directory(true)?;
-                    self.returned = Some(clock());
+                    self.returned = Some(monotonic_ns());
                 } else {
                     self.directory = None;
                 }
@@ -852,7 +859,7 @@
     }
 
     fn due(&mut self) -> Result<(), String> {
-        let now = clock();
+        let now = monotonic_ns();
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.0 <= now);
         self.pending = later;
@@ -932,7 +939,7 @@
             self.note("company", "fronts");
         }
         self.clients = Some(Proc::start(&args, &self.log("clients"))?);
-        let began = clock();
+        let began = monotonic_ns();
         self.say(&format!(
             "{} fronts, {} machines, {} RPCs/s for {lasts} s; record in {}",
             self.plan.fronts,
@@ -944,7 +951,7 @@
         let (mut told, mut slowed) = (0, began);
         let by = began + (lasts * SEC as f64) as i64 + END_WITHIN;
         loop {
-            let now = clock();
+            let now = monotonic_ns();
             let at = (now - began) as f64 / SEC as f64;
             while let Some((_, act)) = left.next_if(|(due, _)| *due <= at) {
                 self.say(&format!("{at:5.1} s  {act:?}"));
@@ -976,10 +983,10 @@
         if self.storm.is_some() && !self.plan.alone {
             let evidence = judge::parse_records(&self.charter, &read_records(&self.out)?);
             let bound = judge::trial_answered_keys(&self.charter, &evidence);
-            let by = clock() + SETTLES;
+            let by = monotonic_ns() + SETTLES;
             loop {
                 differ = self.copies(&bound);
-                if differ.is_none() || clock() > by {
+                if differ.is_none() || monotonic_ns() > by {
                     break;
                 }
                 std::thread::sleep(BEAT);
@@ -1026,8 +1033,8 @@
     fn end_agents(&mut self) {
         self.agents.iter().flatten().for_each(|a| a.signal(Signal::TERM));
         for agent in self.agents.iter_mut().flatten() {
-            let by = clock() + 2 * SEC;
-            while !agent.ended() && clock() < by {
+            let by = monotonic_ns() + 2 * SEC;
+            while !agent.ended() && monotonic_ns() < by {
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
--- a/rehearse/src/day.rs
+++ b/rehearse/src/day.rs
@@ -2,8 +2,8 @@
 use clap::Args;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use rockpick_storm::plan::{Act as StormFault, Plan as Storm, Range};
-use rockpick_storm::SEC;
+use rockpick_fault_injection::plan::{Plan as Storm, PlanLimits, PlannedFault as StormFault};
+use rockpick_fault_injection::SEC;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use std::path::PathBuf;
@@ -198,7 +198,7 @@
         if self.seconds.is_some_and(|s| !(1.0..=86_400.0).contains(&s)) {
             return Err("--seconds: 1 to 86400".into());
         }
-        if rockpick_standin::Bad::read(&self.bad).is_none() {
+        if rockpick_fakes::Defect::parse(&self.bad).is_none() {
             return Err(format!("--bad {}: KIND:SIZE is wanted", self.bad));
         }
         Ok(())
@@ -211,13 +211,13 @@
 
 /// The storm of a day of peers: it begins with the traffic, and leaves time for a second build after it.
 pub fn storm(plan: &Plan) -> Storm {
-    let (stormy, longest) = (14 * SEC, 4 * SEC);
-    let range = Range {
-        acts: 8,
+    let (fault_window, longest) = (14 * SEC, 4 * SEC);
+    let range = PlanLimits {
+        max_faults: 8,
         parts: plan.fronts,
-        stormy,
-        longest,
-        settles: 30 * SEC,
+        fault_window,
+        max_duration: longest,
+        settle_time: 30 * SEC,
         kills: true,
         // Each front's clock has a pace of its own all day (see `clock_ppm`).
         clocks: false,
--- a/rehearse/src/judge.rs
+++ b/rehearse/src/judge.rs
@@ -6,7 +6,7 @@
 //! processes record the same event at different times because of scheduling; [`RECORDING_SKEW`] allows for that.
 use rockpick_control::settings::{GroupKind, RepeatKind};
 use rockpick_control::Settings;
-use rockpick_standin::shop::Did;
+use rockpick_fakes::machine_model::JobEvent;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -74,7 +74,7 @@
     pub method: u16,
     pub front: u16,
     pub key: Option<u64>,
-    pub event: Did,
+    pub event: JobEvent,
 }
 
 /// A stage as the controller announced it.
@@ -347,14 +347,14 @@
     };
     for v in &records.machines {
         let event = match text(v, "event") {
-            "arrived" => Did::Arrived,
-            "began" => Did::Began,
-            "ok" => Did::Ok,
-            "error" => Did::Error,
-            "full" => Did::Full,
-            "dropped" => Did::Dropped,
-            "left" => Did::Left,
-            "unheard" => Did::Unheard,
+            "arrived" => JobEvent::Arrived,
+            "began" => JobEvent::Began,
+            "ok" => JobEvent::Ok,
+            "error" => JobEvent::Error,
+            "full" => JobEvent::Full,
+            "dropped" => JobEvent::Dropped,
+            "left" => JobEvent::Left,
+            "unheard" => JobEvent::Unheard,
             "fell" => {
                 let (sent, budget) = (&v["sent"], &v["budget"]);
                 let description = format!(
@@ -431,7 +431,7 @@
     let lines = evidence
         .machines
         .iter()
-        .filter(|l| l.event == Did::Ok && l.build == newest.build && settings.rollout.one_way);
+        .filter(|l| l.event == JobEvent::Ok && l.build == newest.build && settings.rollout.one_way);
     let lasting = lines.filter(|l| {
         l.t + PEER_PROPAGATION < end
             && on_trial(l.t)
@@ -547,7 +547,7 @@
         let mut rpcs: BTreeMap<u64, (u16, Vec<MachinePick>)> = BTreeMap::new();
         for l in &self.machines {
             let (_, picks) = rpcs.entry(l.rpc).or_insert_with(|| (l.method, Vec::new()));
-            if l.event == Did::Arrived {
+            if l.event == JobEvent::Arrived {
                 let (machine, attempt, front) = (l.machine, l.attempt, l.front);
                 picks.push(MachinePick { machine, arrived: l.t, began: None, ended: None, attempt, front });
                 continue;
@@ -555,8 +555,8 @@
             let open = |p: &&mut MachinePick| p.machine == l.machine && p.ended.is_none();
             let Some(p) = picks.iter_mut().rev().find(open) else { continue };
             match l.event {
-                Did::Began => p.began = Some(l.t),
-                Did::Unheard | Did::Arrived => {}
+                JobEvent::Began => p.began = Some(l.t),
+                JobEvent::Unheard | JobEvent::Arrived => {}
                 _ => p.ended = Some(l.t),
             }
         }
@@ -621,7 +621,7 @@
             }
         }
         let (mut reported, mut breaches) = (BTreeSet::new(), Vec::new());
-        for l in self.machines.iter().filter(|l| l.event == Did::Arrived) {
+        for l in self.machines.iter().filter(|l| l.event == JobEvent::Arrived) {
             let Some(changes) = states.get(&l.machine) else { continue };
             let n = changes.partition_point(|m| m.0 <= l.t);
             let Some((since, false)) = n.checked_sub(1).map(|i| changes[i]) else { continue };
@@ -665,7 +665,7 @@
         let mut bound_by_any: BTreeMap<u64, (u32, Ns)> = BTreeMap::new();
         for l in &self.machines {
             let (front, build, at) = (self.front(l.front), l.build, l.t);
-            if let Some(key) = l.key.filter(|_| r.one_way && l.event == Did::Ok) {
+            if let Some(key) = l.key.filter(|_| r.one_way && l.event == JobEvent::Ok) {
                 let kept = bound_by_front.entry((l.front, key)).or_insert((build, at));
                 if build > kept.0 {
                     *kept = (build, at);
@@ -677,7 +677,7 @@
                     *kept = if build > kept.0 { (build, at) } else { *kept };
                 }
             }
-            if l.event != Did::Arrived {
+            if l.event != JobEvent::Arrived {
                 continue;
             }
             if let Some((b, since)) = l.key.and_then(|key| bound_by_front.get(&(l.front, key))) {
@@ -762,7 +762,7 @@
                 _ => row.unanswered += 1,
             }
         }
-        for l in self.machines.iter().filter(|l| l.event == Did::Arrived) {
+        for l in self.machines.iter().filter(|l| l.event == JobEvent::Arrived) {
             rows[l.method as usize].picks += 1;
         }
         let named = self.settings.methods.iter().map(|m| m.name.clone()).zip(rows);
--- a/rehearse/src/watch.rs
+++ b/rehearse/src/watch.rs
@@ -1,6 +1,6 @@
 //! A watcher of the controller: every line that it tells, with the time at which it came.
+use rockpick_fakes::record::Record;
 use rockpick_net::{http, take_line, Call, Event, Net, MS, SEC};
-use rockpick_standin::record::Record;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -32,7 +32,7 @@
                     line.extend_from_slice(&bytes);
                     while let Some(whole) = take_line(&mut line) {
                         let said: Value = serde_json::from_slice(&whole).unwrap_or(Value::Null);
-                        record.put(json!({ "line": said }));
+                        record.write(json!({ "line": said }));
                     }
                 }
                 Event::CallEnded { .. } => {
