--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -2,9 +2,9 @@
 use crate::bench::memory;
 use crate::Bad2;
 use clap::{Args, Subcommand};
-use rockpick_emu::parts::PARTS;
-use rockpick_emu::study::{self, Lines};
-use rockpick_emu::{experiment, fit, report, Line, Study, World};
+use rockpick_emu::profile::COMPONENTS;
+use rockpick_emu::study::{self, ResultsFile};
+use rockpick_emu::{experiment, fit, report, DaySummary, Study, World};
 use rockpick_rehearse::judge::Written;
 use rockpick_rehearse::Plan;
 use std::io::Write;
@@ -98,8 +98,9 @@
     pub fn run(self) -> Result<ExitCode, Bad2> {
         let began = Instant::now();
         if self.speed || self.plain {
-            let mut day = experiment::day(&self.plan, &self.set, self.plan.seed, false).map_err(Bad2)?;
-            (day.plain, day.watch) = (self.plain, !self.plain);
+            let mut day =
+                experiment::day_of_plan(&self.plan, &self.set, self.plan.seed, false).map_err(Bad2)?;
+            (day.plain, day.profile) = (self.plain, !self.plain);
             for shape in &self.shape {
                 let (name, value) =
                     shape.split_once('=').ok_or(Bad2(format!("--shape {shape}: NAME=NUMBER")))?;
@@ -114,9 +115,10 @@
             }
             day.limits = match self.limits.as_deref() {
                 None => None,
-                Some(how @ ("sums" | "alone")) => {
-                    Some(rockpick_emu::Kept { rates: [self.tenant_rate, None, None], sums: how == "sums" })
-                }
+                Some(how @ ("sums" | "alone")) => Some(rockpick_emu::TenantLimits {
+                    rates: [self.tenant_rate, None, None],
+                    share_sums: how == "sums",
+                }),
                 Some(other) => return Err(Bad2(format!("--limits {other}: sums or alone"))),
             };
             let before = memory(std::process::id(), "VmHWM");
@@ -127,20 +129,21 @@
                  virtual s, {:.0} MiB at most, service {:.3}", self.plan.fronts, self.plan.machines, t.rpcs,
                 outcome.virtual_seconds, outcome.events as f64 / took, took / outcome.virtual_seconds,
                 held / 1_048_576.0, t.served / t.asked.max(1e-9));
-            let firms = outcome.firms.map(|[asked, served]| format!("{:.3}", served / asked.max(1e-9)));
+            let firms =
+                outcome.tenant_utility.map(|[asked, served]| format!("{:.3}", served / asked.max(1e-9)));
             println!(
                 "service by tenant: {}; served utility/s {}",
                 firms.join(" "),
-                outcome.firms.map(|f| format!("{:.0}", f[1] / outcome.virtual_seconds)).join(" ")
+                outcome.tenant_utility.map(|f| format!("{:.0}", f[1] / outcome.virtual_seconds)).join(" ")
             );
             if self.shape_at.is_some() {
                 let second = |s: &[[f64; 2]; 3]| format!("{:.2}", s[1][1] / s[1][0].max(1e-9));
-                let all: Vec<String> = outcome.firm_seconds.iter().map(second).collect();
+                let all: Vec<String> = outcome.tenant_utility_by_second.iter().map(second).collect();
                 println!("service of the second tenant by second: {}", all.join(" "));
             }
-            if let Some(shares) = outcome.watch.shares() {
+            if let Some(shares) = outcome.profile.shares() {
                 let parts =
-                    PARTS.iter().zip(shares).map(|((_, name), s)| format!("{name} {:.0}%", 100.0 * s));
+                    COMPONENTS.iter().zip(shares).map(|((_, name), s)| format!("{name} {:.0}%", 100.0 * s));
                 println!("time by part: {}", parts.collect::<Vec<_>>().join(", "));
                 println!("memory beyond the program's own: {:.0} KiB a front, {:.0} KiB a machine, were all of it theirs",
                     (held - before) / 1024.0 / self.plan.fronts as f64, (held - before) / 1024.0 / self.plan.machines as f64);
@@ -148,7 +151,7 @@
             return Ok(ExitCode::SUCCESS);
         }
         let (line, judgement) =
-            experiment::play("emulated", &self.plan, &self.set, self.plan.seed).map_err(Bad2)?;
+            experiment::run_plan("emulated", &self.plan, &self.set, self.plan.seed).map_err(Bad2)?;
         let took = began.elapsed().as_secs_f64();
         rockpick_rehearse::print(&judgement, "emulated");
         eprintln!("{} events in {took:.2} s", line.events);
@@ -181,8 +184,8 @@
             Experiment::Take { runs, choice, lines } => {
                 for run in runs {
                     let (plan, written) = rehearsal(&run)?;
-                    let line = fit::line(&plan, &written).map_err(Bad2)?;
-                    append(&lines, &Line { choice: choice.clone(), ..line })?;
+                    let line = fit::summarize(&plan, &written).map_err(Bad2)?;
+                    append(&lines, &DaySummary { choice: choice.clone(), ..line })?;
                 }
                 Ok(ExitCode::SUCCESS)
             }
@@ -192,7 +195,7 @@
 }
 
 /// Puts a line to the end of a file, made if it is not there.
-pub fn append(path: &Path, line: &Line) -> Result<(), Bad2> {
+pub fn append(path: &Path, line: &DaySummary) -> Result<(), Bad2> {
     let say = |err: std::io::Error| Bad2(format!("{}: {err}", path.display()));
     let mut file = std::fs::OpenOptions::new().create(true).append(true).open(path).map_err(say)?;
     let text = serde_json::to_string(line).map_err(|err| Bad2(err.to_string()))?;
@@ -209,9 +212,12 @@
     Ok((plan, rockpick_rehearse::written(dir).map_err(Bad2)?))
 }
 
-fn show(study: Option<&Study>, lines: &[Line]) -> Result<ExitCode, Bad2> {
+fn show(study: Option<&Study>, lines: &[DaySummary]) -> Result<ExitCode, Bad2> {
     print!("{}", report::table(lines));
-    study.map_or(Vec::new(), |s| s.verdicts(lines)).iter().for_each(|v| println!("{}", report::said(v)));
+    study
+        .map_or(Vec::new(), |s| s.verdicts(lines))
+        .iter()
+        .for_each(|v| println!("{}", report::verdict_text(v)));
     let looked: Vec<usize> = lines.iter().filter_map(|l| l.broken).collect();
     let broken: usize = looked.iter().sum();
     match (looked.len(), broken) {
@@ -242,33 +248,33 @@
         };
         // A field that can't be had is told before a file is made.
         for (_, changes) in study.sides() {
-            experiment::day(&study.plan, &changes, study.plan.seed, false).map_err(Bad2)?;
+            experiment::day_of_plan(&study.plan, &changes, study.plan.seed, false).map_err(Bad2)?;
         }
-        let (mut file, known) = Lines::open(&self.lines, &study).map_err(Bad2)?;
+        let (mut file, known) = ResultsFile::open(&self.lines, &study).map_err(Bad2)?;
         if !known.is_empty() {
             eprintln!("goes on after {} days", known.len());
         }
-        let (_, lines) = study.answer(cores(), known, |line| file.put(line)).map_err(Bad2)?;
+        let (_, lines) = study.run(cores(), known, |line| file.put(line)).map_err(Bad2)?;
         show(Some(&study), &lines)
     }
 }
 
 fn predict(fitted: &Path, runs: &[PathBuf]) -> Result<ExitCode, Bad2> {
     let (plan, written) = rehearsal(fitted)?;
-    let wires = fit::wires(&written).map_err(|why| Bad2(format!("{}: {why}", fitted.display())))?;
+    let latencies = fit::latencies(&written).map_err(|why| Bad2(format!("{}: {why}", fitted.display())))?;
     println!(
         "fitted: a way takes {:.3} ms and as much for clients, a machine's timers {:.3} ms beyond the work",
-        1.25 * wires.same as f64 / 1e6,
-        wires.over as f64 / 1e6
+        1.25 * latencies.same as f64 / 1e6,
+        latencies.over as f64 / 1e6
     );
-    let seen = fit::figures(&fit::line(&plan, &written).map_err(Bad2)?);
-    let missed = fit::predict(&plan, wires, cores()).map_err(Bad2)?.misses(&seen);
+    let seen = fit::figures(&fit::summarize(&plan, &written).map_err(Bad2)?);
+    let missed = fit::predict(&plan, latencies, cores()).map_err(Bad2)?.misses(&seen);
     println!("{:<24} {:<12} {:>10} {:>22} {:>10}", "run", "figure", "emulated", "bars (99%)", "loopback");
     let (mut held, mut good) = (0, 0);
     for run in runs {
         let (plan, written) = rehearsal(run)?;
-        let stated = fit::predict(&plan, wires, cores()).map_err(Bad2)?.widened(&missed);
-        let seen = fit::figures(&fit::line(&plan, &written).map_err(Bad2)?);
+        let stated = fit::predict(&plan, latencies, cores()).map_err(Bad2)?.widen(&missed);
+        let seen = fit::figures(&fit::summarize(&plan, &written).map_err(Bad2)?);
         let misses = stated.misses(&seen);
         let name = run.file_name().map_or(String::new(), |n| n.to_string_lossy().into_owned());
         for (i, figure) in fit::FIGURES.iter().enumerate() {
--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -1,8 +1,8 @@
 //! `rockpick load`: open-loop load at real fronts.
 use crate::{ask, lab, Bad2};
 use clap::Args;
-use rockpick_emu::line::QUANTILES;
-use rockpick_emu::Line;
+use rockpick_emu::summary::QUANTILES;
+use rockpick_emu::DaySummary;
 use rockpick_load::{Course, Result as Came};
 use rockpick_net::SEC;
 use rockpick_standin::{Arrivals, Load};
@@ -120,9 +120,9 @@
     }
 }
 
-fn line(came: &Came, choice: String, seed: u64) -> Result<Line, String> {
+fn line(came: &Came, choice: String, seed: u64) -> Result<DaySummary, String> {
     let (t, all) = (&came.tolls, came.all()?);
-    Ok(Line {
+    Ok(DaySummary {
         choice,
         seed,
         how: "loopback".into(),
@@ -137,11 +137,11 @@
         times: QUANTILES.iter().map(|q| all.value_at_quantile(*q) as f64 / 1e3).collect(),
         exposure: came.newest(),
         by_second: came.by_second.iter().map(|[asked, served]| served / f64::max(*asked, 1e-9)).collect(),
-        ..Line::default()
+        ..DaySummary::default()
     })
 }
 
-fn show(course: &Course, came: &Came, line: &Line) -> Result<(), Bad2> {
+fn show(course: &Course, came: &Came, line: &DaySummary) -> Result<(), Bad2> {
     let t = &came.tolls;
     println!(
         "service {:.4} (utility within the soft deadline over utility asked for); {} RPCs, {} tries, {} threads",
--- a/emu/src/experiment.rs
+++ b/emu/src/experiment.rs
@@ -4,8 +4,8 @@
 //! The interval is the percentile bootstrap of the mean difference (Efron, 1979) over pairs. Days
 //! differ far more from each other than choices do, so results are compared in pairs of the same seed. Differences
 //! of service are skewed (congestion collapses or doesn't), which rules out a normal interval.
-use crate::line::Line;
-use crate::world::{Day, Wires, World};
+use crate::summary::DaySummary;
+use crate::world::{Day, Latencies, World};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rockpick_control::Settings;
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// A change without `=`, an unknown path, or settings that are invalid after the changes.
-pub fn vary(settings: &Settings, changes: &[String]) -> Result<Settings, String> {
+pub fn apply_changes(settings: &Settings, changes: &[String]) -> Result<Settings, String> {
     let mut json = serde_json::to_value(settings).map_err(|err| err.to_string())?;
     set_paths(&mut json, changes.iter().filter(|c| !c.starts_with(PLAN_PREFIX)))?;
     Settings::parse(json.to_string().as_bytes()).map_err(|w| format!("{}: {}", w[0].field, w[0].why))
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// An invalid plan or change.
-pub fn day(plan: &Plan, changes: &[String], seed: u64, check: bool) -> Result<Day, String> {
+pub fn day_of_plan(plan: &Plan, changes: &[String], seed: u64, check: bool) -> Result<Day, String> {
     let mut json = serde_json::to_value(Plan { seed, ..plan.clone() }).map_err(|err| err.to_string())?;
     let plan_changes: Vec<String> =
         changes.iter().filter_map(|c| Some(c.strip_prefix(PLAN_PREFIX)?.to_string())).collect();
@@ -61,10 +61,10 @@
     let plan: Plan = serde_json::from_value(json).map_err(|err| format!("plan: {err}"))?;
     plan.check()?;
     let (script, seconds) = rockpick_rehearse::day::script(&plan)?;
-    let settings = vary(&rockpick_rehearse::day::charter(&plan)?, changes)?;
+    let settings = apply_changes(&rockpick_rehearse::day::charter(&plan)?, changes)?;
     let load = Load { rate: plan.rate, ..Load::default() };
     Ok(Day {
-        charter: settings,
+        settings,
         load,
         work_ms: plan.work_ms,
         retries: 2,
@@ -74,8 +74,8 @@
         check,
         plain: false,
         arrivals: Arrivals::Poisson,
-        wires: Wires::default(),
-        watch: false,
+        latencies: Latencies::default(),
+        profile: false,
         limits: None,
     })
 }
@@ -84,30 +84,30 @@
 ///
 /// # Errors
 /// A day that can't be set up.
-pub fn play(
+pub fn run_plan(
     choice: &str, plan: &Plan, changes: &[String], seed: u64,
-) -> Result<(Line, judge::Judgement), String> {
-    let (line, judgement) = played(day(plan, changes, seed, true)?)?;
-    Ok((Line { choice: choice.into(), ..line }, judgement))
+) -> Result<(DaySummary, judge::Judgement), String> {
+    let (line, judgement) = run_day(day_of_plan(plan, changes, seed, true)?)?;
+    Ok((DaySummary { choice: choice.into(), ..line }, judgement))
 }
 
 /// Runs and summarizes a day that is set up.
 ///
 /// # Errors
 /// Invalid settings.
-pub fn played(day: Day) -> Result<(Line, judge::Judgement), String> {
-    let (settings, script, seed) = (day.charter.clone(), day.script.clone(), day.seed);
+pub fn run_day(day: Day) -> Result<(DaySummary, judge::Judgement), String> {
+    let (settings, script, seed) = (day.settings.clone(), day.script.clone(), day.seed);
     let outcome = World::new(day)?.run();
     let judgement = judge::judge(&settings, &outcome.evidence);
-    let line = Line::of(&settings, &outcome.evidence, &judgement, &script);
-    Ok((Line { seed, how: "emulated".into(), events: outcome.events, ..line }, judgement))
+    let line = DaySummary::from_evidence(&settings, &outcome.evidence, &judgement, &script);
+    Ok((DaySummary { seed, how: "emulated".into(), events: outcome.events, ..line }, judgement))
 }
 
 /// Runs tasks on several threads and returns their results in the order of the tasks.
 ///
 /// # Errors
 /// The error of the first task, in that order, that failed.
-pub fn spread<T: Sync, R: Send>(
+pub fn run_parallel<T: Sync, R: Send>(
     threads: usize, tasks: &[T], run: impl Fn(&T) -> Result<R, String> + Sync,
 ) -> Result<Vec<R>, String> {
     let (next, done) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
@@ -153,10 +153,15 @@
     fn changes_are_applied_validated_and_named_in_errors() {
         let settings = Settings::example(2, 4);
         let changed =
-            vary(&settings, &["rollout.dwell_ms=3000".into(), "rollout.stages.0=0.25".into()]).unwrap();
+            apply_changes(&settings, &["rollout.dwell_ms=3000".into(), "rollout.stages.0=0.25".into()])
+                .unwrap();
         assert_eq!((changed.rollout.dwell_ms, changed.rollout.stages[0]), (3_000, 0.25));
-        assert!(vary(&settings, &["rollout.dwel_ms=1".into()]).unwrap_err().contains("rollout.dwel_ms"));
-        assert!(vary(&settings, &["guard.cold_from=9".into()]).unwrap_err().contains("guard.cold_from"));
+        assert!(apply_changes(&settings, &["rollout.dwel_ms=1".into()])
+            .unwrap_err()
+            .contains("rollout.dwel_ms"));
+        assert!(apply_changes(&settings, &["guard.cold_from=9".into()])
+            .unwrap_err()
+            .contains("guard.cold_from"));
     }
 
     #[test]
--- a/emu/src/fit.rs
+++ b/emu/src/fit.rs
@@ -1,8 +1,8 @@
 //! Validation of the emulator against rehearsals. Its latencies are fitted to the record of one rehearsal on
 //! loopback; with them it predicts, with error bars, the results of further rehearsals.
-use crate::experiment::{day, played, spread};
-use crate::line::{Line, P50, P99};
-use crate::world::Wires;
+use crate::experiment::{day_of_plan, run_day, run_parallel};
+use crate::summary::{DaySummary, P50, P99};
+use crate::world::Latencies;
 use rockpick_net::{Ns, MS};
 use rockpick_rehearse::judge::{self, Written};
 use rockpick_rehearse::Plan;
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// A record with too few such RPCs.
-pub fn wires(written: &Written) -> Result<Wires, String> {
+pub fn latencies(written: &Written) -> Result<Latencies, String> {
     let id = |v: &Value| -> Option<(String, String)> {
         Some((v["rpc"].as_str()?.to_string(), v["try"].as_str()?.to_string()))
     };
@@ -63,41 +63,41 @@
     let one_way = samples.iter().map(|(t, ..)| (t[1] - t[0] + t[4] - t[3]) / 2).collect();
     let overheads = samples.iter().map(|(t, _, work)| t[3] - t[2] - (work * MS as f64) as Ns).collect();
     let latency = (median(one_way) as f64 / 2.0 / MEAN_JITTER) as Ns;
-    Ok(Wires {
+    Ok(Latencies {
         same: latency,
         cross: latency,
         client: latency,
         over: median(overheads).max(0),
-        ..Wires::default()
+        ..Latencies::default()
     })
 }
 
 /// Summarizes a rehearsal's records.
-pub fn line(plan: &Plan, written: &Written) -> Result<Line, String> {
+pub fn summarize(plan: &Plan, written: &Written) -> Result<DaySummary, String> {
     let settings = rockpick_rehearse::day::charter(plan)?;
     let (script, _) = rockpick_rehearse::day::script(plan)?;
     let evidence = judge::read(&settings, written);
     let judgement = judge::judge(&settings, &evidence);
-    let line = Line::of(&settings, &evidence, &judgement, &script);
-    Ok(Line { how: "loopback".into(), seed: plan.seed, ..line })
+    let line = DaySummary::from_evidence(&settings, &evidence, &judgement, &script);
+    Ok(DaySummary { how: "loopback".into(), seed: plan.seed, ..line })
 }
 
 /// The names of the predicted figures.
 pub const FIGURES: [&str; 4] = ["service", "p50 ms", "p99 ms", "pushed back"];
 
-pub fn figures(line: &Line) -> [f64; 4] {
+pub fn figures(line: &DaySummary) -> [f64; 4] {
     let time = |at: usize| line.times.get(at).copied().unwrap_or(0.0);
     [line.service, time(P50), time(P99), line.pushed_back as f64 / line.rpcs()]
 }
 
 /// A prediction: mean, lower and upper bound for each of [`FIGURES`].
 #[derive(Clone, Debug)]
-pub struct Stated(pub [[f64; 3]; 4]);
+pub struct Prediction(pub [[f64; 3]; 4]);
 
-impl Stated {
+impl Prediction {
     /// Widens the bars of all figures by the prediction error of the fitted day, which is a systematic error of the
     /// emulator and not chance.
-    pub fn widened(mut self, by: &[f64; 4]) -> Stated {
+    pub fn widen(mut self, by: &[f64; 4]) -> Prediction {
         for (bars, by) in self.0.iter_mut().zip(by) {
             *bars = [bars[0], bars[1] - by, bars[2] + by];
         }
@@ -115,20 +115,20 @@
 ///
 /// # Errors
 /// A day that can't be set up.
-pub fn predict(plan: &Plan, wires: Wires, threads: usize) -> Result<Stated, String> {
+pub fn predict(plan: &Plan, latencies: Latencies, threads: usize) -> Result<Prediction, String> {
     let seeds: Vec<u64> = (FIRST_SEED..FIRST_SEED + DAYS).collect();
     let play = |seed: &u64| -> Result<[f64; 5], String> {
-        let mut day = day(plan, &[], *seed, true)?;
-        day.wires = wires;
-        let (line, _) = played(day)?;
+        let mut day = day_of_plan(plan, &[], *seed, true)?;
+        day.latencies = latencies;
+        let (line, _) = run_day(day)?;
         let f = figures(&line);
         Ok([f[0], f[1], f[2], f[3], line.rpcs()])
     };
-    let days = spread(threads, &seeds, play)?;
+    let days = run_parallel(threads, &seeds, play)?;
     let n = days.len() as f64;
     let mean = |i: usize| days.iter().map(|d| d[i]).sum::<f64>() / n;
     let rpcs = mean(4);
-    Ok(Stated(std::array::from_fn(|i| {
+    Ok(Prediction(std::array::from_fn(|i| {
         let m = mean(i);
         let s = (days.iter().map(|d| (d[i] - m).powi(2)).sum::<f64>() / (n - 1.0)).sqrt();
         let bar = T99 * s * (1.0 + 1.0 / n).sqrt();
@@ -164,17 +164,17 @@
             written.machines.extend(vec![machine("arrived", arrival); picks]);
             written.machines.extend([machine("began", MS), machine("ok", 6 * MS + MS / 2)]);
         }
-        let wires = wires(&written).unwrap();
+        let latencies = latencies(&written).unwrap();
         // 1 ms there and 2 ms back: 1.5 ms one way, in two equal parts, divided by the mean jitter.
-        assert_eq!((wires.client, wires.same, wires.over), (600_000, 600_000, MS / 2));
+        assert_eq!((latencies.client, latencies.same, latencies.over), (600_000, 600_000, MS / 2));
         written.clients.truncate(50);
-        assert!(super::wires(&written).unwrap_err().contains("are wanted"));
+        assert!(super::latencies(&written).unwrap_err().contains("are wanted"));
     }
 
     #[test]
     fn bars_are_widened_and_errors_measured_from_them() {
-        let stated = Stated([[1.0, 0.9, 1.1], [5.0, 4.0, 6.0], [9.0, 8.0, 10.0], [0.0, -0.1, 0.1]]);
-        let stated = stated.widened(&[0.0, 1.0, 0.0, 0.0]);
+        let stated = Prediction([[1.0, 0.9, 1.1], [5.0, 4.0, 6.0], [9.0, 8.0, 10.0], [0.0, -0.1, 0.1]]);
+        let stated = stated.widen(&[0.0, 1.0, 0.0, 0.0]);
         assert_eq!(stated.misses(&[1.0, 6.5, 10.5, 0.0]), [0.0, 0.0, 0.5, 0.0]);
     }
 }
--- a/emu/src/lib.rs
+++ b/emu/src/lib.rs
@@ -4,12 +4,12 @@
 pub mod experiment;
 pub mod fit;
 mod front_node;
-pub mod line;
-pub mod parts;
+pub mod profile;
 pub mod report;
 pub mod study;
+pub mod summary;
 pub mod world;
 
-pub use line::Line;
 pub use study::Study;
-pub use world::{Day, Kept, Outcome, World};
+pub use summary::DaySummary;
+pub use world::{Day, Outcome, TenantLimits, World};
--- a/emu/src/report.rs
+++ b/emu/src/report.rs
@@ -1,7 +1,7 @@
 //! Experiment results as a text table and as a self-contained HTML page with charts.
 use crate::experiment::interval;
-use crate::line::{Line, P50, P99, QUANTILES};
 use crate::study::{Study, Verdict};
+use crate::summary::{DaySummary, P50, P99, QUANTILES};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -10,8 +10,8 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// Results grouped by choice, in the order in which choices first appear.
-fn by_choice(lines: &[Line]) -> Vec<(&str, Vec<&Line>)> {
-    let mut sides: Vec<(&str, Vec<&Line>)> = Vec::new();
+fn by_choice(lines: &[DaySummary]) -> Vec<(&str, Vec<&DaySummary>)> {
+    let mut sides: Vec<(&str, Vec<&DaySummary>)> = Vec::new();
     for line in lines {
         match sides.iter_mut().find(|s| s.0 == line.choice) {
             Some(side) => side.1.push(line),
@@ -36,7 +36,7 @@
 }
 
 /// One row for each choice: means, and the 95% bootstrap interval of service.
-pub fn table(lines: &[Line]) -> String {
+pub fn table(lines: &[DaySummary]) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
@@ -53,7 +53,7 @@
         "false alarms"
     );
     for (name, lines) in by_choice(lines) {
-        let of = |f: &dyn Fn(&Line) -> f64| -> Vec<f64> { lines.iter().map(|l| f(l)).collect() };
+        let of = |f: &dyn Fn(&DaySummary) -> f64| -> Vec<f64> { lines.iter().map(|l| f(l)).collect() };
         let (mean, low, high) = interval(&of(&|l| l.service), 0.05, 1);
         let time = |at: usize| average(&of(&|l| l.times.get(at).copied().unwrap_or(0.0)));
         let backs: Vec<f64> = lines.iter().filter_map(|l| l.back_after).collect();
@@ -61,7 +61,7 @@
             0 => "never".to_string(),
             n => format!("{n}, {:.1} s", average(&backs)),
         };
-        let sum = |f: &dyn Fn(&Line) -> u32| lines.iter().map(|l| f(l)).sum::<u32>();
+        let sum = |f: &dyn Fn(&DaySummary) -> u32| lines.iter().map(|l| f(l)).sum::<u32>();
         let _ = writeln!(
             out,
             "{name:<28} {:>5} {mean:>7.4} {low:>7.4}-{high:.4} {:>6.1}% {:>7.2}% {:>8.1} {:>8.1} {:>8.1}% {back:>12} {:>12}",
@@ -130,12 +130,12 @@
     Ok(svg)
 }
 
-fn coloured<'a>(sides: &[(&'a str, Vec<&'a Line>)]) -> Vec<Side<'a>> {
+fn coloured<'a>(sides: &[(&'a str, Vec<&'a DaySummary>)]) -> Vec<Side<'a>> {
     sides.iter().zip(COLOURS.iter().cycle()).map(|((n, l), c)| (*n, l.clone(), *c)).collect()
 }
 
 /// The mean over days of a figure by second.
-fn by_second(lines: &[&Line], of: impl Fn(&Line) -> &[f64]) -> Vec<(f64, f64)> {
+fn by_second(lines: &[&DaySummary], of: impl Fn(&DaySummary) -> &[f64]) -> Vec<(f64, f64)> {
     let longest = lines.iter().map(|l| of(l).len()).max().unwrap_or(0);
     let mean = |s: usize| {
         let at: Vec<f64> = lines.iter().filter_map(|l| of(l).get(s)).copied().collect();
@@ -156,9 +156,9 @@
 }
 
 /// A choice, its days and its colour.
-type Side<'a> = (&'a str, Vec<&'a Line>, RGBColor);
+type Side<'a> = (&'a str, Vec<&'a DaySummary>, RGBColor);
 /// The points to draw for the days of a choice.
-type Points<'a> = &'a dyn Fn(&[&Line]) -> Vec<(f64, f64)>;
+type Points<'a> = &'a dyn Fn(&[&DaySummary]) -> Vec<(f64, f64)>;
 
 /// Cumulative distribution over days: the share of days at or below each value.
 fn distribution(title: &str, unit: &str, sides: &[(&str, Vec<f64>)]) -> Svg {
@@ -213,9 +213,9 @@
     Ok(svg)
 }
 
-fn charts(lines: &[Line]) -> Svg {
+fn charts(lines: &[DaySummary]) -> Svg {
     let sides = by_choice(lines);
-    let of = |f: &dyn Fn(&Line) -> Option<f64>| -> Vec<(&str, Vec<f64>)> {
+    let of = |f: &dyn Fn(&DaySummary) -> Option<f64>| -> Vec<(&str, Vec<f64>)> {
         sides.iter().map(|(n, l)| (*n, l.iter().filter_map(|l| f(l)).collect())).collect()
     };
     let coloured = coloured(&sides);
@@ -234,7 +234,7 @@
         per_side(2, &|l| by_second(l, |l| &l.by_second)),
     )?;
     if lines.iter().any(|l| !l.caps.is_empty()) {
-        let cap = |l: &[&Line]| l.first().map_or(Vec::new(), |l| steps(&l.caps, 0.0, end));
+        let cap = |l: &[&DaySummary]| l.first().map_or(Vec::new(), |l| steps(&l.caps, 0.0, end));
         out += &curves(axes("cap as told, first day of each", "cap", 1.05, UpperLeft), per_side(2, &cap))?;
         let mut both = per_side(1, &cap);
         both.extend(per_side(3, &|l| {
@@ -248,7 +248,7 @@
     // Quantiles on a logarithmic axis: 0.9, 0.99 and 0.999 are evenly spaced.
     let nines = |q: f64| -(1.0 - q).log10();
     let top = lines.iter().filter_map(|l| l.times.last()).copied().fold(1.0, f64::max);
-    let times = |l: &[&Line]| -> Vec<(f64, f64)> {
+    let times = |l: &[&DaySummary]| -> Vec<(f64, f64)> {
         let at = |i: usize| average(&l.iter().filter_map(|l| l.times.get(i)).copied().collect::<Vec<_>>());
         QUANTILES.iter().enumerate().map(|(i, q)| (nines(*q), at(i))).collect()
     };
@@ -276,7 +276,7 @@
 }
 
 /// A verdict as one line of text.
-pub fn said(v: &Verdict) -> String {
+pub fn verdict_text(v: &Verdict) -> String {
     format!(
         "'{}' less 'as it is': service {:+.4}, interval {:+.4} to {:+.4} ({} pairs); {}",
         v.choice,
@@ -292,7 +292,7 @@
 ///
 /// # Errors
 /// A chart that can't be drawn.
-pub fn page(study: Option<&Study>, verdicts: &[Verdict], lines: &[Line]) -> Result<String, String> {
+pub fn page(study: Option<&Study>, verdicts: &[Verdict], lines: &[DaySummary]) -> Result<String, String> {
     let charts = charts(lines).map_err(|err| err.to_string())?;
     let summary = match study {
         Some(study) => {
@@ -315,7 +315,7 @@
             format!("<p>Figures: {}.</p>", escape(&sources.join(", ")))
         }
     };
-    let verdicts: String = verdicts.iter().map(|v| format!("<p>{}</p>", escape(&said(v)))).collect();
+    let verdicts: String = verdicts.iter().map(|v| format!("<p>{}</p>", escape(&verdict_text(v)))).collect();
     Ok(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>rockpick experiment</title>\
          <style>body{{font:15px/1.5 sans-serif;margin:2em auto;max-width:900px}}pre{{background:#f4f4f4;padding:1em;\
--- a/emu/src/study.rs
+++ b/emu/src/study.rs
@@ -3,8 +3,8 @@
 //!
 //! Repeated interim analyses of several choices would find a difference by chance sooner or later. So each
 //! analysis of each choice gets an equal part of the 5% (Bonferroni), and at most 1 of 20 experiments errs.
-use crate::experiment::{interval, play, spread};
-use crate::line::Line;
+use crate::experiment::{interval, run_parallel, run_plan};
+use crate::summary::DaySummary;
 use rockpick_rehearse::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -15,9 +15,9 @@
 /// The family-wise error rate, over all interim analyses and choices.
 const ALPHA: f64 = 0.05;
 /// Pairs before the first interim analysis, and between analyses.
-pub const FIRST_LOOK: usize = 8;
+pub const PAIRS_PER_ANALYSIS: usize = 8;
 /// The name of the baseline that all choices are compared with.
-pub const BASE: &str = "as it is";
+pub const BASELINE: &str = "as it is";
 /// The largest results file that is read.
 const MAX_FILE_BYTES: u64 = 4 << 30;
 
@@ -52,23 +52,23 @@
     /// Names and changes of the baseline and all choices.
     pub fn sides(&self) -> Vec<(String, Vec<String>)> {
         let side = |more: &Vec<String>| (more.join(" "), self.base.iter().chain(more).cloned().collect());
-        std::iter::once((BASE.into(), self.base.clone())).chain(self.choices.iter().map(side)).collect()
+        std::iter::once((BASELINE.into(), self.base.clone())).chain(self.choices.iter().map(side)).collect()
     }
 
     /// Analyses a choice in all steps that the results allow, as if they had arrived one by one.
-    pub fn verdict(&self, choice: &str, lines: &[Line]) -> Verdict {
+    pub fn verdict(&self, choice: &str, lines: &[DaySummary]) -> Verdict {
         let side = |name: &str| -> BTreeMap<u64, f64> {
             lines.iter().filter(|l| l.choice == name).map(|l| (l.seed, l.service)).collect()
         };
-        let (base, other) = (side(BASE), side(choice));
+        let (base, other) = (side(BASELINE), side(choice));
         // In the order of seeds and without a gap: counting pairs by which run finished first would bias the sample.
         let seeds = (0..self.seeds as u64).map(|s| self.plan.seed + s);
         let pairs: Vec<f64> = seeds.map_while(|s| Some(other.get(&s)? - base.get(&s)?)).collect();
-        let analyses = self.seeds.div_ceil(FIRST_LOOK).max(1);
+        let analyses = self.seeds.div_ceil(PAIRS_PER_ANALYSIS).max(1);
         let alpha = ALPHA / (analyses * self.choices.len().max(1)) as f64;
         let mut verdict =
             Verdict { choice: choice.into(), pairs: 0, mean: 0.0, low: 0.0, high: 0.0, why: None };
-        let ends = (1..=analyses).map(|l| (l * FIRST_LOOK).min(self.seeds));
+        let ends = (1..=analyses).map(|l| (l * PAIRS_PER_ANALYSIS).min(self.seeds));
         for end in ends.take_while(|end| *end <= pairs.len()) {
             let (mean, low, high) = interval(&pairs[..end], alpha, self.plan.seed);
             (verdict.pairs, verdict.mean, verdict.low, verdict.high) = (end, mean, low, high);
@@ -87,7 +87,7 @@
         verdict
     }
 
-    pub fn verdicts(&self, lines: &[Line]) -> Vec<Verdict> {
+    pub fn verdicts(&self, lines: &[DaySummary]) -> Vec<Verdict> {
         self.sides()[1..].iter().map(|(name, _)| self.verdict(name, lines)).collect()
     }
 
@@ -96,11 +96,14 @@
     ///
     /// # Errors
     /// A choice that can't be set up, and errors of `on_result`.
-    pub fn answer(
-        &self, threads: usize, mut lines: Vec<Line>, mut on_result: impl FnMut(&Line) -> Result<(), String>,
-    ) -> Result<(Vec<Verdict>, Vec<Line>), String> {
+    pub fn run(
+        &self, threads: usize, mut lines: Vec<DaySummary>,
+        mut on_result: impl FnMut(&DaySummary) -> Result<(), String>,
+    ) -> Result<(Vec<Verdict>, Vec<DaySummary>), String> {
         let sides = self.sides();
-        for end in (1..=self.seeds.div_ceil(FIRST_LOOK)).map(|l| (l * FIRST_LOOK).min(self.seeds)) {
+        for end in
+            (1..=self.seeds.div_ceil(PAIRS_PER_ANALYSIS)).map(|l| (l * PAIRS_PER_ANALYSIS).min(self.seeds))
+        {
             let verdicts = self.verdicts(&lines);
             let open: Vec<&(String, Vec<String>)> = (sides.iter().enumerate())
                 .filter(|(i, _)| match i {
@@ -116,9 +119,9 @@
                 .filter(|(name, _, seed)| !known(name, *seed))
                 .collect();
             let run = |(choice, changes, seed): &(&str, &[String], u64)| {
-                play(choice, &self.plan, changes, *seed).map(|(line, _)| line)
+                run_plan(choice, &self.plan, changes, *seed).map(|(line, _)| line)
             };
-            for line in spread(threads, &tasks, run)? {
+            for line in run_parallel(threads, &tasks, run)? {
                 on_result(&line)?;
                 lines.push(line);
             }
@@ -128,14 +131,14 @@
 }
 
 /// A results file: the experiment's definition, then a line of JSON for each day.
-pub struct Lines(File);
+pub struct ResultsFile(File);
 
-impl Lines {
+impl ResultsFile {
     /// Creates the file, or resumes one that has the same definition; an incomplete last line is truncated.
     ///
     /// # Errors
     /// A malformed line, which is named, or a file with another definition.
-    pub fn open(path: &Path, study: &Study) -> Result<(Lines, Vec<Line>), String> {
+    pub fn open(path: &Path, study: &Study) -> Result<(ResultsFile, Vec<DaySummary>), String> {
         let with_path = |err: std::io::Error| format!("{}: {err}", path.display());
         let mut file = OpenOptions::new()
             .read(true)
@@ -155,7 +158,7 @@
         }
         file.set_len(complete).map_err(with_path)?;
         file.seek(SeekFrom::End(0)).map_err(with_path)?;
-        let mut results = Lines(file);
+        let mut results = ResultsFile(file);
         if head.is_none() {
             results.put(study)?;
         }
@@ -175,14 +178,14 @@
 ///
 /// # Errors
 /// A malformed line, which is named.
-pub fn load(path: &Path) -> Result<(Option<Study>, Vec<Line>), String> {
+pub fn load(path: &Path) -> Result<(Option<Study>, Vec<DaySummary>), String> {
     let with_path = |why: String| format!("{}: {why}", path.display());
     let mut file = File::open(path).map_err(|err| with_path(err.to_string()))?;
     read(&mut file).map(|(head, lines, _)| (head, lines)).map_err(with_path)
 }
 
 /// The definition, the results, and the length of the complete lines in bytes.
-fn read(file: &mut File) -> Result<(Option<Study>, Vec<Line>, u64), String> {
+fn read(file: &mut File) -> Result<(Option<Study>, Vec<DaySummary>, u64), String> {
     let mut text = String::new();
     if file.metadata().map_err(|err| err.to_string())?.len() > MAX_FILE_BYTES {
         return Err(format!("more than {} GiB", MAX_FILE_BYTES >> 30));
--- a/emu/src/line.rs
+++ b/emu/src/summary.rs
@@ -13,7 +13,7 @@
 pub const P99: usize = 6;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct DaySummary {
     pub choice: String,
     pub seed: u64,
     /// Source of the figures: emulated or loopback.
@@ -51,20 +51,21 @@
 
 const PHASES: [&str; 3] = ["on trial", "released", "back"];
 
-impl Line {
+impl DaySummary {
     /// Number of RPCs that ended, at least 1.
     pub fn rpcs(&self) -> f64 {
         (self.ok + self.pushed_back + self.aborted + self.unanswered).max(1) as f64
     }
 
     /// Summarizes a judged day; `script` says which builds were bad.
-    pub fn of(
+    pub fn from_evidence(
         settings: &Settings, evidence: &Evidence, judgement: &Judgement, script: &[(f64, Act)],
-    ) -> Line {
+    ) -> DaySummary {
         // Twelve decimal places survive the round trip through text unchanged, so that a resumed experiment gives
         // the same result as an uninterrupted one.
         let service = (judgement.service * 1e12).round() / 1e12;
-        let mut line = Line { service, broken: Some(judgement.breaches.len()), ..Line::default() };
+        let mut line =
+            DaySummary { service, broken: Some(judgement.breaches.len()), ..DaySummary::default() };
         let picks: u64 = judgement.rows.values().map(|r| r.picks).sum();
         line.exposure = judgement.trial_picks as f64 / picks.max(1) as f64;
         for (name, row) in &judgement.rows {
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -1,6 +1,6 @@
 //! Discrete-event simulation of a fleet: fronts, machines, clients, a controller and the events between them.
 use crate::front_node::{Action, ActionBuffer, FrontNode, OpenRpc, Pick};
-use crate::parts::{Part, Watch};
+use crate::profile::{Component, Profiler};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -29,7 +29,7 @@
 
 /// Base latencies in ns. Each use adds uniform jitter of up to half the base.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Wires {
+pub struct Latencies {
     /// One way between a front and a machine of the same zone.
     pub same: Ns,
     /// One way between zones.
@@ -42,10 +42,10 @@
     pub over: Ns,
 }
 
-impl Default for Wires {
+impl Default for Latencies {
     /// Two zones of one site, with clients near it.
-    fn default() -> Wires {
-        Wires { same: MS / 5, cross: MS, client: MS / 2, told: 20 * MS, over: 0 }
+    fn default() -> Latencies {
+        Latencies { same: MS / 5, cross: MS, client: MS / 2, told: 20 * MS, over: 0 }
     }
 }
 
@@ -107,15 +107,17 @@
 }
 
 /// The component that the time spent on an event is charged to.
-fn component(event: &Event) -> Part {
+fn component(event: &Event) -> Component {
     match event {
         Event::ClientArrival | Event::ClientRetry(_) | Event::ClientReply(..) | Event::ClientTimeout(_) => {
-            Part::Clients
+            Component::Clients
         }
-        Event::PickArrives { .. } | Event::MachineTimer(..) | Event::PickAbandoned(..) => Part::Machines,
-        Event::ControllerTick | Event::Heartbeats | Event::Vote(..) | Event::ScriptAct(_) => Part::Controller,
-        Event::MachineStart(..) | Event::MachineKill(_) => Part::Machines,
-        _ => Part::Fronts,
+        Event::PickArrives { .. } | Event::MachineTimer(..) | Event::PickAbandoned(..) => Component::Machines,
+        Event::ControllerTick | Event::Heartbeats | Event::Vote(..) | Event::ScriptAct(_) => {
+            Component::Controller
+        }
+        Event::MachineStart(..) | Event::MachineKill(_) => Component::Machines,
+        _ => Component::Fronts,
     }
 }
 
@@ -181,7 +183,7 @@
 /// The configuration of one run.
 #[derive(Clone)]
 pub struct Day {
-    pub charter: Settings,
+    pub settings: Settings,
     pub load: Load,
     /// Mean work of an RPC, ms.
     pub work_ms: f64,
@@ -195,20 +197,20 @@
     /// Baseline for comparison: fronts with plain round robin over all machines, three retries and no votes.
     pub plain: bool,
     pub arrivals: Arrivals,
-    pub wires: Wires,
+    pub latencies: Latencies,
     /// Profile the real time by component.
-    pub watch: bool,
+    pub profile: bool,
     /// Limits by tenant; none: tenants are not limited.
-    pub limits: Option<Kept>,
+    pub limits: Option<TenantLimits>,
 }
 
 /// Tenant limits.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct TenantLimits {
     /// RPCs a second over all fronts, for each of the three tenants; none: no rate limit.
     pub rates: [Option<f64>; 3],
     /// Whether the controller sums the demand of all fronts and sends it to them.
-    pub sums: bool,
+    pub share_sums: bool,
 }
 
 /// The three tenants of the clients, loaded as from an LDAP directory.
@@ -232,7 +234,7 @@
 
 /// A simulated fleet and the day it runs through.
 pub struct World {
-    pub charter: Settings,
+    pub settings: Settings,
     pub crowd: Crowd,
     now: Ns,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
@@ -268,16 +270,16 @@
     shared_slowdown: f64,
     note_delivery: Carried,
     partitioned: bool,
-    wires: Wires,
+    latencies: Latencies,
     /// The tenants; none if they are not limited.
     tenants: Option<Rc<Tenants>>,
     share_tenant_sums: bool,
     tenant_sums: BTreeMap<u32, [u32; 3]>,
     /// Utility requested and utility served in time, by tenant.
-    firms: [[f64; 2]; 3],
+    tenant_utility: [[f64; 2]; 3],
     /// The same by second of the RPC's first attempt.
-    firm_seconds: Vec<[[f64; 2]; 3]>,
-    watch: Watch,
+    tenant_utility_by_second: Vec<[[f64; 2]; 3]>,
+    profile: Profiler,
     fleet_fault: Option<Fault>,
     script: Vec<(f64, Act)>,
     duration: Ns,
@@ -301,10 +303,10 @@
     pub log: Vec<String>,
     /// Latency of ok RPCs from the time when they were due, in us.
     pub times: Histogram<u64>,
-    pub watch: Watch,
+    pub profile: Profiler,
     /// Utility requested and utility served in time, by tenant.
-    pub firms: [[f64; 2]; 3],
-    pub firm_seconds: Vec<[[f64; 2]; 3]>,
+    pub tenant_utility: [[f64; 2]; 3],
+    pub tenant_utility_by_second: Vec<[[f64; 2]; 3]>,
 }
 
 /// Collects the output of one call into a machine's model.
@@ -353,7 +355,7 @@
     /// Invalid settings, or clients that can't be set up.
     pub fn new(day: Day) -> Result<World, String> {
         let Day {
-            charter,
+            settings,
             load,
             work_ms,
             retries,
@@ -363,16 +365,16 @@
             check,
             plain,
             arrivals,
-            wires,
-            watch,
+            latencies,
+            profile,
             limits,
         } = day;
-        if let Some(wrong) = charter.validate().first() {
+        if let Some(wrong) = settings.validate().first() {
             return Err(format!("{}: {}", wrong.field, wrong.why));
         }
-        let fronts = charter.fronts.len();
-        let crowd = Crowd::new(charter.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
-        let release = Release::new(&charter);
+        let fronts = settings.fronts.len();
+        let crowd = Crowd::new(settings.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
+        let release = Release::new(&settings);
         let mut world = World {
             crowd,
             now: 0,
@@ -402,13 +404,13 @@
             shared_slowdown: 0.0,
             note_delivery: Carried::default(),
             partitioned: false,
-            wires,
+            latencies,
             tenants: limits.as_ref().map(|l| tenants(&l.rates)),
-            share_tenant_sums: limits.is_some_and(|l| l.sums),
+            share_tenant_sums: limits.is_some_and(|l| l.share_sums),
             tenant_sums: BTreeMap::new(),
-            firms: [[0.0; 2]; 3],
-            firm_seconds: Vec::new(),
-            watch: if watch { Watch::started() } else { Watch::default() },
+            tenant_utility: [[0.0; 2]; 3],
+            tenant_utility_by_second: Vec::new(),
+            profile: if profile { Profiler::started() } else { Profiler::default() },
             fleet_fault: None,
             script,
             duration: (seconds * SEC as f64) as Ns,
@@ -418,16 +420,16 @@
             events: 0,
             log: Vec::new(),
             start_cold: false,
-            charter,
+            settings,
         };
-        for place in 0..world.charter.places.len() {
-            world.start_machine(place, world.charter.first_build);
+        for place in 0..world.settings.places.len() {
+            world.start_machine(place, world.settings.first_build);
         }
         world.start_cold = true;
         world.controller_tick();
         for front in 0..fronts as u32 {
             world.fronts[front as usize].zone =
-                world.charter.zone_index(&world.charter.fronts[front as usize].zone) as usize;
+                world.settings.zone_index(&world.settings.fronts[front as usize].zone) as usize;
             world.start_front(front);
         }
         world.send_status();
@@ -454,7 +456,7 @@
 
     fn machine_latency(&mut self, front: u32, machine: u32) -> Ns {
         let same = self.fronts[front as usize].zone == self.machines[machine as usize].zone;
-        self.with_jitter(if same { self.wires.same } else { self.wires.cross })
+        self.with_jitter(if same { self.latencies.same } else { self.latencies.cross })
     }
 
     /// Runs the day to its end, and on for up to 60 s until all open RPCs have ended.
@@ -468,9 +470,9 @@
             self.now = self.now.max(at);
             self.events += 1;
             let component = component(&event);
-            self.watch.lap(Part::Heap);
+            self.profile.charge(Component::Heap);
             self.handle(event);
-            self.watch.lap(component);
+            self.profile.charge(component);
         }
         if !self.attempts.is_empty() {
             self.evidence.whole = false;
@@ -483,9 +485,9 @@
             virtual_seconds: self.now as f64 / SEC as f64,
             log: self.log,
             times: self.crowd.times,
-            watch: self.watch,
-            firms: self.firms,
-            firm_seconds: self.firm_seconds,
+            profile: self.profile,
+            tenant_utility: self.tenant_utility,
+            tenant_utility_by_second: self.tenant_utility_by_second,
         }
     }
 
@@ -609,7 +611,7 @@
                 self.run_act(&act);
             }
             Event::FrontStart(front) => {
-                self.record_act("start", &self.charter.fronts[front as usize].name.clone());
+                self.record_act("start", &self.settings.fronts[front as usize].name.clone());
                 self.start_front(front);
             }
             Event::MachineStart(place, build) => self.start_machine(place, build),
@@ -633,10 +635,11 @@
         }
         let rpc = self.crowd.arrive();
         let (utility, tenant_index) = (self.crowd.row(&rpc).utility, rpc.tenant % 3);
-        self.firms[tenant_index][0] += utility;
+        self.tenant_utility[tenant_index][0] += utility;
         let second = ((self.now - SEC) / SEC).max(0) as usize;
-        self.firm_seconds.resize(self.firm_seconds.len().max(second + 1), [[0.0; 2]; 3]);
-        self.firm_seconds[second][tenant_index][0] += utility;
+        self.tenant_utility_by_second
+            .resize(self.tenant_utility_by_second.len().max(second + 1), [[0.0; 2]; 3]);
+        self.tenant_utility_by_second[second][tenant_index][0] += utility;
         // Ns::MAX: a replay has ended and has no further arrivals.
         if self.crowd.schedule.due < Ns::MAX {
             self.schedule(self.crowd.schedule.due, Event::ClientArrival);
@@ -652,7 +655,7 @@
         let id = self.last_id;
         let incarnation = self.fronts[front as usize].incarnation;
         let timeout_at = sending.look;
-        let latency = self.with_jitter(self.wires.client);
+        let latency = self.with_jitter(self.latencies.client);
         if self.fronts[front as usize].front.is_none() {
             self.schedule(self.now + 2 * latency, Event::ClientReply(id, How::Unreachable, -1));
         } else {
@@ -686,9 +689,9 @@
         let row = self.crowd.row(&t.rpc);
         if how == (How::Ok { right: true }) && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS {
             let (utility, tenant_index) = (row.utility, t.rpc.tenant % 3);
-            self.firms[tenant_index][1] += utility;
+            self.tenant_utility[tenant_index][1] += utility;
             let second = ((t.rpc.began - SEC) / SEC).max(0) as usize;
-            if let Some(row) = self.firm_seconds.get_mut(second) {
+            if let Some(row) = self.tenant_utility_by_second.get_mut(second) {
                 row[tenant_index][1] += utility;
             }
         }
@@ -711,7 +714,7 @@
     fn client_timed_out(&mut self, attempt: u64) {
         let Some(t) = self.attempts.remove(&attempt) else { return };
         self.record_client(&t.rpc, t.front, Saw::GaveUp, false);
-        let latency = self.with_jitter(self.wires.client);
+        let latency = self.with_jitter(self.latencies.client);
         self.schedule(self.now + latency, Event::ClientDisconnected(t.front, t.incarnation, attempt));
         self.attempt_ended(t.rpc, How::GaveUp, None);
     }
@@ -719,9 +722,9 @@
     // Fronts
 
     fn start_front(&mut self, front: u32) {
-        let name = self.charter.fronts[front as usize].name.clone();
+        let name = self.settings.fronts[front as usize].name.clone();
         let seed = self.rng.random();
-        let Some(config) = self.charter.front_config(&name, seed) else { return };
+        let Some(config) = self.settings.front_config(&name, seed) else { return };
         let now = self.now;
         let node = &mut self.fronts[front as usize];
         let (last_status, roster, zone) = (node.last_status, std::mem::take(&mut node.roster), node.zone);
@@ -729,8 +732,8 @@
             FrontNode { incarnation: node.incarnation + 1, started_at: now, zone, ..FrontNode::default() };
         let common = Unknown::Common { share: 1.0, rate: None };
         node.limits = self.tenants.is_some().then(|| {
-            let utilities = self.charter.methods.iter().map(|m| m.utility).collect();
-            Limits::new(now, self.charter.fronts.len(), common, utilities)
+            let utilities = self.settings.methods.iter().map(|m| m.utility).collect();
+            Limits::new(now, self.settings.fronts.len(), common, utilities)
         });
         let incarnation = node.incarnation;
         let (mut actions, mut log) = (Vec::new(), Vec::new());
@@ -755,9 +758,9 @@
         }
         let Some(module) = &mut node.front else { return };
         let mut actions = Vec::new();
-        self.watch.lap(Part::Fronts);
+        self.profile.charge(Component::Fronts);
         call(module, &mut ActionBuffer { now: self.now, actions: &mut actions, log: &mut self.log });
-        self.watch.lap(Part::Decisions);
+        self.profile.charge(Component::Decisions);
         self.carry_out(front, actions);
     }
 
@@ -796,7 +799,7 @@
                 }
                 Action::Watch | Action::Fetch => {
                     let up = self.controller_stopped_until <= self.now;
-                    let latency = self.with_jitter(self.wires.told);
+                    let latency = self.with_jitter(self.latencies.told);
                     if up {
                         let (status, members) = (self.status(), Rc::new(self.roster_members(None)));
                         self.schedule(self.now + latency, Event::RolloutUpdate(front, incarnation, status));
@@ -815,12 +818,12 @@
                     self.last_id += 1;
                     let id = self.last_id;
                     self.fronts[front as usize].vote_in_flight = id;
-                    let latency = self.with_jitter(self.wires.told);
+                    let latency = self.with_jitter(self.latencies.told);
                     self.schedule(
                         self.now + latency,
                         Event::Vote(front, incarnation, build, stage, verdict, id),
                     );
-                    let within = self.charter.rollout.call_timeout_ms as Ns * MS;
+                    let within = self.settings.rollout.call_timeout_ms as Ns * MS;
                     self.schedule(
                         self.now + within,
                         Event::VoteReply(front, incarnation, ControllerReply::TimedOut, None, id),
@@ -838,7 +841,7 @@
         }
         let incarnation = node.incarnation;
         for late in self.note_delivery.copies(&mut self.rng).into_iter().flatten() {
-            let latency = self.with_jitter(self.wires.cross);
+            let latency = self.with_jitter(self.latencies.cross);
             self.schedule(self.now + latency + late, Event::Note(front, to, incarnation, note.clone()));
         }
     }
@@ -850,14 +853,14 @@
         let unreachable = self
             .fronts
             .iter()
-            .zip(&self.charter.fronts)
+            .zip(&self.settings.fronts)
             .filter(|(s, _)| self.partitioned && s.zone != m.zone);
         shop.fault.cut = unreachable.map(|(_, f)| f.name.clone()).collect();
     }
 
     fn request_arrives(&mut self, front: u32, attempt: u64) {
         let Some(t) = self.attempts.get(&attempt) else { return };
-        let margin = self.charter.guard.answer_margin_ms as Ns * MS;
+        let margin = self.settings.guard.answer_margin_ms as Ns * MS;
         let in_time = restart::can_answer_in_time(t.announced_deadline - self.now, margin);
         let node = &mut self.fronts[front as usize];
         if node.incarnation != t.incarnation || node.front.is_none() {
@@ -865,7 +868,7 @@
         }
         let (method, key, tenant_key) = (t.rpc.method, t.rpc.key, t.rpc.tenant as u32);
         if !in_time {
-            let latency = self.with_jitter(self.wires.client);
+            let latency = self.with_jitter(self.latencies.client);
             return self.schedule(self.now + latency, Event::ClientReply(attempt, How::PushedBack, SEC / 4));
         }
         let (deadline, incarnation, now) = (t.announced_deadline, node.incarnation, self.now);
@@ -874,7 +877,7 @@
             match limits.take(now, tenants, Some(tenant_key), method) {
                 Ok(id) => tenant = Some(id),
                 Err(wait) => {
-                    let latency = self.with_jitter(self.wires.client);
+                    let latency = self.with_jitter(self.latencies.client);
                     return self
                         .schedule(self.now + latency, Event::ClientReply(attempt, How::PushedBack, wait));
                 }
@@ -920,7 +923,7 @@
 
     /// A plain front's pick: the next machine in round-robin order, or an abort if the deadline has passed.
     fn plain_pick(&mut self, front: u32, rpc: usize) {
-        let margin = self.charter.guard.answer_margin_ms as Ns * MS;
+        let margin = self.settings.guard.answer_margin_ms as Ns * MS;
         let node = &mut self.fronts[front as usize];
         let up: Vec<usize> = node.roster.iter().filter(|m| m.state == State::Up).map(|m| m.machine).collect();
         let left = node.open[rpc].as_ref().map_or(0, |o| o.deadline - margin - self.now);
@@ -947,7 +950,7 @@
         node.rpc_ids.finish(rpc);
         // No reply is sent once the deadline has passed.
         if self.now < open.deadline {
-            let latency = self.with_jitter(self.wires.client);
+            let latency = self.with_jitter(self.latencies.client);
             self.schedule(self.now + latency, Event::ClientReply(attempt, how, wait));
         }
     }
@@ -958,7 +961,7 @@
             return;
         }
         self.open_picks.remove(&call);
-        let (now, sample) = (self.now, self.rng.random::<f64>() < self.charter.rollout.tally_sample);
+        let (now, sample) = (self.now, self.rng.random::<f64>() < self.settings.rollout.tally_sample);
         let node = &mut self.fronts[front as usize];
         let Some(open) = node.open[rpc].as_mut() else { return };
         let method = open.method;
@@ -995,7 +998,7 @@
     fn rollout_updated(
         &mut self, front: u32, incarnation: u32, reply: ControllerReply, status: Option<RolloutStatus>,
     ) {
-        let window = self.charter.rollout.window_ms as Ns * MS;
+        let window = self.settings.rollout.window_ms as Ns * MS;
         let now = self.now;
         let node = &mut self.fronts[front as usize];
         if node.incarnation != incarnation {
@@ -1093,8 +1096,8 @@
             incarnation,
             key: t.rpc.key,
         };
-        let last_method = t.rpc.method + 1 == self.charter.methods.len();
-        let work = t.rpc.work_ms / 1e3 + self.wires.over as f64 / SEC as f64;
+        let last_method = t.rpc.method + 1 == self.settings.methods.len();
+        let work = t.rpc.work_ms / 1e3 + self.latencies.over as f64 / SEC as f64;
         let until = open.deadline;
         let m = &mut self.machines[machine as usize];
         if m.run != run || m.shop.is_none() {
@@ -1104,7 +1107,7 @@
                 Event::PickEnded { front, incarnation, call, outcome, right: false },
             );
         }
-        let name = &self.charter.fronts[front as usize].name;
+        let name = &self.settings.fronts[front as usize].name;
         let Some(shop) = &m.shop else { return };
         if shop.fault.cuts(name) {
             return; // the pick ends by its timeout
@@ -1126,9 +1129,9 @@
 
     fn start_machine(&mut self, place: usize, build: u32) {
         self.starting.remove(&(place, build));
-        let zone = self.charter.zone_index(&self.charter.places[place].zone);
+        let zone = self.settings.zone_index(&self.settings.places[place].zone);
         let index = *self.machine_index.entry((place, build)).or_insert_with(|| {
-            let name = format!("{}..{build}", self.charter.places[place].name);
+            let name = format!("{}..{build}", self.settings.places[place].name);
             let tag = rockpick_id_table::tag(&name);
             self.machines.push(Machine {
                 name,
@@ -1144,8 +1147,8 @@
             });
             self.machines.len() as u32 - 1
         });
-        let g = &self.charter.guard;
-        let p = &self.charter.places[place];
+        let g = &self.settings.guard;
+        let p = &self.settings.places[place];
         let warm = !self.start_cold;
         let kind = Kind {
             cores: p.weight.round().max(1.0) as usize,
@@ -1202,7 +1205,7 @@
     // Controller
 
     fn status(&self) -> RolloutStatus {
-        let (build, stage, phase, cap, since) = self.release.announcement(&self.charter);
+        let (build, stage, phase, cap, since) = self.release.announcement(&self.settings);
         RolloutStatus { build, stage, phase, cap, since }
     }
 
@@ -1248,7 +1251,7 @@
         else {
             return;
         };
-        let (name, place) = (m.name.clone(), self.charter.places[m.place].name.clone());
+        let (name, place) = (m.name.clone(), self.settings.places[m.place].name.clone());
         let all = Running::from([(m.place, m.build)]);
         let want = if self.wanted.is_empty() { &all } else { &self.wanted };
         let heartbeat = Heartbeat {
@@ -1261,7 +1264,7 @@
             leaving: m.leaving,
             open_rpcs: (shop.busy + shop.waiting()) as u32,
         };
-        if self.roster.heartbeat(self.now, &self.charter, want, heartbeat) == Ok(Order::Stop) {
+        if self.roster.heartbeat(self.now, &self.settings, want, heartbeat) == Ok(Order::Stop) {
             let run = u64::from(m.run);
             self.roster.mark_gone(&name, run);
             self.kill_machine(machine);
@@ -1274,11 +1277,11 @@
             return;
         }
         let running = self.roster.running();
-        self.wanted = self.release.wanted(&self.charter, &running);
+        self.wanted = self.release.wanted(&self.settings, &running);
         self.roster.sweep(now, &self.wanted);
         let running = self.roster.running();
-        self.release.cold = self.roster.cold_machines(now, self.charter.guard.cold_time_ms as Ns * MS);
-        let changed = self.release.tick(now, &self.charter, &running).is_some();
+        self.release.cold = self.roster.cold_machines(now, self.settings.guard.cold_time_ms as Ns * MS);
+        let changed = self.release.tick(now, &self.settings, &running).is_some();
         let present = self.roster.present();
         let missing: Vec<(usize, u32)> =
             self.wanted.iter().filter(|w| !present.contains(w)).copied().collect();
@@ -1292,7 +1295,7 @@
                 self.schedule(now + MACHINE_START_TIME, Event::MachineStart(place, build));
             }
         }
-        let every = self.charter.rollout.told_every_ms as Ns * MS;
+        let every = self.settings.rollout.told_every_ms as Ns * MS;
         if changed || now - self.status_sent_at >= every {
             self.send_status();
         }
@@ -1305,14 +1308,14 @@
             }
             for front in 0..self.fronts.len() as u32 {
                 let (incarnation, latency) =
-                    (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
                 self.schedule(
                     now + latency,
                     Event::RosterUpdate(front, incarnation, RosterUpdate::Changes, members.clone()),
                 );
             }
         }
-        let every = self.charter.rollout.tally_every_ms as Ns * MS;
+        let every = self.settings.rollout.tally_every_ms as Ns * MS;
         if every > 0 && now - self.counts_sent_at >= every {
             self.counts_sent_at = now;
             for node in &mut self.fronts {
@@ -1331,7 +1334,7 @@
                 let rows = Rc::new(std::mem::take(&mut self.tenant_sums).into_iter().collect::<Vec<_>>());
                 for front in 0..self.fronts.len() as u32 {
                     let (incarnation, latency) =
-                        (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                        (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
                     self.schedule(now + latency, Event::TenantSums(front, incarnation, every, rows.clone()));
                 }
             }
@@ -1340,7 +1343,7 @@
                 Rc::new(std::mem::take(&mut self.pick_counts).into_iter().map(row).collect());
             for front in 0..self.fronts.len() as u32 {
                 let (incarnation, latency) =
-                    (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
                 self.schedule(now + latency, Event::PickCounts(front, incarnation, rows.clone()));
             }
         }
@@ -1358,7 +1361,7 @@
         self.evidence.told.push(Told { t, build, stage, phase, cap });
         for front in 0..self.fronts.len() as u32 {
             let (incarnation, latency) =
-                (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
             self.schedule(self.now + latency, Event::RolloutUpdate(front, incarnation, status));
         }
     }
@@ -1367,18 +1370,18 @@
         if self.controller_stopped_until > self.now {
             return; // no reply: the vote ends by its timeout
         }
-        let rate = self.charter.rollout.votes_a_second;
+        let rate = self.settings.rollout.votes_a_second;
         let refill = (self.now - self.vote_tokens_at) as f64 / SEC as f64 * rate;
         self.vote_tokens = (self.vote_tokens + refill).min(2.0 * rate);
         self.vote_tokens_at = self.now;
-        let name = self.charter.fronts[front as usize].name.clone();
-        let control = self.charter.rollout.control();
+        let name = self.settings.fronts[front as usize].name.clone();
+        let control = self.settings.rollout.control();
         let counted = self.vote_tokens >= 1.0 && {
             self.vote_tokens -= 1.0;
             self.release.vote(self.now, control, &name, build, stage, verdict).is_ok()
         };
         let reply = if counted { ControllerReply::Counted } else { ControllerReply::Refused };
-        let (status, latency) = (self.status(), self.with_jitter(self.wires.told));
+        let (status, latency) = (self.status(), self.with_jitter(self.latencies.told));
         self.schedule(self.now + latency, Event::VoteReply(front, incarnation, reply, Some(status), id));
     }
 
@@ -1418,7 +1421,7 @@
                 }
             }
             Act::KillFront { front, down_ms } => {
-                let name = self.charter.fronts[*front].name.clone();
+                let name = self.settings.fronts[*front].name.clone();
                 self.record_act("kill", &name);
                 let node = &mut self.fronts[*front];
                 node.front = None;
@@ -1432,7 +1435,7 @@
                     .collect();
                 open.sort_unstable();
                 for attempt in open {
-                    let latency = self.with_jitter(self.wires.client);
+                    let latency = self.with_jitter(self.latencies.client);
                     self.schedule(now + latency, Event::ClientReply(attempt, How::Broken, -1));
                 }
                 let mut calls: Vec<(u64, u32)> = (self.open_picks.iter())
@@ -1449,7 +1452,7 @@
                 self.schedule(now + *down_ms as Ns * MS, Event::FrontStart(*front as u32));
             }
             Act::StopFront { front, ms } => {
-                let name = self.charter.fronts[*front].name.clone();
+                let name = self.settings.fronts[*front].name.clone();
                 let until = now + *ms as Ns * MS;
                 self.record_act("stop", &name);
                 self.evidence.acts.push(Deed { t: until, act: "cont".into(), who: name });
