--- a/emu/src/experiment.rs
+++ b/emu/src/experiment.rs
@@ -34,13 +34,13 @@
 
 fn set_paths<'a>(json: &mut Value, changes: impl Iterator<Item = &'a String>) -> Result<(), String> {
     for change in changes {
-        let (path, value) = change.split_once('=').ok_or(format!("{change}: PATH=VALUE is wanted"))?;
+        let (path, value) = change.split_once('=').ok_or(format!("{change}: expected PATH=VALUE"))?;
         let value: Value = serde_json::from_str(value).unwrap_or_else(|_| Value::from(value));
         let mut node = &mut *json;
-        for part in path.split('.') {
-            let next = match part.parse::<usize>() {
+        for segment in path.split('.') {
+            let next = match segment.parse::<usize>() {
                 Ok(i) => node.get_mut(i),
-                Err(_) => node.get_mut(part),
+                Err(_) => node.get_mut(segment),
             };
             node = next.ok_or(format!("{path}: no such field"))?;
         }
@@ -87,8 +87,8 @@
 pub fn run_plan(
     choice: &str, plan: &Plan, changes: &[String], seed: u64,
 ) -> Result<(DaySummary, judge::Judgement), String> {
-    let (line, judgement) = run_day(day_of_plan(plan, changes, seed, true)?)?;
-    Ok((DaySummary { choice: choice.into(), ..line }, judgement))
+    let (summary, judgement) = run_day(day_of_plan(plan, changes, seed, true)?)?;
+    Ok((DaySummary { choice: choice.into(), ..summary }, judgement))
 }
 
 /// Runs and summarizes a day that is set up.
@@ -99,8 +99,8 @@
     let (settings, script, seed) = (day.settings.clone(), day.script.clone(), day.seed);
     let outcome = World::new(day)?.run();
     let judgement = judge::judge(&settings, &outcome.evidence);
-    let line = DaySummary::from_evidence(&settings, &outcome.evidence, &judgement, &script);
-    Ok((DaySummary { seed, how: "emulated".into(), events: outcome.events, ..line }, judgement))
+    let summary = DaySummary::from_evidence(&settings, &outcome.evidence, &judgement, &script);
+    Ok((DaySummary { seed, how: "emulated".into(), events: outcome.events, ..summary }, judgement))
 }
 
 /// Runs tasks on several threads and returns their results in the order of the tasks.
--- a/emu/src/fit.rs
+++ b/emu/src/fit.rs
@@ -58,7 +58,7 @@
     let complete = |r: &&([Ns; 5], u32, f64)| r.1 == 1 && r.0.iter().all(|t| *t > 0) && r.2.is_finite();
     let samples: Vec<_> = rpcs.values().filter(complete).collect();
     if samples.len() < MIN_RPCS {
-        return Err(format!("{} RPCs with one pick each, {MIN_RPCS} are wanted", samples.len()));
+        return Err(format!("{} RPCs with one pick each, at least {MIN_RPCS} are needed", samples.len()));
     }
     let one_way = samples.iter().map(|(t, ..)| (t[1] - t[0] + t[4] - t[3]) / 2).collect();
     let overheads = samples.iter().map(|(t, _, work)| t[3] - t[2] - (work * MS as f64) as Ns).collect();
@@ -78,16 +78,16 @@
     let (script, _) = rockpick_rehearse::day::script(plan)?;
     let evidence = judge::read(&settings, written);
     let judgement = judge::judge(&settings, &evidence);
-    let line = DaySummary::from_evidence(&settings, &evidence, &judgement, &script);
-    Ok(DaySummary { how: "loopback".into(), seed: plan.seed, ..line })
+    let summary = DaySummary::from_evidence(&settings, &evidence, &judgement, &script);
+    Ok(DaySummary { how: "loopback".into(), seed: plan.seed, ..summary })
 }
 
 /// The names of the predicted figures.
 pub const FIGURES: [&str; 4] = ["service", "p50 ms", "p99 ms", "pushed back"];
 
-pub fn figures(line: &DaySummary) -> [f64; 4] {
-    let time = |at: usize| line.times.get(at).copied().unwrap_or(0.0);
-    [line.service, time(P50), time(P99), line.pushed_back as f64 / line.rpcs()]
+pub fn figures(summary: &DaySummary) -> [f64; 4] {
+    let time = |at: usize| summary.times.get(at).copied().unwrap_or(0.0);
+    [summary.service, time(P50), time(P99), summary.pushed_back as f64 / summary.rpcs()]
 }
 
 /// A prediction: mean, lower and upper bound for each of [`FIGURES`].
@@ -120,9 +120,9 @@
     let play = |seed: &u64| -> Result<[f64; 5], String> {
         let mut day = day_of_plan(plan, &[], *seed, true)?;
         day.latencies = latencies;
-        let (line, _) = run_day(day)?;
-        let f = figures(&line);
-        Ok([f[0], f[1], f[2], f[3], line.rpcs()])
+        let (summary, _) = run_day(day)?;
+        let f = figures(&summary);
+        Ok([f[0], f[1], f[2], f[3], summary.rpcs()])
     };
     let days = run_parallel(threads, &seeds, play)?;
     let n = days.len() as f64;
@@ -168,13 +168,15 @@
         // 1 ms there and 2 ms back: 1.5 ms one way, in two equal parts, divided by the mean jitter.
         assert_eq!((latencies.client, latencies.same, latencies.over), (600_000, 600_000, MS / 2));
         written.clients.truncate(50);
-        assert!(super::latencies(&written).unwrap_err().contains("are wanted"));
+        assert!(super::latencies(&written)
+            .unwrap_err()
+            .contains("RPCs with one pick each, at least 100 are needed"));
     }
 
     #[test]
     fn bars_are_widened_and_errors_measured_from_them() {
-        let stated = Prediction([[1.0, 0.9, 1.1], [5.0, 4.0, 6.0], [9.0, 8.0, 10.0], [0.0, -0.1, 0.1]]);
-        let stated = stated.widen(&[0.0, 1.0, 0.0, 0.0]);
-        assert_eq!(stated.misses(&[1.0, 6.5, 10.5, 0.0]), [0.0, 0.0, 0.5, 0.0]);
+        let prediction = Prediction([[1.0, 0.9, 1.1], [5.0, 4.0, 6.0], [9.0, 8.0, 10.0], [0.0, -0.1, 0.1]]);
+        let prediction = prediction.widen(&[0.0, 1.0, 0.0, 0.0]);
+        assert_eq!(prediction.misses(&[1.0, 6.5, 10.5, 0.0]), [0.0, 0.0, 0.5, 0.0]);
     }
 }
--- a/emu/src/report.rs
+++ b/emu/src/report.rs
@@ -10,15 +10,15 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// Results grouped by choice, in the order in which choices first appear.
-fn by_choice(lines: &[DaySummary]) -> Vec<(&str, Vec<&DaySummary>)> {
-    let mut sides: Vec<(&str, Vec<&DaySummary>)> = Vec::new();
-    for line in lines {
-        match sides.iter_mut().find(|s| s.0 == line.choice) {
-            Some(side) => side.1.push(line),
-            None => sides.push((&line.choice, vec![line])),
+fn by_choice(days: &[DaySummary]) -> Vec<(&str, Vec<&DaySummary>)> {
+    let mut groups: Vec<(&str, Vec<&DaySummary>)> = Vec::new();
+    for day in days {
+        match groups.iter_mut().find(|s| s.0 == day.choice) {
+            Some(group) => group.1.push(day),
+            None => groups.push((&day.choice, vec![day])),
         }
     }
-    sides
+    groups
 }
 
 fn average(values: &[f64]) -> f64 {
@@ -36,7 +36,7 @@
 }
 
 /// One row for each choice: means, and the 95% bootstrap interval of service.
-pub fn table(lines: &[DaySummary]) -> String {
+pub fn table(days: &[DaySummary]) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
@@ -52,20 +52,20 @@
         "sent back",
         "false alarms"
     );
-    for (name, lines) in by_choice(lines) {
-        let of = |f: &dyn Fn(&DaySummary) -> f64| -> Vec<f64> { lines.iter().map(|l| f(l)).collect() };
+    for (name, days) in by_choice(days) {
+        let of = |f: &dyn Fn(&DaySummary) -> f64| -> Vec<f64> { days.iter().map(|l| f(l)).collect() };
         let (mean, low, high) = interval(&of(&|l| l.service), 0.05, 1);
         let time = |at: usize| average(&of(&|l| l.times.get(at).copied().unwrap_or(0.0)));
-        let backs: Vec<f64> = lines.iter().filter_map(|l| l.back_after).collect();
+        let backs: Vec<f64> = days.iter().filter_map(|l| l.back_after).collect();
         let back = match backs.len() {
             0 => "never".to_string(),
             n => format!("{n}, {:.1} s", average(&backs)),
         };
-        let sum = |f: &dyn Fn(&DaySummary) -> u32| lines.iter().map(|l| f(l)).sum::<u32>();
+        let sum = |f: &dyn Fn(&DaySummary) -> u32| days.iter().map(|l| f(l)).sum::<u32>();
         let _ = writeln!(
             out,
             "{name:<28} {:>5} {mean:>7.4} {low:>7.4}-{high:.4} {:>6.1}% {:>7.2}% {:>8.1} {:>8.1} {:>8.1}% {back:>12} {:>12}",
-            lines.len(),
+            days.len(),
             100.0 * average(&of(&|l| l.pushed_back as f64 / l.rpcs())),
             100.0 * average(&of(&|l| l.aborted as f64 / l.rpcs())),
             time(P50),
@@ -102,7 +102,7 @@
 }
 
 /// A line chart; curves of the same name share a legend entry.
-fn curves(axes: Axes, curves: Vec<Curve>) -> Svg {
+fn line_chart(axes: Axes, curves: Vec<Curve>) -> Svg {
     let mut svg = String::new();
     {
         let root: Area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -130,15 +130,15 @@
     Ok(svg)
 }
 
-fn coloured<'a>(sides: &[(&'a str, Vec<&'a DaySummary>)]) -> Vec<Side<'a>> {
-    sides.iter().zip(COLOURS.iter().cycle()).map(|((n, l), c)| (*n, l.clone(), *c)).collect()
+fn coloured<'a>(groups: &[(&'a str, Vec<&'a DaySummary>)]) -> Vec<Group<'a>> {
+    groups.iter().zip(COLOURS.iter().cycle()).map(|((n, l), c)| (*n, l.clone(), *c)).collect()
 }
 
 /// The mean over days of a figure by second.
-fn by_second(lines: &[&DaySummary], of: impl Fn(&DaySummary) -> &[f64]) -> Vec<(f64, f64)> {
-    let longest = lines.iter().map(|l| of(l).len()).max().unwrap_or(0);
+fn by_second(days: &[&DaySummary], of: impl Fn(&DaySummary) -> &[f64]) -> Vec<(f64, f64)> {
+    let longest = days.iter().map(|l| of(l).len()).max().unwrap_or(0);
     let mean = |s: usize| {
-        let at: Vec<f64> = lines.iter().filter_map(|l| of(l).get(s)).copied().collect();
+        let at: Vec<f64> = days.iter().filter_map(|l| of(l).get(s)).copied().collect();
         average(&at)
     };
     (0..longest).map(|s| (s as f64, mean(s))).collect()
@@ -156,16 +156,16 @@
 }
 
 /// A choice, its days and its colour.
-type Side<'a> = (&'a str, Vec<&'a DaySummary>, RGBColor);
+type Group<'a> = (&'a str, Vec<&'a DaySummary>, RGBColor);
 /// The points to draw for the days of a choice.
 type Points<'a> = &'a dyn Fn(&[&DaySummary]) -> Vec<(f64, f64)>;
 
 /// Cumulative distribution over days: the share of days at or below each value.
-fn distribution(title: &str, unit: &str, sides: &[(&str, Vec<f64>)]) -> Svg {
-    let all: Vec<f64> = sides.iter().flat_map(|s| s.1.iter().copied()).collect();
+fn distribution(title: &str, unit: &str, groups: &[(&str, Vec<f64>)]) -> Svg {
+    let all: Vec<f64> = groups.iter().flat_map(|s| s.1.iter().copied()).collect();
     let (low, high) = all.iter().fold((f64::MAX, f64::MIN), |(l, h), v| (l.min(*v), h.max(*v)));
     let (low, high) = if low < high { (low, high) } else { (low - 0.5, low + 0.5) };
-    let lines = sides.iter().zip(COLOURS.iter().cycle()).map(|((name, values), colour)| {
+    let curves = groups.iter().zip(COLOURS.iter().cycle()).map(|((name, values), colour)| {
         let mut values = values.clone();
         values.sort_by(f64::total_cmp);
         let n = values.len().max(1) as f64;
@@ -179,15 +179,15 @@
         y: ("share of days", 0.0..1.02),
         legend: SeriesLabelPosition::UpperLeft,
     };
-    curves(axes, lines.collect())
+    line_chart(axes, curves.collect())
 }
 
 /// The share of good builds that were sent back: a bar for each choice, with its interval.
-fn false_alarms(sides: &[Side]) -> Svg {
+fn false_alarms(groups: &[Group]) -> Svg {
     let mut svg = String::new();
     {
         let root: Area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
-        let shares: Vec<[f64; 3]> = sides
+        let shares: Vec<[f64; 3]> = groups
             .iter()
             .map(|(_, l, _)| share(l.iter().map(|l| l.good_back).sum(), l.iter().map(|l| l.good).sum()))
             .collect();
@@ -197,9 +197,9 @@
             .caption("false alarms: good builds sent back, with 95% (Wilson)", ("sans-serif", 15))
             .x_label_area_size(20)
             .y_label_area_size(52)
-            .build_cartesian_2d(0.0..sides.len() as f64, 0.0..top)?;
+            .build_cartesian_2d(0.0..groups.len() as f64, 0.0..top)?;
         chart.configure_mesh().disable_x_mesh().x_labels(0).y_desc("share").light_line_style(WHITE).draw()?;
-        for (i, ((name, _, colour), [p, low, high])) in sides.iter().zip(&shares).enumerate() {
+        for (i, ((name, _, colour), [p, low, high])) in groups.iter().zip(&shares).enumerate() {
             let (left, middle, colour) = (i as f64 + 0.3, i as f64 + 0.5, *colour);
             let bar = Rectangle::new([(left, 0.0), (left + 0.4, *p)], colour.mix(0.5).filled());
             let whisker = PathElement::new(vec![(middle, *low), (middle, *high)], colour.stroke_width(2));
@@ -213,14 +213,14 @@
     Ok(svg)
 }
 
-fn charts(lines: &[DaySummary]) -> Svg {
-    let sides = by_choice(lines);
+fn charts(days: &[DaySummary]) -> Svg {
+    let groups = by_choice(days);
     let of = |f: &dyn Fn(&DaySummary) -> Option<f64>| -> Vec<(&str, Vec<f64>)> {
-        sides.iter().map(|(n, l)| (*n, l.iter().filter_map(|l| f(l)).collect())).collect()
+        groups.iter().map(|(n, l)| (*n, l.iter().filter_map(|l| f(l)).collect())).collect()
     };
-    let coloured = coloured(&sides);
-    let end = lines.iter().map(|l| l.by_second.len()).max().unwrap_or(1) as f64;
-    let per_side = |width: u32, points: Points| -> Vec<Curve> {
+    let coloured = coloured(&groups);
+    let end = days.iter().map(|l| l.by_second.len()).max().unwrap_or(1) as f64;
+    let per_group = |width: u32, points: Points| -> Vec<Curve> {
         let mut made = Vec::new();
         for (name, l, colour) in &coloured {
             made.push(Curve { name, colour: *colour, width, points: points(l) });
@@ -229,25 +229,28 @@
     };
     let axes = |title, y, top: f64, legend| Axes { title, x: ("s", 0.0..end), y: (y, 0.0..top), legend };
     use SeriesLabelPosition::{LowerRight, UpperLeft};
-    let mut out = curves(
+    let mut out = line_chart(
         axes("service by second, mean over days", "share of utility", 1.02, LowerRight),
-        per_side(2, &|l| by_second(l, |l| &l.by_second)),
+        per_group(2, &|l| by_second(l, |l| &l.by_second)),
     )?;
-    if lines.iter().any(|l| !l.caps.is_empty()) {
+    if days.iter().any(|l| !l.caps.is_empty()) {
         let cap = |l: &[&DaySummary]| l.first().map_or(Vec::new(), |l| steps(&l.caps, 0.0, end));
-        out += &curves(axes("cap as told, first day of each", "cap", 1.05, UpperLeft), per_side(2, &cap))?;
-        let mut both = per_side(1, &cap);
-        both.extend(per_side(3, &|l| {
+        out += &line_chart(
+            axes("announced cap, first day of each", "cap", 1.05, UpperLeft),
+            per_group(2, &cap),
+        )?;
+        let mut both = per_group(1, &cap);
+        both.extend(per_group(3, &|l| {
             l.first()
                 .map_or(Vec::new(), |l| l.newest.iter().enumerate().map(|(s, v)| (s as f64, *v)).collect())
         }));
         let title =
             "share of picks at the newest build (thick) against cap (thin; free ones come on top), first day of each";
-        out += &curves(axes(title, "share", 1.05, UpperLeft), both)?;
+        out += &line_chart(axes(title, "share", 1.05, UpperLeft), both)?;
     }
     // Quantiles on a logarithmic axis: 0.9, 0.99 and 0.999 are evenly spaced.
     let nines = |q: f64| -(1.0 - q).log10();
-    let top = lines.iter().filter_map(|l| l.times.last()).copied().fold(1.0, f64::max);
+    let top = days.iter().filter_map(|l| l.times.last()).copied().fold(1.0, f64::max);
     let times = |l: &[&DaySummary]| -> Vec<(f64, f64)> {
         let at = |i: usize| average(&l.iter().filter_map(|l| l.times.get(i)).copied().collect::<Vec<_>>());
         QUANTILES.iter().enumerate().map(|(i, q)| (nines(*q), at(i))).collect()
@@ -258,14 +261,14 @@
         y: ("ms", 0.0..top * 1.05),
         legend: UpperLeft,
     };
-    out += &curves(axes, per_side(2, &times))?;
+    out += &line_chart(axes, per_group(2, &times))?;
     out += &distribution("service of a day", "service", &of(&|l| Some(l.service)))?;
     out += &distribution("picks at builds on trial, of all picks", "share", &of(&|l| Some(l.exposure)))?;
     let backs = of(&|l| l.back_after);
     if backs.iter().any(|b| !b.1.is_empty()) {
         out += &distribution("from offer to sent back, days where it was", "s", &backs)?;
     }
-    if lines.iter().any(|l| l.good > 0) {
+    if days.iter().any(|l| l.good > 0) {
         out += &false_alarms(&coloured)?;
     }
     Ok(out)
@@ -292,15 +295,15 @@
 ///
 /// # Errors
 /// A chart that can't be drawn.
-pub fn page(study: Option<&Study>, verdicts: &[Verdict], lines: &[DaySummary]) -> Result<String, String> {
-    let charts = charts(lines).map_err(|err| err.to_string())?;
+pub fn page(study: Option<&Study>, verdicts: &[Verdict], days: &[DaySummary]) -> Result<String, String> {
+    let charts = charts(days).map_err(|err| err.to_string())?;
     let summary = match study {
         Some(study) => {
             let plan = &study.plan;
             let day = if plan.trouble.is_empty() { plan.day.clone() } else { plan.trouble.join(" and ") };
             format!(
                 "<p>Emulated, not measured on real machines: day <b>{}</b>, {} fronts, {} machines, {} RPCs a second, \
-                 seeds from {}. All sides played the same seeds.</p>",
+                 seeds from {}. All choices ran the same seeds.</p>",
                 escape(&day),
                 plan.fronts,
                 plan.machines,
@@ -309,7 +312,7 @@
             )
         }
         None => {
-            let mut sources: Vec<&str> = lines.iter().map(|l| l.how.as_str()).collect();
+            let mut sources: Vec<&str> = days.iter().map(|l| l.how.as_str()).collect();
             sources.sort_unstable();
             sources.dedup();
             format!("<p>Figures: {}.</p>", escape(&sources.join(", ")))
@@ -321,6 +324,6 @@
          <style>body{{font:15px/1.5 sans-serif;margin:2em auto;max-width:900px}}pre{{background:#f4f4f4;padding:1em;\
          overflow:auto;font-size:12px}}svg{{max-width:100%;height:auto;display:block;margin:1em 0}}</style>\
          <h1>rockpick experiment</h1>{summary}{verdicts}<pre>{}</pre>{charts}</html>\n",
-        escape(&table(lines))
+        escape(&table(days))
     ))
 }
--- a/emu/src/study.rs
+++ b/emu/src/study.rs
@@ -56,9 +56,9 @@
     }
 
     /// Analyses a choice in all steps that the results allow, as if they had arrived one by one.
-    pub fn verdict(&self, choice: &str, lines: &[DaySummary]) -> Verdict {
+    pub fn verdict(&self, choice: &str, results: &[DaySummary]) -> Verdict {
         let side = |name: &str| -> BTreeMap<u64, f64> {
-            lines.iter().filter(|l| l.choice == name).map(|l| (l.seed, l.service)).collect()
+            results.iter().filter(|l| l.choice == name).map(|l| (l.seed, l.service)).collect()
         };
         let (base, other) = (side(BASELINE), side(choice));
         // In the order of seeds and without a gap: counting pairs by which run finished first would bias the sample.
@@ -87,8 +87,8 @@
         verdict
     }
 
-    pub fn verdicts(&self, lines: &[DaySummary]) -> Vec<Verdict> {
-        self.sides()[1..].iter().map(|(name, _)| self.verdict(name, lines)).collect()
+    pub fn verdicts(&self, results: &[DaySummary]) -> Vec<Verdict> {
+        self.sides()[1..].iter().map(|(name, _)| self.verdict(name, results)).collect()
     }
 
     /// Runs the missing days until each choice is settled or the seeds are used up; `on_result` gets new results in
@@ -97,14 +97,14 @@
     /// # Errors
     /// A choice that can't be set up, and errors of `on_result`.
     pub fn run(
-        &self, threads: usize, mut lines: Vec<DaySummary>,
+        &self, threads: usize, mut results: Vec<DaySummary>,
         mut on_result: impl FnMut(&DaySummary) -> Result<(), String>,
     ) -> Result<(Vec<Verdict>, Vec<DaySummary>), String> {
         let sides = self.sides();
         for end in
             (1..=self.seeds.div_ceil(PAIRS_PER_ANALYSIS)).map(|l| (l * PAIRS_PER_ANALYSIS).min(self.seeds))
         {
-            let verdicts = self.verdicts(&lines);
+            let verdicts = self.verdicts(&results);
             let open: Vec<&(String, Vec<String>)> = (sides.iter().enumerate())
                 .filter(|(i, _)| match i {
                     0 => verdicts.iter().any(|v| v.why.is_none()),
@@ -112,21 +112,21 @@
                 })
                 .map(|(_, side)| side)
                 .collect();
-            let known = |name: &str, seed: u64| lines.iter().any(|l| l.choice == name && l.seed == seed);
+            let known = |name: &str, seed: u64| results.iter().any(|l| l.choice == name && l.seed == seed);
             let seeds = (0..end as u64).map(|s| self.plan.seed + s);
             let tasks: Vec<(&str, &[String], u64)> = seeds
                 .flat_map(|seed| open.iter().map(move |(name, changes)| (name.as_str(), &changes[..], seed)))
                 .filter(|(name, _, seed)| !known(name, *seed))
                 .collect();
             let run = |(choice, changes, seed): &(&str, &[String], u64)| {
-                run_plan(choice, &self.plan, changes, *seed).map(|(line, _)| line)
+                run_plan(choice, &self.plan, changes, *seed).map(|(summary, _)| summary)
             };
-            for line in run_parallel(threads, &tasks, run)? {
-                on_result(&line)?;
-                lines.push(line);
+            for result in run_parallel(threads, &tasks, run)? {
+                on_result(&result)?;
+                results.push(result);
             }
         }
-        Ok((self.verdicts(&lines), lines))
+        Ok((self.verdicts(&results), results))
     }
 }
 
@@ -147,7 +147,8 @@
             .truncate(false)
             .open(path)
             .map_err(with_path)?;
-        let (head, lines, complete) = read(&mut file).map_err(|why| format!("{}: {why}", path.display()))?;
+        let (head, results, complete) =
+            read(&mut file).map_err(|why| format!("{}: {why}", path.display()))?;
         match &head {
             Some(head) if head != study => {
                 let why =
@@ -158,11 +159,11 @@
         }
         file.set_len(complete).map_err(with_path)?;
         file.seek(SeekFrom::End(0)).map_err(with_path)?;
-        let mut results = ResultsFile(file);
+        let mut results_file = ResultsFile(file);
         if head.is_none() {
-            results.put(study)?;
+            results_file.put(study)?;
         }
-        Ok((results, lines))
+        Ok((results_file, results))
     }
 
     /// # Errors
@@ -181,7 +182,7 @@
 pub fn load(path: &Path) -> Result<(Option<Study>, Vec<DaySummary>), String> {
     let with_path = |why: String| format!("{}: {why}", path.display());
     let mut file = File::open(path).map_err(|err| with_path(err.to_string()))?;
-    read(&mut file).map(|(head, lines, _)| (head, lines)).map_err(with_path)
+    read(&mut file).map(|(head, results, _)| (head, results)).map_err(with_path)
 }
 
 /// The definition, the results, and the length of the complete lines in bytes.
@@ -192,7 +193,7 @@
     }
     file.read_to_string(&mut text).map_err(|err| err.to_string())?;
     let complete = text.rfind('\n').map_or(0, |end| end + 1);
-    let (mut head, mut lines) = (None, Vec::new());
+    let (mut head, mut results) = (None, Vec::new());
     for (index, line) in text[..complete].lines().enumerate() {
         let at_line = |err: serde_json::Error| format!("line {}: {err}", index + 1);
         if index == 0 && line.contains("\"rockpick_study\"") {
@@ -202,8 +203,8 @@
             }
             head = Some(study);
         } else {
-            lines.push(serde_json::from_str(line).map_err(at_line)?);
+            results.push(serde_json::from_str(line).map_err(at_line)?);
         }
     }
-    Ok((head, lines, complete as u64))
+    Ok((head, results, complete as u64))
 }
--- a/emu/src/summary.rs
+++ b/emu/src/summary.rs
@@ -64,22 +64,22 @@
         // Twelve decimal places survive the round trip through text unchanged, so that a resumed experiment gives
         // the same result as an uninterrupted one.
         let service = (judgement.service * 1e12).round() / 1e12;
-        let mut line =
+        let mut summary =
             DaySummary { service, broken: Some(judgement.breaches.len()), ..DaySummary::default() };
         let picks: u64 = judgement.rows.values().map(|r| r.picks).sum();
-        line.exposure = judgement.trial_picks as f64 / picks.max(1) as f64;
+        summary.exposure = judgement.trial_picks as f64 / picks.max(1) as f64;
         for (name, row) in &judgement.rows {
             let utility = settings.method_index(name).map_or(0.0, |m| settings.methods[m].utility);
-            line.asked += utility * row.rpcs as f64;
-            line.ok += row.ok;
-            line.late += row.ok - row.in_time.min(row.ok);
-            line.pushed_back += row.pushed_back;
-            line.aborted += row.aborted;
-            line.unanswered += row.unanswered;
+            summary.asked += utility * row.rpcs as f64;
+            summary.ok += row.ok;
+            summary.late += row.ok - row.in_time.min(row.ok);
+            summary.pushed_back += row.pushed_back;
+            summary.aborted += row.aborted;
+            summary.unanswered += row.unanswered;
         }
         let begin = evidence.clients.iter().map(|l| l.t).min().unwrap_or(0);
         let second = |t: i64| (t - begin) as f64 / 1e9;
-        line.add_clients(settings, evidence, begin);
+        summary.add_clients(settings, evidence, begin);
         let mut newest: Vec<[f64; 2]> = Vec::new();
         let mut told = evidence.told.iter().peekable();
         let mut build = settings.first_build;
@@ -96,38 +96,38 @@
             let newest_pick = f64::from(u8::from(m.build == build && build != settings.first_build));
             newest[at] = [newest[at][0] + 1.0, newest[at][1] + newest_pick];
         }
-        line.newest = newest.into_iter().map(|[all, picks]| picks / f64::max(all, 1.0)).collect();
+        summary.newest = newest.into_iter().map(|[all, picks]| picks / f64::max(all, 1.0)).collect();
         for p in evidence.told.windows(2) {
             if (p[0].build, p[0].stage, p[0].phase) != (p[1].build, p[1].stage, p[1].phase) {
                 let cap = [p[1].cap, 1.0, 0.0][usize::from(p[1].phase).min(2)];
-                line.caps.push((second(p[1].t), cap));
+                summary.caps.push((second(p[1].t), cap));
                 let phase = PHASES[usize::from(p[1].phase).min(2)];
-                line.stages.push((second(p[1].t), p[1].build, p[1].stage, phase.into()));
+                summary.stages.push((second(p[1].t), p[1].build, p[1].stage, phase.into()));
             }
         }
         let first_change = |build: u32, phase: Option<&str>| {
             let matches = |m: &&(f64, u32, u32, String)| m.1 == build && phase.is_none_or(|p| m.3 == p);
-            line.stages.iter().find(matches).map(|m| m.0)
+            summary.stages.iter().find(matches).map(|m| m.0)
         };
         for (_, act) in script {
             let Act::Offer { build, bad } = act else { continue };
             let (back_at, released_at) =
                 (first_change(*build, Some("back")), first_change(*build, Some("released")));
-            if line.back_after.is_none() {
-                line.back_after = back_at.and_then(|at| Some(at - first_change(*build, None)?));
+            if summary.back_after.is_none() {
+                summary.back_after = back_at.and_then(|at| Some(at - first_change(*build, None)?));
             }
             match bad {
                 Some(_) => {
-                    (line.bad, line.bad_released) =
-                        (line.bad + 1, line.bad_released + u32::from(released_at.is_some()))
+                    (summary.bad, summary.bad_released) =
+                        (summary.bad + 1, summary.bad_released + u32::from(released_at.is_some()))
                 }
                 None => {
-                    (line.good, line.good_back) =
-                        (line.good + 1, line.good_back + u32::from(back_at.is_some()))
+                    (summary.good, summary.good_back) =
+                        (summary.good + 1, summary.good_back + u32::from(back_at.is_some()))
                 }
             }
         }
-        line
+        summary
     }
 
     /// Computes service by the second in which RPCs were first sent, and the latencies of ok RPCs.
