--- a/cli/src/lab.rs
+++ b/cli/src/lab.rs
@@ -247,7 +247,7 @@
             matters: self.matters,
         };
         // A field that can't be had is told before a file is made.
-        for (_, changes) in study.sides() {
+        for (_, changes) in study.variants() {
             experiment::day_of_plan(&study.plan, &changes, study.plan.seed, false).map_err(Bad2)?;
         }
         let (mut file, known) = ResultsFile::open(&self.lines, &study).map_err(Bad2)?;
--- a/emu/src/study.rs
+++ b/emu/src/study.rs
@@ -50,17 +50,19 @@
 
 impl Study {
     /// Names and changes of the baseline and all choices.
-    pub fn sides(&self) -> Vec<(String, Vec<String>)> {
-        let side = |more: &Vec<String>| (more.join(" "), self.base.iter().chain(more).cloned().collect());
-        std::iter::once((BASELINE.into(), self.base.clone())).chain(self.choices.iter().map(side)).collect()
+    pub fn variants(&self) -> Vec<(String, Vec<String>)> {
+        let variant = |more: &Vec<String>| (more.join(" "), self.base.iter().chain(more).cloned().collect());
+        std::iter::once((BASELINE.into(), self.base.clone()))
+            .chain(self.choices.iter().map(variant))
+            .collect()
     }
 
     /// Analyses a choice in all steps that the results allow, as if they had arrived one by one.
     pub fn verdict(&self, choice: &str, results: &[DaySummary]) -> Verdict {
-        let side = |name: &str| -> BTreeMap<u64, f64> {
+        let by_seed = |name: &str| -> BTreeMap<u64, f64> {
             results.iter().filter(|l| l.choice == name).map(|l| (l.seed, l.service)).collect()
         };
-        let (base, other) = (side(BASELINE), side(choice));
+        let (base, other) = (by_seed(BASELINE), by_seed(choice));
         // In the order of seeds and without a gap: counting pairs by which run finished first would bias the sample.
         let seeds = (0..self.seeds as u64).map(|s| self.plan.seed + s);
         let pairs: Vec<f64> = seeds.map_while(|s| Some(other.get(&s)? - base.get(&s)?)).collect();
@@ -88,7 +90,7 @@
     }
 
     pub fn verdicts(&self, results: &[DaySummary]) -> Vec<Verdict> {
-        self.sides()[1..].iter().map(|(name, _)| self.verdict(name, results)).collect()
+        self.variants()[1..].iter().map(|(name, _)| self.verdict(name, results)).collect()
     }
 
     /// Runs the missing days until each choice is settled or the seeds are used up; `on_result` gets new results in
@@ -100,17 +102,17 @@
         &self, threads: usize, mut results: Vec<DaySummary>,
         mut on_result: impl FnMut(&DaySummary) -> Result<(), String>,
     ) -> Result<(Vec<Verdict>, Vec<DaySummary>), String> {
-        let sides = self.sides();
+        let variants = self.variants();
         for end in
             (1..=self.seeds.div_ceil(PAIRS_PER_ANALYSIS)).map(|l| (l * PAIRS_PER_ANALYSIS).min(self.seeds))
         {
             let verdicts = self.verdicts(&results);
-            let open: Vec<&(String, Vec<String>)> = (sides.iter().enumerate())
+            let open: Vec<&(String, Vec<String>)> = (variants.iter().enumerate())
                 .filter(|(i, _)| match i {
                     0 => verdicts.iter().any(|v| v.why.is_none()),
                     i => verdicts[i - 1].why.is_none(),
                 })
-                .map(|(_, side)| side)
+                .map(|(_, variant)| variant)
                 .collect();
             let known = |name: &str, seed: u64| results.iter().any(|l| l.choice == name && l.seed == seed);
             let seeds = (0..end as u64).map(|s| self.plan.seed + s);
--- a/emu/tests/days.rs
+++ b/emu/tests/days.rs
@@ -109,7 +109,7 @@
         (0.0, 0.0, 0.0),
         "the same choice twice"
     );
-    assert!(lines.iter().filter(|l| l.choice == study.sides()[1].0).count() == 8);
+    assert!(lines.iter().filter(|l| l.choice == study.variants()[1].0).count() == 8);
 }
 
 #[test]
