--- a/emu/src/study.rs
+++ b/emu/src/study.rs
@@ -3,8 +3,8 @@
 //!
 //! Repeated interim analyses of several choices would find a difference by chance sooner or later. So each
 //! analysis of each choice gets an equal part of the 5% (Bonferroni), and at most 1 of 20 experiments errs.
-use crate::experiment::{interval, play, spread};
-use crate::line::Line;
+use crate::experiment::{interval, run_parallel, run_plan};
+use crate::summary::DaySummary;
 use rockpick_rehearse::Plan;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -15,9 +15,9 @@
 /// The family-wise error rate, over all interim analyses and choices.
 const ALPHA: f64 = 0.05;
 /// Pairs before the first interim analysis, and between analyses.
-pub const FIRST_LOOK: usize = 8;
+pub const PAIRS_PER_ANALYSIS: usize = 8;
 /// The name of the baseline that all choices are compared with.
-pub const BASE: &str = "as it is";
+pub const BASELINE: &str = "as it is";
 /// The largest results file that is read.
 const MAX_FILE_BYTES: u64 = 4 << 30;
 
@@ -50,25 +50,27 @@
 
 impl Study {
     /// Names and changes of the baseline and all choices.
-    pub fn sides(&self) -> Vec<(String, Vec<String>)> {
-        let side = |more: &Vec<String>| (more.join(" "), self.base.iter().chain(more).cloned().collect());
-        std::iter::once((BASE.into(), self.base.clone())).chain(self.choices.iter().map(side)).collect()
+    pub fn variants(&self) -> Vec<(String, Vec<String>)> {
+        let variant = |more: &Vec<String>| (more.join(" "), self.base.iter().chain(more).cloned().collect());
+        std::iter::once((BASELINE.into(), self.base.clone()))
+            .chain(self.choices.iter().map(variant))
+            .collect()
     }
 
     /// Analyses a choice in all steps that the results allow, as if they had arrived one by one.
-    pub fn verdict(&self, choice: &str, lines: &[Line]) -> Verdict {
-        let side = |name: &str| -> BTreeMap<u64, f64> {
-            lines.iter().filter(|l| l.choice == name).map(|l| (l.seed, l.service)).collect()
+    pub fn verdict(&self, choice: &str, results: &[DaySummary]) -> Verdict {
+        let by_seed = |name: &str| -> BTreeMap<u64, f64> {
+            results.iter().filter(|l| l.choice == name).map(|l| (l.seed, l.service)).collect()
         };
-        let (base, other) = (side(BASE), side(choice));
+        let (base, other) = (by_seed(BASELINE), by_seed(choice));
         // In the order of seeds and without a gap: counting pairs by which run finished first would bias the sample.
         let seeds = (0..self.seeds as u64).map(|s| self.plan.seed + s);
         let pairs: Vec<f64> = seeds.map_while(|s| Some(other.get(&s)? - base.get(&s)?)).collect();
-        let analyses = self.seeds.div_ceil(FIRST_LOOK).max(1);
+        let analyses = self.seeds.div_ceil(PAIRS_PER_ANALYSIS).max(1);
         let alpha = ALPHA / (analyses * self.choices.len().max(1)) as f64;
         let mut verdict =
             Verdict { choice: choice.into(), pairs: 0, mean: 0.0, low: 0.0, high: 0.0, why: None };
-        let ends = (1..=analyses).map(|l| (l * FIRST_LOOK).min(self.seeds));
+        let ends = (1..=analyses).map(|l| (l * PAIRS_PER_ANALYSIS).min(self.seeds));
         for end in ends.take_while(|end| *end <= pairs.len()) {
             let (mean, low, high) = interval(&pairs[..end], alpha, self.plan.seed);
             (verdict.pairs, verdict.mean, verdict.low, verdict.high) = (end, mean, low, high);
@@ -87,8 +89,8 @@
         verdict
     }
 
-    pub fn verdicts(&self, lines: &[Line]) -> Vec<Verdict> {
-        self.sides()[1..].iter().map(|(name, _)| self.verdict(name, lines)).collect()
+    pub fn verdicts(&self, results: &[DaySummary]) -> Vec<Verdict> {
+        self.variants()[1..].iter().map(|(name, _)| self.verdict(name, results)).collect()
     }
 
     /// Runs the missing days until each choice is settled or the seeds are used up; `on_result` gets new results in
@@ -96,46 +98,49 @@
     ///
     /// # Errors
     /// A choice that can't be set up, and errors of `on_result`.
-    pub fn answer(
-        &self, threads: usize, mut lines: Vec<Line>, mut on_result: impl FnMut(&Line) -> Result<(), String>,
-    ) -> Result<(Vec<Verdict>, Vec<Line>), String> {
-        let sides = self.sides();
-        for end in (1..=self.seeds.div_ceil(FIRST_LOOK)).map(|l| (l * FIRST_LOOK).min(self.seeds)) {
-            let verdicts = self.verdicts(&lines);
-            let open: Vec<&(String, Vec<String>)> = (sides.iter().enumerate())
+    pub fn run(
+        &self, threads: usize, mut results: Vec<DaySummary>,
+        mut on_result: impl FnMut(&DaySummary) -> Result<(), String>,
+    ) -> Result<(Vec<Verdict>, Vec<DaySummary>), String> {
+        let variants = self.variants();
+        for end in
+            (1..=self.seeds.div_ceil(PAIRS_PER_ANALYSIS)).map(|l| (l * PAIRS_PER_ANALYSIS).min(self.seeds))
+        {
+            let verdicts = self.verdicts(&results);
+            let open: Vec<&(String, Vec<String>)> = (variants.iter().enumerate())
                 .filter(|(i, _)| match i {
                     0 => verdicts.iter().any(|v| v.why.is_none()),
                     i => verdicts[i - 1].why.is_none(),
                 })
-                .map(|(_, side)| side)
+                .map(|(_, variant)| variant)
                 .collect();
-            let known = |name: &str, seed: u64| lines.iter().any(|l| l.choice == name && l.seed == seed);
+            let known = |name: &str, seed: u64| results.iter().any(|l| l.choice == name && l.seed == seed);
             let seeds = (0..end as u64).map(|s| self.plan.seed + s);
             let tasks: Vec<(&str, &[String], u64)> = seeds
                 .flat_map(|seed| open.iter().map(move |(name, changes)| (name.as_str(), &changes[..], seed)))
                 .filter(|(name, _, seed)| !known(name, *seed))
                 .collect();
             let run = |(choice, changes, seed): &(&str, &[String], u64)| {
-                play(choice, &self.plan, changes, *seed).map(|(line, _)| line)
+                run_plan(choice, &self.plan, changes, *seed).map(|(summary, _)| summary)
             };
-            for line in spread(threads, &tasks, run)? {
-                on_result(&line)?;
-                lines.push(line);
+            for result in run_parallel(threads, &tasks, run)? {
+                on_result(&result)?;
+                results.push(result);
             }
         }
-        Ok((self.verdicts(&lines), lines))
+        Ok((self.verdicts(&results), results))
     }
 }
 
 /// A results file: the experiment's definition, then a line of JSON for each day.
-pub struct Lines(File);
+pub struct ResultsFile(File);
 
-impl Lines {
+impl ResultsFile {
     /// Creates the file, or resumes one that has the same definition; an incomplete last line is truncated.
     ///
     /// # Errors
     /// A malformed line, which is named, or a file with another definition.
-    pub fn open(path: &Path, study: &Study) -> Result<(Lines, Vec<Line>), String> {
+    pub fn open(path: &Path, study: &Study) -> Result<(ResultsFile, Vec<DaySummary>), String> {
         let with_path = |err: std::io::Error| format!("{}: {err}", path.display());
         let mut file = OpenOptions::new()
             .read(true)
@@ -144,7 +149,8 @@
             .truncate(false)
             .open(path)
             .map_err(with_path)?;
-        let (head, lines, complete) = read(&mut file).map_err(|why| format!("{}: {why}", path.display()))?;
+        let (head, results, complete) =
+            read(&mut file).map_err(|why| format!("{}: {why}", path.display()))?;
         match &head {
             Some(head) if head != study => {
                 let why =
@@ -155,11 +161,11 @@
         }
         file.set_len(complete).map_err(with_path)?;
         file.seek(SeekFrom::End(0)).map_err(with_path)?;
-        let mut results = Lines(file);
+        let mut results_file = ResultsFile(file);
         if head.is_none() {
-            results.put(study)?;
+            results_file.put(study)?;
         }
-        Ok((results, lines))
+        Ok((results_file, results))
     }
 
     /// # Errors
@@ -175,21 +181,21 @@
 ///
 /// # Errors
 /// A malformed line, which is named.
-pub fn load(path: &Path) -> Result<(Option<Study>, Vec<Line>), String> {
+pub fn load(path: &Path) -> Result<(Option<Study>, Vec<DaySummary>), String> {
     let with_path = |why: String| format!("{}: {why}", path.display());
     let mut file = File::open(path).map_err(|err| with_path(err.to_string()))?;
-    read(&mut file).map(|(head, lines, _)| (head, lines)).map_err(with_path)
+    read(&mut file).map(|(head, results, _)| (head, results)).map_err(with_path)
 }
 
 /// The definition, the results, and the length of the complete lines in bytes.
-fn read(file: &mut File) -> Result<(Option<Study>, Vec<Line>, u64), String> {
+fn read(file: &mut File) -> Result<(Option<Study>, Vec<DaySummary>, u64), String> {
     let mut text = String::new();
     if file.metadata().map_err(|err| err.to_string())?.len() > MAX_FILE_BYTES {
         return Err(format!("more than {} GiB", MAX_FILE_BYTES >> 30));
     }
     file.read_to_string(&mut text).map_err(|err| err.to_string())?;
     let complete = text.rfind('\n').map_or(0, |end| end + 1);
-    let (mut head, mut lines) = (None, Vec::new());
+    let (mut head, mut results) = (None, Vec::new());
     for (index, line) in text[..complete].lines().enumerate() {
         let at_line = |err: serde_json::Error| format!("line {}: {err}", index + 1);
         if index == 0 && line.contains("\"rockpick_study\"") {
@@ -199,8 +205,8 @@
             }
             head = Some(study);
         } else {
-            lines.push(serde_json::from_str(line).map_err(at_line)?);
+            results.push(serde_json::from_str(line).map_err(at_line)?);
         }
     }
-    Ok((head, lines, complete as u64))
+    Ok((head, results, complete as u64))
 }
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -1,6 +1,6 @@
 //! Discrete-event simulation of a fleet: fronts, machines, clients, a controller and the events between them.
 use crate::front_node::{Action, ActionBuffer, FrontNode, OpenRpc, Pick};
-use crate::parts::{Part, Watch};
+use crate::profile::{Component, Profiler};
 use hdrhistogram::Histogram;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
 
 /// Base latencies in ns. Each use adds uniform jitter of up to half the base.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Wires {
+pub struct Latencies {
     /// One way between a front and a machine of the same zone.
     pub same: Ns,
     /// One way between zones.
@@ -46,10 +46,10 @@
     pub over: Ns,
 }
 
-impl Default for Wires {
+impl Default for Latencies {
     /// Two zones of one site, with clients near it.
-    fn default() -> Wires {
-        Wires { same: MS / 5, cross: MS, client: MS / 2, told: 20 * MS, over: 0 }
+    fn default() -> Latencies {
+        Latencies { same: MS / 5, cross: MS, client: MS / 2, told: 20 * MS, over: 0 }
     }
 }
 
@@ -111,15 +111,17 @@
 }
 
 /// The component that the time spent on an event is charged to.
-fn component(event: &Event) -> Part {
+fn component(event: &Event) -> Component {
     match event {
         Event::ClientArrival | Event::ClientRetry(_) | Event::ClientReply(..) | Event::ClientTimeout(_) => {
-            Part::Clients
+            Component::Clients
         }
-        Event::PickArrives { .. } | Event::MachineTimer(..) | Event::PickAbandoned(..) => Part::Machines,
-        Event::ControllerTick | Event::Heartbeats | Event::Vote(..) | Event::ScriptAct(_) => Part::Controller,
-        Event::MachineStart(..) | Event::MachineKill(_) => Part::Machines,
-        _ => Part::Fronts,
+        Event::PickArrives { .. } | Event::MachineTimer(..) | Event::PickAbandoned(..) => Component::Machines,
+        Event::ControllerTick | Event::Heartbeats | Event::Vote(..) | Event::ScriptAct(_) => {
+            Component::Controller
+        }
+        Event::MachineStart(..) | Event::MachineKill(_) => Component::Machines,
+        _ => Component::Fronts,
     }
 }
 
@@ -185,7 +187,7 @@
 /// The configuration of one run.
 #[derive(Clone)]
 pub struct Day {
-    pub charter: Settings,
+    pub settings: Settings,
     pub load: Load,
     /// Mean work of an RPC, ms.
     pub work_ms: f64,
@@ -199,20 +201,20 @@
     /// Baseline for comparison: fronts with plain round robin over all machines, three retries and no votes.
     pub plain: bool,
     pub arrivals: Arrivals,
-    pub wires: Wires,
+    pub latencies: Latencies,
     /// Profile the real time by component.
-    pub watch: bool,
+    pub profile: bool,
     /// Limits by tenant; none: tenants are not limited.
-    pub limits: Option<Kept>,
+    pub limits: Option<TenantLimits>,
 }
 
 /// Tenant limits.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct TenantLimits {
     /// RPCs a second over all fronts, for each of the three tenants; none: no rate limit.
     pub rates: [Option<f64>; 3],
     /// Whether the controller sums the demand of all fronts and sends it to them.
-    pub sums: bool,
+    pub share_sums: bool,
 }
 
 /// The three tenants of the clients, loaded as from an LDAP directory.
@@ -236,7 +238,7 @@
 
 /// A simulated fleet and the day it runs through.
 pub struct World {
-    pub charter: Settings,
+    pub settings: Settings,
     pub crowd: ClientModel,
     now: Ns,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
@@ -272,16 +274,16 @@
     shared_slowdown: f64,
     note_delivery: DatagramFaults,
     partitioned: bool,
-    wires: Wires,
+    latencies: Latencies,
     /// The tenants; none if they are not limited.
     tenants: Option<Rc<Tenants>>,
     share_tenant_sums: bool,
     tenant_sums: BTreeMap<u32, [u32; 3]>,
     /// Utility requested and utility served in time, by tenant.
-    firms: [[f64; 2]; 3],
+    tenant_utility: [[f64; 2]; 3],
     /// The same by second of the RPC's first attempt.
-    firm_seconds: Vec<[[f64; 2]; 3]>,
-    watch: Watch,
+    tenant_utility_by_second: Vec<[[f64; 2]; 3]>,
+    profile: Profiler,
     fleet_fault: Option<Fault>,
     script: Vec<(f64, ScriptAction)>,
     duration: Ns,
@@ -305,10 +307,10 @@
     pub log: Vec<String>,
     /// Latency of ok RPCs from the time when they were due, in us.
     pub times: Histogram<u64>,
-    pub watch: Watch,
+    pub profile: Profiler,
     /// Utility requested and utility served in time, by tenant.
-    pub firms: [[f64; 2]; 3],
-    pub firm_seconds: Vec<[[f64; 2]; 3]>,
+    pub tenant_utility: [[f64; 2]; 3],
+    pub tenant_utility_by_second: Vec<[[f64; 2]; 3]>,
 }
 
 /// Collects the output of one call into a machine's model.
@@ -357,7 +359,7 @@
     /// Invalid settings, or clients that can't be set up.
     pub fn new(day: Day) -> Result<World, String> {
         let Day {
-            charter,
+            settings,
             load,
             work_ms,
             retries,
@@ -367,16 +369,16 @@
             check,
             plain,
             arrivals,
-            wires,
-            watch,
+            latencies,
+            profile,
             limits,
         } = day;
-        if let Some(wrong) = charter.validate().first() {
+        if let Some(wrong) = settings.validate().first() {
             return Err(format!("{}: {}", wrong.field, wrong.why));
         }
-        let fronts = charter.fronts.len();
-        let crowd = ClientModel::new(charter.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
-        let release = Release::new(&charter);
+        let fronts = settings.fronts.len();
+        let crowd = ClientModel::new(settings.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
+        let release = Release::new(&settings);
         let mut world = World {
             crowd,
             now: 0,
@@ -406,13 +408,13 @@
             shared_slowdown: 0.0,
             note_delivery: DatagramFaults::default(),
             partitioned: false,
-            wires,
+            latencies,
             tenants: limits.as_ref().map(|l| tenants(&l.rates)),
-            share_tenant_sums: limits.is_some_and(|l| l.sums),
+            share_tenant_sums: limits.is_some_and(|l| l.share_sums),
             tenant_sums: BTreeMap::new(),
-            firms: [[0.0; 2]; 3],
-            firm_seconds: Vec::new(),
-            watch: if watch { Watch::started() } else { Watch::default() },
+            tenant_utility: [[0.0; 2]; 3],
+            tenant_utility_by_second: Vec::new(),
+            profile: if profile { Profiler::started() } else { Profiler::default() },
             fleet_fault: None,
             script,
             duration: (seconds * SEC as f64) as Ns,
@@ -422,16 +424,16 @@
             events: 0,
             log: Vec::new(),
             start_cold: false,
-            charter,
+            settings,
         };
-        for place in 0..world.charter.places.len() {
-            world.start_machine(place, world.charter.first_build);
+        for place in 0..world.settings.places.len() {
+            world.start_machine(place, world.settings.first_build);
         }
         world.start_cold = true;
         world.controller_tick();
         for front in 0..fronts as u32 {
             world.fronts[front as usize].zone =
-                world.charter.zone_index(&world.charter.fronts[front as usize].zone) as usize;
+                world.settings.zone_index(&world.settings.fronts[front as usize].zone) as usize;
             world.start_front(front);
         }
         world.send_status();
@@ -458,7 +460,7 @@
 
     fn machine_latency(&mut self, front: u32, machine: u32) -> Ns {
         let same = self.fronts[front as usize].zone == self.machines[machine as usize].zone;
-        self.with_jitter(if same { self.wires.same } else { self.wires.cross })
+        self.with_jitter(if same { self.latencies.same } else { self.latencies.cross })
     }
 
     /// Runs the day to its end, and on for up to 60 s until all open RPCs have ended.
@@ -472,9 +474,9 @@
             self.now = self.now.max(at);
             self.events += 1;
             let component = component(&event);
-            self.watch.lap(Part::Heap);
+            self.profile.charge(Component::Heap);
             self.handle(event);
-            self.watch.lap(component);
+            self.profile.charge(component);
         }
         if !self.attempts.is_empty() {
             self.evidence.clients_complete = false;
@@ -487,9 +489,9 @@
             virtual_seconds: self.now as f64 / SEC as f64,
             log: self.log,
             times: self.crowd.times,
-            watch: self.watch,
-            firms: self.firms,
-            firm_seconds: self.firm_seconds,
+            profile: self.profile,
+            tenant_utility: self.tenant_utility,
+            tenant_utility_by_second: self.tenant_utility_by_second,
         }
     }
 
@@ -613,7 +615,7 @@
                 self.run_act(&act);
             }
             Event::FrontStart(front) => {
-                self.record_act("start", &self.charter.fronts[front as usize].name.clone());
+                self.record_act("start", &self.settings.fronts[front as usize].name.clone());
                 self.start_front(front);
             }
             Event::MachineStart(place, build) => self.start_machine(place, build),
@@ -637,10 +639,11 @@
         }
         let rpc = self.crowd.arrive();
         let (utility, tenant_index) = (self.crowd.method(&rpc).utility, rpc.tenant % 3);
-        self.firms[tenant_index][0] += utility;
+        self.tenant_utility[tenant_index][0] += utility;
         let second = ((self.now - SEC) / SEC).max(0) as usize;
-        self.firm_seconds.resize(self.firm_seconds.len().max(second + 1), [[0.0; 2]; 3]);
-        self.firm_seconds[second][tenant_index][0] += utility;
+        self.tenant_utility_by_second
+            .resize(self.tenant_utility_by_second.len().max(second + 1), [[0.0; 2]; 3]);
+        self.tenant_utility_by_second[second][tenant_index][0] += utility;
         // Ns::MAX: a replay has ended and has no further arrivals.
         if self.crowd.schedule.due < Ns::MAX {
             self.schedule(self.crowd.schedule.due, Event::ClientArrival);
@@ -656,7 +659,7 @@
         let id = self.last_id;
         let incarnation = self.fronts[front as usize].incarnation;
         let timeout_at = sending.check_at;
-        let latency = self.with_jitter(self.wires.client);
+        let latency = self.with_jitter(self.latencies.client);
         if self.fronts[front as usize].front.is_none() {
             self.schedule(self.now + 2 * latency, Event::ClientReply(id, AttemptOutcome::Unreachable, -1));
         } else {
@@ -692,9 +695,9 @@
             && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS
         {
             let (utility, tenant_index) = (row.utility, t.rpc.tenant % 3);
-            self.firms[tenant_index][1] += utility;
+            self.tenant_utility[tenant_index][1] += utility;
             let second = ((t.rpc.began - SEC) / SEC).max(0) as usize;
-            if let Some(row) = self.firm_seconds.get_mut(second) {
+            if let Some(row) = self.tenant_utility_by_second.get_mut(second) {
                 row[tenant_index][1] += utility;
             }
         }
@@ -717,7 +720,7 @@
     fn client_timed_out(&mut self, attempt: u64) {
         let Some(t) = self.attempts.remove(&attempt) else { return };
         self.record_client(&t.rpc, t.front, ClientEvent::GaveUp, false);
-        let latency = self.with_jitter(self.wires.client);
+        let latency = self.with_jitter(self.latencies.client);
         self.schedule(self.now + latency, Event::ClientDisconnected(t.front, t.incarnation, attempt));
         self.attempt_ended(t.rpc, AttemptOutcome::GaveUp, None);
     }
@@ -725,9 +728,9 @@
     // Fronts
 
     fn start_front(&mut self, front: u32) {
-        let name = self.charter.fronts[front as usize].name.clone();
+        let name = self.settings.fronts[front as usize].name.clone();
         let seed = self.rng.random();
-        let Some(config) = self.charter.front_config(&name, seed) else { return };
+        let Some(config) = self.settings.front_config(&name, seed) else { return };
         let now = self.now;
         let node = &mut self.fronts[front as usize];
         let (last_status, roster, zone) = (node.last_status, std::mem::take(&mut node.roster), node.zone);
@@ -735,8 +738,8 @@
             FrontNode { incarnation: node.incarnation + 1, started_at: now, zone, ..FrontNode::default() };
         let common = UnknownCallers::Common { share: 1.0, rate: None };
         node.limits = self.tenants.is_some().then(|| {
-            let utilities = self.charter.methods.iter().map(|m| m.utility).collect();
-            Limits::new(now, self.charter.fronts.len(), common, utilities)
+            let utilities = self.settings.methods.iter().map(|m| m.utility).collect();
+            Limits::new(now, self.settings.fronts.len(), common, utilities)
         });
         let incarnation = node.incarnation;
         let (mut actions, mut log) = (Vec::new(), Vec::new());
@@ -761,9 +764,9 @@
         }
         let Some(module) = &mut node.front else { return };
         let mut actions = Vec::new();
-        self.watch.lap(Part::Fronts);
+        self.profile.charge(Component::Fronts);
         call(module, &mut ActionBuffer { now: self.now, actions: &mut actions, log: &mut self.log });
-        self.watch.lap(Part::Decisions);
+        self.profile.charge(Component::Decisions);
         self.carry_out(front, actions);
     }
 
@@ -802,7 +805,7 @@
                 }
                 Action::Watch | Action::Fetch => {
                     let up = self.controller_stopped_until <= self.now;
-                    let latency = self.with_jitter(self.wires.told);
+                    let latency = self.with_jitter(self.latencies.told);
                     if up {
                         let (status, members) = (self.status(), Rc::new(self.roster_members(None)));
                         self.schedule(self.now + latency, Event::RolloutUpdate(front, incarnation, status));
@@ -821,12 +824,12 @@
                     self.last_id += 1;
                     let id = self.last_id;
                     self.fronts[front as usize].vote_in_flight = id;
-                    let latency = self.with_jitter(self.wires.told);
+                    let latency = self.with_jitter(self.latencies.told);
                     self.schedule(
                         self.now + latency,
                         Event::Vote(front, incarnation, build, stage, verdict, id),
                     );
-                    let within = self.charter.rollout.call_timeout_ms as Ns * MS;
+                    let within = self.settings.rollout.call_timeout_ms as Ns * MS;
                     self.schedule(
                         self.now + within,
                         Event::VoteReply(front, incarnation, ControllerReply::TimedOut, None, id),
@@ -844,7 +847,7 @@
         }
         let incarnation = node.incarnation;
         for late in self.note_delivery.copies(&mut self.rng).into_iter().flatten() {
-            let latency = self.with_jitter(self.wires.cross);
+            let latency = self.with_jitter(self.latencies.cross);
             self.schedule(self.now + latency + late, Event::Note(front, to, incarnation, note.clone()));
         }
     }
@@ -856,14 +859,14 @@
         let unreachable = self
             .fronts
             .iter()
-            .zip(&self.charter.fronts)
+            .zip(&self.settings.fronts)
             .filter(|(s, _)| self.partitioned && s.zone != m.zone);
         shop.fault.cut = unreachable.map(|(_, f)| f.name.clone()).collect();
     }
 
     fn request_arrives(&mut self, front: u32, attempt: u64) {
         let Some(t) = self.attempts.get(&attempt) else { return };
-        let margin = self.charter.guard.answer_margin_ms as Ns * MS;
+        let margin = self.settings.guard.answer_margin_ms as Ns * MS;
         let in_time = restart::can_answer_in_time(t.announced_deadline - self.now, margin);
         let node = &mut self.fronts[front as usize];
         if node.incarnation != t.incarnation || node.front.is_none() {
@@ -871,7 +874,7 @@
         }
         let (method, key, tenant_key) = (t.rpc.method, t.rpc.key, t.rpc.tenant as u32);
         if !in_time {
-            let latency = self.with_jitter(self.wires.client);
+            let latency = self.with_jitter(self.latencies.client);
             return self.schedule(
                 self.now + latency,
                 Event::ClientReply(attempt, AttemptOutcome::PushedBack, SEC / 4),
@@ -883,7 +886,7 @@
             match limits.admit(now, tenants, Some(tenant_key), method) {
                 Ok(id) => tenant = Some(id),
                 Err(wait) => {
-                    let latency = self.with_jitter(self.wires.client);
+                    let latency = self.with_jitter(self.latencies.client);
                     return self.schedule(
                         self.now + latency,
                         Event::ClientReply(attempt, AttemptOutcome::PushedBack, wait),
@@ -931,7 +934,7 @@
 
     /// A plain front's pick: the next machine in round-robin order, or an abort if the deadline has passed.
     fn plain_pick(&mut self, front: u32, rpc: usize) {
-        let margin = self.charter.guard.answer_margin_ms as Ns * MS;
+        let margin = self.settings.guard.answer_margin_ms as Ns * MS;
         let node = &mut self.fronts[front as usize];
         let up: Vec<usize> = node.roster.iter().filter(|m| m.state == State::Up).map(|m| m.machine).collect();
         let left = node.open[rpc].as_ref().map_or(0, |o| o.deadline - margin - self.now);
@@ -958,7 +961,7 @@
         node.rpc_ids.finish(rpc);
         // No reply is sent once the deadline has passed.
         if self.now < open.deadline {
-            let latency = self.with_jitter(self.wires.client);
+            let latency = self.with_jitter(self.latencies.client);
             self.schedule(self.now + latency, Event::ClientReply(attempt, how, wait));
         }
     }
@@ -969,7 +972,7 @@
             return;
         }
         self.open_picks.remove(&call);
-        let (now, sample) = (self.now, self.rng.random::<f64>() < self.charter.rollout.tally_sample);
+        let (now, sample) = (self.now, self.rng.random::<f64>() < self.settings.rollout.tally_sample);
         let node = &mut self.fronts[front as usize];
         let Some(open) = node.open[rpc].as_mut() else { return };
         let method = open.method;
@@ -1006,7 +1009,7 @@
     fn rollout_updated(
         &mut self, front: u32, incarnation: u32, reply: ControllerReply, status: Option<RolloutStatus>,
     ) {
-        let window = self.charter.rollout.window_ms as Ns * MS;
+        let window = self.settings.rollout.window_ms as Ns * MS;
         let now = self.now;
         let node = &mut self.fronts[front as usize];
         if node.incarnation != incarnation {
@@ -1105,8 +1108,8 @@
             incarnation,
             key: t.rpc.key,
         };
-        let last_method = t.rpc.method + 1 == self.charter.methods.len();
-        let work = t.rpc.work_ms / 1e3 + self.wires.over as f64 / SEC as f64;
+        let last_method = t.rpc.method + 1 == self.settings.methods.len();
+        let work = t.rpc.work_ms / 1e3 + self.latencies.over as f64 / SEC as f64;
         let until = open.deadline;
         let m = &mut self.machines[machine as usize];
         if m.run != run || m.shop.is_none() {
@@ -1116,7 +1119,7 @@
                 Event::PickEnded { front, incarnation, call, outcome, right: false },
             );
         }
-        let name = &self.charter.fronts[front as usize].name;
+        let name = &self.settings.fronts[front as usize].name;
         let Some(shop) = &m.shop else { return };
         if shop.fault.is_partitioned_from(name) {
             return; // the pick ends by its timeout
@@ -1138,9 +1141,9 @@
 
     fn start_machine(&mut self, place: usize, build: u32) {
         self.starting.remove(&(place, build));
-        let zone = self.charter.zone_index(&self.charter.places[place].zone);
+        let zone = self.settings.zone_index(&self.settings.places[place].zone);
         let index = *self.machine_index.entry((place, build)).or_insert_with(|| {
-            let name = format!("{}..{build}", self.charter.places[place].name);
+            let name = format!("{}..{build}", self.settings.places[place].name);
             let tag = rockpick_id_table::tag(&name);
             self.machines.push(Machine {
                 name,
@@ -1156,8 +1159,8 @@
             });
             self.machines.len() as u32 - 1
         });
-        let g = &self.charter.guard;
-        let p = &self.charter.places[place];
+        let g = &self.settings.guard;
+        let p = &self.settings.places[place];
         let warm = !self.start_cold;
         let kind = MachineSettings {
             cores: p.weight.round().max(1.0) as usize,
@@ -1214,7 +1217,7 @@
     // Controller
 
     fn status(&self) -> RolloutStatus {
-        let (build, stage, phase, cap, since) = self.release.announcement(&self.charter);
+        let (build, stage, phase, cap, since) = self.release.announcement(&self.settings);
         RolloutStatus { build, stage, phase, cap, since }
     }
 
@@ -1260,7 +1263,7 @@
         else {
             return;
         };
-        let (name, place) = (m.name.clone(), self.charter.places[m.place].name.clone());
+        let (name, place) = (m.name.clone(), self.settings.places[m.place].name.clone());
         let all = Running::from([(m.place, m.build)]);
         let want = if self.wanted.is_empty() { &all } else { &self.wanted };
         let heartbeat = Heartbeat {
@@ -1273,7 +1276,7 @@
             leaving: m.leaving,
             open_rpcs: (shop.busy + shop.waiting()) as u32,
         };
-        if self.roster.heartbeat(self.now, &self.charter, want, heartbeat) == Ok(Order::Stop) {
+        if self.roster.heartbeat(self.now, &self.settings, want, heartbeat) == Ok(Order::Stop) {
             let run = u64::from(m.run);
             self.roster.mark_gone(&name, run);
             self.kill_machine(machine);
@@ -1286,11 +1289,11 @@
             return;
         }
         let running = self.roster.running();
-        self.wanted = self.release.wanted(&self.charter, &running);
+        self.wanted = self.release.wanted(&self.settings, &running);
         self.roster.sweep(now, &self.wanted);
         let running = self.roster.running();
-        self.release.cold = self.roster.cold_machines(now, self.charter.guard.cold_time_ms as Ns * MS);
-        let changed = self.release.tick(now, &self.charter, &running).is_some();
+        self.release.cold = self.roster.cold_machines(now, self.settings.guard.cold_time_ms as Ns * MS);
+        let changed = self.release.tick(now, &self.settings, &running).is_some();
         let present = self.roster.present();
         let missing: Vec<(usize, u32)> =
             self.wanted.iter().filter(|w| !present.contains(w)).copied().collect();
@@ -1304,7 +1307,7 @@
                 self.schedule(now + MACHINE_START_TIME, Event::MachineStart(place, build));
             }
         }
-        let every = self.charter.rollout.told_every_ms as Ns * MS;
+        let every = self.settings.rollout.told_every_ms as Ns * MS;
         if changed || now - self.status_sent_at >= every {
             self.send_status();
         }
@@ -1317,14 +1320,14 @@
             }
             for front in 0..self.fronts.len() as u32 {
                 let (incarnation, latency) =
-                    (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
                 self.schedule(
                     now + latency,
                     Event::RosterUpdate(front, incarnation, RosterUpdate::Changes, members.clone()),
                 );
             }
         }
-        let every = self.charter.rollout.tally_every_ms as Ns * MS;
+        let every = self.settings.rollout.tally_every_ms as Ns * MS;
         if every > 0 && now - self.counts_sent_at >= every {
             self.counts_sent_at = now;
             for node in &mut self.fronts {
@@ -1343,7 +1346,7 @@
                 let rows = Rc::new(std::mem::take(&mut self.tenant_sums).into_iter().collect::<Vec<_>>());
                 for front in 0..self.fronts.len() as u32 {
                     let (incarnation, latency) =
-                        (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                        (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
                     self.schedule(now + latency, Event::TenantSums(front, incarnation, every, rows.clone()));
                 }
             }
@@ -1352,7 +1355,7 @@
                 Rc::new(std::mem::take(&mut self.pick_counts).into_iter().map(row).collect());
             for front in 0..self.fronts.len() as u32 {
                 let (incarnation, latency) =
-                    (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
                 self.schedule(now + latency, Event::PickCounts(front, incarnation, rows.clone()));
             }
         }
@@ -1370,7 +1373,7 @@
         self.evidence.stages.push(StageRecord { t, build, stage, phase, cap });
         for front in 0..self.fronts.len() as u32 {
             let (incarnation, latency) =
-                (self.fronts[front as usize].incarnation, self.with_jitter(self.wires.told));
+                (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
             self.schedule(self.now + latency, Event::RolloutUpdate(front, incarnation, status));
         }
     }
@@ -1379,18 +1382,18 @@
         if self.controller_stopped_until > self.now {
             return; // no reply: the vote ends by its timeout
         }
-        let rate = self.charter.rollout.votes_a_second;
+        let rate = self.settings.rollout.votes_a_second;
         let refill = (self.now - self.vote_tokens_at) as f64 / SEC as f64 * rate;
         self.vote_tokens = (self.vote_tokens + refill).min(2.0 * rate);
         self.vote_tokens_at = self.now;
-        let name = self.charter.fronts[front as usize].name.clone();
-        let control = self.charter.rollout.control();
+        let name = self.settings.fronts[front as usize].name.clone();
+        let control = self.settings.rollout.control();
         let counted = self.vote_tokens >= 1.0 && {
             self.vote_tokens -= 1.0;
             self.release.vote(self.now, control, &name, build, stage, verdict).is_ok()
         };
         let reply = if counted { ControllerReply::Counted } else { ControllerReply::Refused };
-        let (status, latency) = (self.status(), self.with_jitter(self.wires.told));
+        let (status, latency) = (self.status(), self.with_jitter(self.latencies.told));
         self.schedule(self.now + latency, Event::VoteReply(front, incarnation, reply, Some(status), id));
     }
 
@@ -1430,7 +1433,7 @@
                 }
             }
             ScriptAction::KillFront { front, down_ms } => {
-                let name = self.charter.fronts[*front].name.clone();
+                let name = self.settings.fronts[*front].name.clone();
                 self.record_act("kill", &name);
                 let node = &mut self.fronts[*front];
                 node.front = None;
@@ -1444,7 +1447,7 @@
                     .collect();
                 open.sort_unstable();
                 for attempt in open {
-                    let latency = self.with_jitter(self.wires.client);
+                    let latency = self.with_jitter(self.latencies.client);
                     self.schedule(now + latency, Event::ClientReply(attempt, AttemptOutcome::Broken, -1));
                 }
                 let mut calls: Vec<(u64, u32)> = (self.open_picks.iter())
@@ -1461,7 +1464,7 @@
                 self.schedule(now + *down_ms as Ns * MS, Event::FrontStart(*front as u32));
             }
             ScriptAction::StopFront { front, ms } => {
-                let name = self.charter.fronts[*front].name.clone();
+                let name = self.settings.fronts[*front].name.clone();
                 let until = now + *ms as Ns * MS;
                 self.record_act("stop", &name);
                 self.evidence.actions.push(ProcessAction { t: until, action: "cont".into(), target: name });
