--- a/cli/src/tenants.rs
+++ b/cli/src/tenants.rs
@@ -3,7 +3,7 @@
 use crate::Bad2;
 use clap::Args;
 use rockpick_ldap::message::{Attribute, Entry};
-use rockpick_ldap::News;
+use rockpick_ldap::ContentUpdate;
 use rockpick_tenant::{Directory, EntryMapping, Identity};
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -24,16 +24,16 @@
     memory(std::process::id(), "VmRSS")
 }
 
-fn entry(n: usize, dn: String, attributes: &[(&str, String)]) -> News {
+fn entry(n: usize, dn: String, attributes: &[(&str, String)]) -> ContentUpdate {
     let attribute = |(kind, value): &(&str, String)| Attribute {
         kind: kind.as_bytes().to_vec().into(),
         values: vec![value.as_bytes().to_vec().into()].into(),
     };
     let entry = Entry { dn: dn.into_bytes().into(), attributes: attributes.iter().map(attribute).collect() };
-    News::Entry { uuid: (n as u128 + 1).to_be_bytes(), entry }
+    ContentUpdate::Entry { uuid: (n as u128 + 1).to_be_bytes(), entry }
 }
 
-fn principal(n: usize, who: usize, firm: usize) -> News {
+fn principal(n: usize, who: usize, firm: usize) -> ContentUpdate {
     let name = format!("user-{who}");
     let attributes = [("objectClass", "person".to_string()), ("uid", name.clone())];
     entry(n, format!("uid={name},o=firm-{firm},dc=x"), &attributes)
@@ -48,7 +48,7 @@
         let before = held();
         let mut directory = Directory::new(EntryMapping::default());
         let began = Instant::now();
-        directory.apply(0, News::Begin);
+        directory.apply(0, ContentUpdate::RefreshStarted);
         for n in 0..self.tenants {
             let attributes = [("objectClass", "organization".to_string()), ("o", format!("firm-{n}"))];
             directory.apply(0, entry(n, format!("o=firm-{n},dc=x"), &attributes));
@@ -59,7 +59,7 @@
         }
         let read = began.elapsed().as_secs_f64();
         let began = Instant::now();
-        directory.apply(0, News::End { whole: true });
+        directory.apply(0, ContentUpdate::RefreshCompleted { complete: true });
         let linked = began.elapsed().as_secs_f64();
         println!("{many} entries: read in {read:.2} s, a version made in {linked:.2} s, {:.0} MiB, {:.0} bytes an entry",
             (held() - before) / 1_048_576.0, (held() - before) / many as f64);
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -12,7 +12,7 @@
 use rockpick_control::Settings;
 use rockpick_front::restart;
 use rockpick_ldap::message::{Attribute, Entry as Record};
-use rockpick_ldap::News;
+use rockpick_ldap::ContentUpdate;
 use rockpick_net::{MS, SEC};
 use rockpick_rehearse::day::{Act, Carried};
 use rockpick_rehearse::judge::{ClientLine, Deed, Evidence, MachineLine, Saw, Told};
@@ -184,7 +184,7 @@
 /// The three tenants of clients, as a directory would have them.
 fn tenants(rates: &[Option<f64>; 3]) -> Rc<Tenants> {
     let mut directory = Directory::new(EntryMapping::default());
-    directory.apply(0, News::Begin);
+    directory.apply(0, ContentUpdate::RefreshStarted);
     for (i, rate) in rates.iter().enumerate() {
         let pair = |kind: &str, value: String| Attribute {
             kind: kind.as_bytes().to_vec().into(),
@@ -193,9 +193,9 @@
         let mut attributes = vec![pair("objectClass", "organization".into()), pair("o", format!("firm-{i}"))];
         attributes.extend(rate.map(|r| pair("rockpickRate", r.to_string())));
         let entry = Record { dn: format!("o=firm-{i}").into_bytes().into(), attributes };
-        directory.apply(0, News::Entry { uuid: [i as u8; 16], entry });
+        directory.apply(0, ContentUpdate::Entry { uuid: [i as u8; 16], entry });
     }
-    directory.apply(0, News::End { whole: true });
+    directory.apply(0, ContentUpdate::RefreshCompleted { complete: true });
     Rc::new((**directory.version()).clone())
 }
 
--- a/ldap/src/filter.rs
+++ b/ldap/src/filter.rs
@@ -13,13 +13,13 @@
 /// The syntax error and its place.
 ///
 /// ```
-/// use rockpick_ldap::filter::{escape, read};
-/// assert!(read("(&(a=1)(|(b=*)(c=x*y))(!(d>=2)))").is_ok());
-/// assert!(read("(a=1").is_err() && read("(a=1)(b=2)").is_err());
+/// use rockpick_ldap::filter::{escape, parse};
+/// assert!(parse("(&(a=1)(|(b=*)(c=x*y))(!(d>=2)))").is_ok());
+/// assert!(parse("(a=1").is_err() && parse("(a=1)(b=2)").is_err());
 /// // A principal that contains filter syntax is only a value.
-/// assert!(read(&format!("(uid={})", escape(b"*)(uid=*"))).is_ok());
+/// assert!(parse(&format!("(uid={})", escape(b"*)(uid=*"))).is_ok());
 /// ```
-pub fn read(text: &str) -> Result<Filter, String> {
+pub fn parse(text: &str) -> Result<Filter, String> {
     if text.len() > MAX_LENGTH {
         return Err("longer than 16 KiB".into());
     }
@@ -131,16 +131,16 @@
 
 /// Whether an entry matches; `values` returns the values of an attribute. Comparison ignores case, as for directory
 /// strings, and ordering is bytewise, which suits timestamps.
-pub fn fits(filter: &Filter, values: &dyn Fn(&str) -> Vec<Vec<u8>>) -> bool {
+pub fn matches(filter: &Filter, values: &dyn Fn(&str) -> Vec<Vec<u8>>) -> bool {
     let lowercase = |v: &[u8]| v.to_ascii_lowercase();
     let any = |a: &AttributeValueAssertion, test: &dyn Fn(&[u8], &[u8]) -> bool| {
         let expected = lowercase(a.assertion_value.as_ref());
         values(&a.attribute_desc.0).iter().any(|v| test(&lowercase(v), &expected))
     };
     match filter {
-        Filter::And(parts) => parts.to_vec().into_iter().all(|p| fits(p, values)),
-        Filter::Or(parts) => parts.to_vec().into_iter().any(|p| fits(p, values)),
-        Filter::Not(part) => !fits(part, values),
+        Filter::And(parts) => parts.to_vec().into_iter().all(|p| matches(p, values)),
+        Filter::Or(parts) => parts.to_vec().into_iter().any(|p| matches(p, values)),
+        Filter::Not(part) => !matches(part, values),
         Filter::EqualityMatch(a) | Filter::ApproxMatch(a) => any(a, &|v, w| v == w),
         Filter::GreaterOrEqual(a) => any(a, &|v, w| v >= w),
         Filter::LessOrEqual(a) => any(a, &|v, w| v <= w),
@@ -186,7 +186,7 @@
                 _ => Vec::new(),
             }
         };
-        let fits = |text: &str| fits(&read(text).unwrap(), &values);
+        let matches = |text: &str| matches(&parse(text).unwrap(), &values);
         for matching in [
             "(cn=acme ltd)",
             "(CN=ac*l*d)",
@@ -195,22 +195,22 @@
             "(&(cn=*)(!(sn=*)))",
             "(|(x=1)(cn=*me*))",
         ] {
-            assert!(fits(matching), "{matching}");
+            assert!(matches(matching), "{matching}");
         }
         for other in ["(cn=acme)", "(cn=*lt)", "(stamp<=2026)", "(&(cn=*)(sn=*))", "(cn=a\\28b)"] {
-            assert!(!fits(other), "{other}");
+            assert!(!matches(other), "{other}");
         }
         for invalid in ["", "cn=a", "(cn)", "(=a)", "(c n=a)", "(cn=a\\2)", "((cn=a))", "(cn=a))"] {
-            assert!(read(invalid).is_err(), "{invalid}");
+            assert!(parse(invalid).is_err(), "{invalid}");
         }
-        assert!(read(&format!("{}(a=1){}", "(!".repeat(100), ")".repeat(100))).is_err());
+        assert!(parse(&format!("{}(a=1){}", "(!".repeat(100), ")".repeat(100))).is_err());
     }
 
     #[test]
     fn escaped_values_cannot_change_a_filter() {
         for value in ["*", "a)(uid=*", "\\", "\u{0}x", "(&"] {
             let text = format!("(uid={})", escape(value.as_bytes()));
-            let Filter::EqualityMatch(a) = read(&text).unwrap() else { panic!("{text}") };
+            let Filter::EqualityMatch(a) = parse(&text).unwrap() else { panic!("{text}") };
             assert_eq!(a.assertion_value.as_ref(), value.as_bytes());
         }
     }
--- a/ldap/src/frames.rs
+++ b/ldap/src/frames.rs
@@ -11,14 +11,14 @@
 
 /// Why a stream is malformed; the rest of it cannot be interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal(pub &'static str);
+pub struct FrameError(pub &'static str);
 
 /// Parses the header at the start of `bytes`: its length, the content's length, and whether the encoding is
 /// constructed.
-fn header(bytes: &[u8]) -> Result<Option<(usize, usize, bool)>, Refusal> {
+fn header(bytes: &[u8]) -> Result<Option<(usize, usize, bool)>, FrameError> {
     let Some(&tag) = bytes.first() else { return Ok(None) };
     if tag & 0x1f == 0x1f {
-        return Err(Refusal("multi-byte tag"));
+        return Err(FrameError("multi-byte tag"));
     }
     let Some(&first) = bytes.get(1) else { return Ok(None) };
     let constructed = tag & 0x20 != 0;
@@ -27,9 +27,9 @@
     }
     let length_bytes = usize::from(first & 0x7f);
     match length_bytes {
-        0 => return Err(Refusal("indefinite length")),
+        0 => return Err(FrameError("indefinite length")),
         1..=4 => {}
-        _ => return Err(Refusal("length field too long")),
+        _ => return Err(FrameError("length field too long")),
     }
     let Some(digits) = bytes.get(2..2 + length_bytes) else { return Ok(None) };
     let length = digits.iter().fold(0usize, |n, b| n << 8 | usize::from(*b));
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// The first violation.
-pub fn check(message: &[u8]) -> Result<(), Refusal> {
+pub fn validate(message: &[u8]) -> Result<(), FrameError> {
     // Ends of the enclosing elements, innermost last.
     let mut ends: Vec<usize> = vec![message.len()];
     let (mut at, mut elements) = (0, 0);
@@ -50,17 +50,17 @@
         }
         let Some(&end) = ends.last() else { return Ok(()) };
         let (head, length, constructed) =
-            header(&message[at..end])?.ok_or(Refusal("element truncated by its parent"))?;
+            header(&message[at..end])?.ok_or(FrameError("element truncated by its parent"))?;
         elements += 1;
         if elements > MAX_ELEMENTS {
-            return Err(Refusal("too many elements"));
+            return Err(FrameError("too many elements"));
         }
         if length > end - at - head {
-            return Err(Refusal("element longer than its parent"));
+            return Err(FrameError("element longer than its parent"));
         }
         if constructed {
             if ends.len() >= MAX_DEPTH {
-                return Err(Refusal("nested too deeply"));
+                return Err(FrameError("nested too deeply"));
             }
             ends.push(at + head + length);
             at += head;
@@ -72,13 +72,13 @@
 
 /// Received bytes that are not split into messages yet.
 #[derive(Default)]
-pub struct Frames {
+pub struct FrameReader {
     buffer: Vec<u8>,
     /// Number of bytes at the start of `buffer` that were returned as messages.
     consumed: usize,
 }
 
-impl Frames {
+impl FrameReader {
     pub fn push(&mut self, bytes: &[u8]) {
         if self.consumed > 0 && self.consumed >= self.buffer.len() / 2 {
             self.buffer.drain(..self.consumed);
@@ -88,7 +88,7 @@
     }
 
     /// Number of bytes that are not returned as messages yet.
-    pub fn waiting(&self) -> usize {
+    pub fn buffered(&self) -> usize {
         self.buffer.len() - self.consumed
     }
 
@@ -97,16 +97,16 @@
     /// # Errors
     /// The stream is malformed and cannot be continued.
     #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Result<Option<&[u8]>, Refusal> {
+    pub fn next(&mut self) -> Result<Option<&[u8]>, FrameError> {
         let rest = &self.buffer[self.consumed..];
         match rest.first() {
             None => return Ok(None),
             Some(0x30) => {}
-            Some(_) => return Err(Refusal("message is not a sequence")),
+            Some(_) => return Err(FrameError("message is not a sequence")),
         }
         let Some((head, length, _)) = header(rest)? else { return Ok(None) };
         if length > MAX_MESSAGE {
-            return Err(Refusal("message too long"));
+            return Err(FrameError("message too long"));
         }
         if rest.len() < head + length {
             return Ok(None);
@@ -114,7 +114,7 @@
         let from = self.consumed;
         self.consumed += head + length;
         let message = &self.buffer[from..self.consumed];
-        check(message)?;
+        validate(message)?;
         Ok(Some(message))
     }
 }
@@ -127,11 +127,11 @@
     fn messages_are_split_regardless_of_chunks() {
         let two = [0x30, 0x03, 0x02, 0x01, 0x05, 0x30, 0x03, 0x02, 0x01, 0x06];
         for cut in 0..=two.len() {
-            let mut frames = Frames::default();
+            let mut reader = FrameReader::default();
             let mut got = Vec::new();
             for part in [&two[..cut], &two[cut..]] {
-                frames.push(part);
-                while let Some(m) = frames.next().unwrap() {
+                reader.push(part);
+                while let Some(m) = reader.next().unwrap() {
                     got.push(m.to_vec());
                 }
             }
@@ -142,16 +142,16 @@
     #[test]
     fn malformed_messages_are_rejected() {
         let next = |bytes: &[u8]| {
-            let mut frames = Frames::default();
-            frames.push(bytes);
-            frames.next().map(|m| m.map(<[u8]>::to_vec))
+            let mut reader = FrameReader::default();
+            reader.push(bytes);
+            reader.next().map(|m| m.map(<[u8]>::to_vec))
         };
-        assert_eq!(next(&[0x30, 0x80]), Err(Refusal("indefinite length")));
-        assert_eq!(next(&[0x30, 0x84, 0x7f, 0xff, 0xff, 0xff]), Err(Refusal("message too long")));
-        assert_eq!(next(&[0x30, 0x85, 0, 0, 0, 0, 1]), Err(Refusal("length field too long")));
-        assert_eq!(next(&[0x04, 0x00]), Err(Refusal("message is not a sequence")));
-        assert_eq!(next(&[0x30, 0x03, 0x04, 0x05, 0x00]), Err(Refusal("element longer than its parent")));
-        assert_eq!(next(&[0x30, 0x01, 0x04]), Err(Refusal("element truncated by its parent")));
+        assert_eq!(next(&[0x30, 0x80]), Err(FrameError("indefinite length")));
+        assert_eq!(next(&[0x30, 0x84, 0x7f, 0xff, 0xff, 0xff]), Err(FrameError("message too long")));
+        assert_eq!(next(&[0x30, 0x85, 0, 0, 0, 0, 1]), Err(FrameError("length field too long")));
+        assert_eq!(next(&[0x04, 0x00]), Err(FrameError("message is not a sequence")));
+        assert_eq!(next(&[0x30, 0x03, 0x04, 0x05, 0x00]), Err(FrameError("element longer than its parent")));
+        assert_eq!(next(&[0x30, 0x01, 0x04]), Err(FrameError("element truncated by its parent")));
         assert_eq!(next(&[0x30, 0x03, 0x02, 0x01]), Ok(None));
         // A megabyte of nested elements is rejected without deep recursion.
         let mut deep = vec![0x30, 0x83, 0x0f, 0xff, 0xfb];
@@ -161,11 +161,11 @@
             deep.extend([0x30, 0x83, (left >> 16) as u8, (left >> 8) as u8, left as u8]);
         }
         deep.resize(0x0f_fffb + 5, 0);
-        assert_eq!(next(&deep), Err(Refusal("nested too deeply")));
+        assert_eq!(next(&deep), Err(FrameError("nested too deeply")));
         let many = vec![[0x05, 0x00]; MAX_ELEMENTS].concat();
         let len = many.len();
         let mut wide = vec![0x30, 0x83, (len >> 16) as u8, (len >> 8) as u8, len as u8];
         wide.extend(many);
-        assert_eq!(next(&wide), Err(Refusal("too many elements")));
+        assert_eq!(next(&wide), Err(FrameError("too many elements")));
     }
 }
--- a/ldap/src/lib.rs
+++ b/ldap/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod session;
 
 pub use message::{Message, Op};
-pub use session::{Login, News, Out, Quest, Session};
+pub use session::{Action, ContentUpdate, Login, Session, SessionConfig};
--- a/ldap/src/message.rs
+++ b/ldap/src/message.rs
@@ -195,7 +195,7 @@
 
 /// Decodes a control's value.
 pub fn decode_value<T: rasn::Decode>(bytes: &[u8]) -> Option<T> {
-    crate::frames::check(bytes).ok()?;
+    crate::frames::validate(bytes).ok()?;
     rasn::ber::decode(bytes).ok()
 }
 
--- a/ldap/src/session.rs
+++ b/ldap/src/session.rs
@@ -1,7 +1,7 @@
 //! A client session on one connection: StartTLS, bind, root DSE, then content synchronization if the server supports
 //! it, otherwise paged polling. The session consumes bytes and returns actions; it has no socket and no clock.
 //! Every wait has a timeout.
-use crate::frames::Frames;
+use crate::frames::FrameReader;
 use crate::message::*;
 use rockpick_net::{Ns, SEC};
 use std::collections::BTreeSet;
@@ -34,44 +34,44 @@
 
 /// Parameters of a session.
 #[derive(Clone, Debug)]
-pub struct Quest {
+pub struct SessionConfig {
     pub login: Login,
     pub start_tls: bool,
     /// Allow a password over an unencrypted connection.
-    pub plain: bool,
+    pub allow_plaintext: bool,
     pub base: String,
     pub filter: Filter,
     pub attributes: Vec<String>,
     /// Entries per page.
-    pub page: u32,
+    pub page_size: u32,
     /// Time limit of a search at the server, in seconds.
     pub time_limit: u32,
     /// Use content synchronization if the root DSE lists it.
     pub sync: bool,
     /// Interval between polls, and between probes of an idle connection under content synchronization.
-    pub poll: Ns,
+    pub poll_interval: Ns,
     /// Every this many polls all entries are requested, as only that reveals deletions.
-    pub whole_every: u32,
+    pub full_poll_every: u32,
     /// Timeout for a response or the next part of one.
-    pub within: Ns,
-    pub most_entries: usize,
+    pub response_timeout: Ns,
+    pub max_entries: usize,
 }
 
 /// An update of the directory's content.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum ContentUpdate {
     /// A refresh starts.
-    Begin,
+    RefreshStarted,
     Entry {
         uuid: [u8; 16],
         entry: Entry,
     },
     /// The entry is unchanged.
-    Keep([u8; 16]),
-    Gone([u8; 16]),
+    Unchanged([u8; 16]),
+    Deleted([u8; 16]),
     /// The refresh is complete. If it covered the whole content, entries that it did not contain are deleted.
-    End {
-        whole: bool,
+    RefreshCompleted {
+        complete: bool,
     },
     /// A later session can continue from this point.
     Cookie(Vec<u8>),
@@ -79,13 +79,13 @@
 
 /// An action for the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum Action {
     Send(Vec<u8>),
-    /// Start the TLS handshake; call [`Session::secured`] when it is complete.
+    /// Start the TLS handshake; call [`Session::tls_established`] when it is complete.
     StartTls,
-    News(News),
+    Update(ContentUpdate),
     /// The session has ended and the connection is to be closed. `referral` lists URLs that the server refers to.
-    Over {
+    Closed {
         why: String,
         referral: Vec<String>,
     },
@@ -97,15 +97,15 @@
     Bind(u32),
     RootDse(u32),
     Sync { id: u32, persisting: bool },
-    Page { id: u32, whole: bool },
+    Page { id: u32, complete: bool },
     Idle { until: Ns },
     Closed,
 }
 
 pub struct Session {
-    quest: Quest,
+    config: SessionConfig,
     state: State,
-    frames: Frames,
+    frames: FrameReader,
     last_id: u32,
     /// When the awaited response must have arrived.
     deadline: Ns,
@@ -123,7 +123,7 @@
     stray_responses: u32,
     /// Number of search result references.
     pub references: u64,
-    out: Vec<Out>,
+    actions: Vec<Action>,
 }
 
 fn printable(bytes: &[u8]) -> String {
@@ -132,12 +132,12 @@
 
 impl Session {
     /// Starts a session. `secured`: the connection uses TLS already; `cookie`: where a former session ended.
-    pub fn begin(now: Ns, quest: Quest, secured: bool, cookie: Option<Vec<u8>>) -> Session {
+    pub fn start(now: Ns, config: SessionConfig, secured: bool, cookie: Option<Vec<u8>>) -> Session {
         let mut session = Session {
-            deadline: now + quest.within,
-            quest,
+            deadline: now + config.response_timeout,
+            config,
             state: State::Closed,
-            frames: Frames::default(),
+            frames: FrameReader::default(),
             last_id: 0,
             secured,
             cookie,
@@ -148,9 +148,9 @@
             probe: None,
             stray_responses: 0,
             references: 0,
-            out: Vec::new(),
+            actions: Vec::new(),
         };
-        if session.quest.start_tls && !secured {
+        if session.config.start_tls && !secured {
             let request = ExtendedRequest { request_name: START_TLS.to_vec().into(), request_value: None };
             let id = session.send_request(now, Op::Extended(request));
             session.state = State::StartTls(id);
@@ -161,21 +161,21 @@
     }
 
     /// Returns the pending actions, in order.
-    pub fn out(&mut self) -> Vec<Out> {
-        std::mem::take(&mut self.out)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
-    pub fn over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         matches!(self.state, State::Closed)
     }
 
     /// Whether a refresh is complete, so that changes arrive by synchronization or with the next poll.
-    pub fn settled(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         matches!(self.state, State::Sync { persisting: true, .. } | State::Idle { .. })
     }
 
     /// When [`Session::tick`] must be called at the latest.
-    pub fn wake(&self) -> Ns {
+    pub fn next_deadline(&self) -> Ns {
         match &self.state {
             State::Idle { until } => *until,
             State::Sync { persisting: true, .. } => self.probe.map_or(self.deadline, |(_, by)| by),
@@ -191,19 +191,19 @@
     }
 
     fn send(&mut self, message: Message) {
-        self.out.push(Out::Send(message.encode()));
+        self.actions.push(Action::Send(message.encode()));
     }
 
     fn send_request(&mut self, now: Ns, op: Op) -> u32 {
         let id = self.next_id();
         self.send(Message::new(id, op));
-        self.deadline = now + self.quest.within;
+        self.deadline = now + self.config.response_timeout;
         id
     }
 
     /// Ends the session, with an unbind request unless a TLS handshake is under way.
     fn end(&mut self, why: impl Into<String>, referral: Vec<String>) {
-        if self.over() {
+        if self.is_closed() {
             return;
         }
         if !matches!(self.state, State::Handshake) {
@@ -211,27 +211,27 @@
             self.send(Message::new(id, Op::Unbind(UnbindRequest)));
         }
         self.state = State::Closed;
-        self.out.push(Out::Over { why: why.into(), referral });
+        self.actions.push(Action::Closed { why: why.into(), referral });
     }
 
     /// Ends the session at the caller's request.
-    pub fn leave(&mut self) {
+    pub fn close(&mut self) {
         self.end("closed by the client", Vec::new());
     }
 
     /// The TLS handshake is complete. Bytes received before it are discarded.
-    pub fn secured(&mut self, now: Ns) {
+    pub fn tls_established(&mut self, now: Ns) {
         if matches!(self.state, State::Handshake) {
             self.secured = true;
-            self.frames = Frames::default();
+            self.frames = FrameReader::default();
             self.bind(now);
         }
     }
 
     fn bind(&mut self, now: Ns) {
-        let (dn, choice) = match &self.quest.login {
+        let (dn, choice) = match &self.config.login {
             Login::Anonymous => (String::new(), AuthenticationChoice::Simple(Vec::new().into())),
-            Login::Simple { .. } if !self.secured && !self.quest.plain => {
+            Login::Simple { .. } if !self.secured && !self.config.allow_plaintext => {
                 return self.end("refusing to send a password over an unencrypted connection", Vec::new());
             }
             Login::Simple { dn, password } => {
@@ -249,7 +249,7 @@
         let scope = if subtree { SearchRequestScope::WholeSubtree } else { SearchRequestScope::BaseObject };
         let attributes = attributes.iter().map(|a| (*a).into()).collect();
         let deref = SearchRequestDerefAliases::NeverDerefAliases;
-        SearchRequest::new(base.into(), scope, deref, 0, self.quest.time_limit, false, filter, attributes)
+        SearchRequest::new(base.into(), scope, deref, 0, self.config.time_limit, false, filter, attributes)
     }
 
     fn request_root_dse(&mut self, now: Ns) -> u32 {
@@ -258,51 +258,55 @@
     }
 
     fn requested_attributes(&self) -> Vec<&str> {
-        let configured = self.quest.attributes.iter().map(String::as_str);
+        let configured = self.config.attributes.iter().map(String::as_str);
         configured.chain(["entryUUID", "modifyTimestamp"]).collect()
     }
 
     /// Requests the content, by synchronization or else by polling.
     fn request_content(&mut self, now: Ns) {
         self.entries = 0;
-        self.out.push(Out::News(News::Begin));
+        self.actions.push(Action::Update(ContentUpdate::RefreshStarted));
         if self.server_syncs {
-            let request =
-                self.search(&self.quest.base, true, self.quest.filter.clone(), &self.requested_attributes());
+            let request = self.search(
+                &self.config.base,
+                true,
+                self.config.filter.clone(),
+                &self.requested_attributes(),
+            );
             let cookie = self.cookie.clone().map(Into::into);
             let control = SyncRequest { mode: REFRESH_AND_PERSIST, cookie, reload: false };
             let id = self.next_id();
             self.send(Message::new(id, Op::Search(request)).with_control(SYNC_REQUEST, true, &control));
             self.state = State::Sync { id, persisting: false };
-            self.deadline = now + self.quest.within;
+            self.deadline = now + self.config.response_timeout;
         } else {
-            let whole =
-                self.polls.is_multiple_of(self.quest.whole_every.max(1)) || self.latest_timestamp.is_empty();
+            let complete = self.polls.is_multiple_of(self.config.full_poll_every.max(1))
+                || self.latest_timestamp.is_empty();
             self.polls += 1;
-            self.request_page(now, whole, Vec::new());
+            self.request_page(now, complete, Vec::new());
         }
     }
 
-    fn request_page(&mut self, now: Ns, whole: bool, cookie: Vec<u8>) {
-        let mut filter = self.quest.filter.clone();
-        if !whole {
+    fn request_page(&mut self, now: Ns, complete: bool, cookie: Vec<u8>) {
+        let mut filter = self.config.filter.clone();
+        if !complete {
             let newer = rasn_ldap::AttributeValueAssertion::new(
                 "modifyTimestamp".into(),
                 self.latest_timestamp.as_bytes().to_vec().into(),
             );
             filter = Filter::And(vec![filter, Filter::GreaterOrEqual(newer)].into());
         }
-        let request = self.search(&self.quest.base, true, filter, &self.requested_attributes());
-        let control = PagedResults { size: self.quest.page, cookie: cookie.into() };
+        let request = self.search(&self.config.base, true, filter, &self.requested_attributes());
+        let control = PagedResults { size: self.config.page_size, cookie: cookie.into() };
         let id = self.next_id();
         self.send(Message::new(id, Op::Search(request)).with_control(PAGED_RESULTS, true, &control));
-        self.state = State::Page { id, whole };
-        self.deadline = now + self.quest.within;
+        self.state = State::Page { id, complete };
+        self.deadline = now + self.config.response_timeout;
     }
 
     /// Handles received bytes.
-    pub fn bytes(&mut self, now: Ns, bytes: &[u8]) {
-        if self.over() {
+    pub fn receive(&mut self, now: Ns, bytes: &[u8]) {
+        if self.is_closed() {
             return;
         }
         self.frames.push(bytes);
@@ -318,7 +322,7 @@
                     return self.end(format!("malformed message: {}", printable(why.as_bytes())), Vec::new())
                 }
             }
-            if self.over() || matches!(self.state, State::Handshake) {
+            if self.is_closed() || matches!(self.state, State::Handshake) {
                 return;
             }
         }
@@ -335,20 +339,20 @@
         if self.probe.is_some_and(|(id, _)| id == message.id) {
             if matches!(message.op, Op::SearchDone(_)) {
                 self.probe = None;
-                self.deadline = now + self.quest.poll;
+                self.deadline = now + self.config.poll_interval;
             }
             return;
         }
         match (&self.state, message.op) {
             (State::StartTls(id), Op::ExtendedResponse(e)) if *id == message.id => match e.code.0 {
                 // Unencrypted bytes after the response could have been injected by anyone (RFC 4511 §4.14.1).
-                SUCCESS if self.frames.waiting() > 0 => {
+                SUCCESS if self.frames.buffered() > 0 => {
                     self.end("unencrypted data after the StartTLS response", Vec::new())
                 }
                 SUCCESS => {
                     self.state = State::Handshake;
-                    self.out.push(Out::StartTls);
-                    self.deadline = now + self.quest.within;
+                    self.actions.push(Action::StartTls);
+                    self.deadline = now + self.config.response_timeout;
                 }
                 code => self.end(
                     format!("StartTLS refused: {code} {}", printable(&e.diagnostic_message)),
@@ -364,8 +368,8 @@
             },
             (State::RootDse(id), Op::Entry(entry)) if *id == message.id => {
                 let has = entry.values("supportedControl").any(|c| c == SYNC_REQUEST);
-                self.server_syncs = has && self.quest.sync;
-                self.deadline = now + self.quest.within;
+                self.server_syncs = has && self.config.sync;
+                self.deadline = now + self.config.response_timeout;
             }
             (State::RootDse(id), Op::SearchDone(done)) if *id == message.id => match done.code.0 {
                 SUCCESS => self.request_content(now),
@@ -398,26 +402,26 @@
 
     /// Counts an entry. Ends the session and returns false if there are too many.
     fn count_entry(&mut self, now: Ns) -> bool {
-        self.deadline = now + self.quest.within;
+        self.deadline = now + self.config.response_timeout;
         self.entries += 1;
-        if self.entries <= self.quest.most_entries {
+        if self.entries <= self.config.max_entries {
             return true;
         }
         let (State::Sync { id, .. } | State::Page { id, .. }) = self.state else { return false };
         let abandon = self.next_id();
         self.send(Message::new(abandon, Op::Abandon(AbandonRequest(id))));
-        self.end(format!("more than {} entries", self.quest.most_entries), Vec::new());
+        self.end(format!("more than {} entries", self.config.max_entries), Vec::new());
         false
     }
 
-    fn emit(&mut self, news: News) {
-        self.out.push(Out::News(news));
+    fn emit(&mut self, update: ContentUpdate) {
+        self.actions.push(Action::Update(update));
     }
 
     fn update_cookie(&mut self, cookie: Option<Vec<u8>>) {
         if let Some(cookie) = cookie {
             self.cookie = Some(cookie.clone());
-            self.emit(News::Cookie(cookie));
+            self.emit(ContentUpdate::Cookie(cookie));
         }
     }
 
@@ -439,9 +443,9 @@
                     return self.end("sync entry with an invalid entryUUID", Vec::new());
                 };
                 match state.state.0 {
-                    0 => self.emit(News::Keep(uuid)),
-                    1 | 2 => self.emit(News::Entry { uuid, entry }),
-                    3 => self.emit(News::Gone(uuid)),
+                    0 => self.emit(ContentUpdate::Unchanged(uuid)),
+                    1 | 2 => self.emit(ContentUpdate::Entry { uuid, entry }),
+                    3 => self.emit(ContentUpdate::Deleted(uuid)),
                     _ => return self.end("sync entry with an unknown state", Vec::new()),
                 }
                 self.update_cookie(state.cookie.map(|c| c.to_vec()));
@@ -449,7 +453,7 @@
             Op::IntermediateResponse(between)
                 if between.name.as_ref().is_some_and(|n| n.as_ref() == SYNC_INFO) =>
             {
-                self.deadline = now + self.quest.within;
+                self.deadline = now + self.config.response_timeout;
                 let Some(info) = between.value.and_then(|v| decode_value::<SyncInfo>(&v)) else {
                     return self.end("invalid sync info message", Vec::new());
                 };
@@ -463,7 +467,11 @@
                             if !self.count_entry(now) {
                                 return;
                             }
-                            self.emit(if ids.deletes { News::Gone(uuid) } else { News::Keep(uuid) });
+                            self.emit(if ids.deletes {
+                                ContentUpdate::Deleted(uuid)
+                            } else {
+                                ContentUpdate::Unchanged(uuid)
+                            });
                         }
                         self.update_cookie(ids.cookie.map(|c| c.to_vec()));
                     }
@@ -490,18 +498,18 @@
     }
 
     /// Handles the end of a refresh phase; the refresh is complete if `done` is set.
-    fn finish_refresh_phase(&mut self, now: Ns, refresh: Refresh, whole: bool) {
+    fn finish_refresh_phase(&mut self, now: Ns, refresh: Refresh, complete: bool) {
         self.update_cookie(refresh.cookie.map(|c| c.to_vec()));
         let State::Sync { id, persisting: false } = self.state else { return };
         if refresh.done {
             self.state = State::Sync { id, persisting: true };
-            self.deadline = now + self.quest.poll;
-            self.emit(News::End { whole });
+            self.deadline = now + self.config.poll_interval;
+            self.emit(ContentUpdate::RefreshCompleted { complete });
         }
     }
 
     fn handle_page_response(&mut self, now: Ns, op: Op, paged: Option<PagedResults>) {
-        let State::Page { whole, .. } = self.state else { return };
+        let State::Page { complete, .. } = self.state else { return };
         match op {
             Op::Entry(entry) => {
                 if !self.count_entry(now) {
@@ -514,16 +522,16 @@
                 }
                 // An entry without an entryUUID can't be tracked across a rename.
                 match entry.text("entryUUID").and_then(|t| parse_uuid(&t)) {
-                    Some(uuid) => self.emit(News::Entry { uuid, entry }),
+                    Some(uuid) => self.emit(ContentUpdate::Entry { uuid, entry }),
                     None => self.stray_responses += 1,
                 }
             }
             Op::SearchReference(_) => self.references += 1,
             Op::SearchDone(done) => match (done.code.0, paged.filter(|p| !p.cookie.is_empty())) {
-                (SUCCESS, Some(p)) => self.request_page(now, whole, p.cookie.to_vec()),
+                (SUCCESS, Some(p)) => self.request_page(now, complete, p.cookie.to_vec()),
                 (SUCCESS, None) => {
-                    self.emit(News::End { whole });
-                    self.state = State::Idle { until: now + self.quest.poll };
+                    self.emit(ContentUpdate::RefreshCompleted { complete });
+                    self.state = State::Idle { until: now + self.config.poll_interval };
                 }
                 (code, _) => self.fail("search", code, &done.diagnostic_message, done.referral),
             },
@@ -543,7 +551,7 @@
                 // A half-open connection is indistinguishable from a directory without changes.
                 None if self.deadline <= now => {
                     let id = self.request_root_dse(now);
-                    self.probe = Some((id, now + self.quest.within));
+                    self.probe = Some((id, now + self.config.response_timeout));
                 }
                 None => {}
             },
@@ -553,23 +561,23 @@
     }
 }
 
-impl Default for Quest {
+impl Default for SessionConfig {
     /// Suits a small directory; the caller sets the base and the filter.
-    fn default() -> Quest {
-        Quest {
+    fn default() -> SessionConfig {
+        SessionConfig {
             login: Login::Anonymous,
             start_tls: false,
-            plain: false,
+            allow_plaintext: false,
             base: String::new(),
             filter: Filter::Present("objectClass".into()),
             attributes: Vec::new(),
-            page: 500,
+            page_size: 500,
             time_limit: 30,
             sync: true,
-            poll: 5 * SEC,
-            whole_every: 6,
-            within: 5 * SEC,
-            most_entries: 1_000_000,
+            poll_interval: 5 * SEC,
+            full_poll_every: 6,
+            response_timeout: 5 * SEC,
+            max_entries: 1_000_000,
         }
     }
 }
@@ -580,10 +588,10 @@
     use rasn::types::OctetString;
 
     fn sent_messages(session: &mut Session) -> Vec<Message> {
-        let out = session.out();
+        let out = session.take_actions();
         out.iter()
             .filter_map(|o| match o {
-                Out::Send(b) => decode(b).ok(),
+                Action::Send(b) => decode(b).ok(),
                 _ => None,
             })
             .collect()
@@ -619,23 +627,23 @@
 
     /// A session after the bind and the root DSE, which lists content synchronization if `syncs`, and the request for
     /// the content.
-    fn start_search(quest: Quest, syncs: bool, cookie: Option<Vec<u8>>) -> (Session, Message) {
-        let mut s = Session::begin(0, quest, false, cookie);
+    fn start_search(config: SessionConfig, syncs: bool, cookie: Option<Vec<u8>>) -> (Session, Message) {
+        let mut s = Session::start(0, config, false, cookie);
         let bind = sent_messages(&mut s).remove(0);
-        s.bytes(0, &Message::new(bind.id, bound(0)).encode());
+        s.receive(0, &Message::new(bind.id, bound(0)).encode());
         let root = sent_messages(&mut s).remove(0);
         let control = if syncs { std::str::from_utf8(SYNC_REQUEST).unwrap() } else { "1.2.3" };
-        s.bytes(0, &Message::new(root.id, Op::Entry(entry(&[("supportedControl", control)]))).encode());
-        s.bytes(0, &Message::new(root.id, Op::SearchDone(result(0))).encode());
+        s.receive(0, &Message::new(root.id, Op::Entry(entry(&[("supportedControl", control)]))).encode());
+        s.receive(0, &Message::new(root.id, Op::SearchDone(result(0))).encode());
         let request = sent_messages(&mut s).remove(0);
         (s, request)
     }
 
-    fn updates(s: &mut Session) -> Vec<News> {
-        s.out()
+    fn updates(s: &mut Session) -> Vec<ContentUpdate> {
+        s.take_actions()
             .into_iter()
             .filter_map(|o| match o {
-                Out::News(n) => Some(n),
+                Action::Update(n) => Some(n),
                 _ => None,
             })
             .collect()
@@ -645,34 +653,34 @@
 
     #[test]
     fn pages_are_followed_and_polls_filter_by_latest_timestamp() {
-        let (mut s, request) = start_search(Quest::default(), false, None);
+        let (mut s, request) = start_search(SessionConfig::default(), false, None);
         assert!(request.control(PAGED_RESULTS).is_some());
         let found = entry(&[("entryUUID", UUID), ("modifyTimestamp", "20261201120000Z")]);
-        s.bytes(0, &Message::new(request.id, Op::Entry(found)).encode());
+        s.receive(0, &Message::new(request.id, Op::Entry(found)).encode());
         let more = PagedResults { size: 0, cookie: b"next".to_vec().into() };
-        s.bytes(
+        s.receive(
             0,
             &Message::new(request.id, Op::SearchDone(result(0)))
                 .with_control(PAGED_RESULTS, false, &more)
                 .encode(),
         );
-        let out = s.out();
-        assert!(matches!(&out[0], Out::News(News::Entry { .. })));
-        let Out::Send(bytes) = &out[1] else { panic!("{out:?}") };
+        let out = s.take_actions();
+        assert!(matches!(&out[0], Action::Update(ContentUpdate::Entry { .. })));
+        let Action::Send(bytes) = &out[1] else { panic!("{out:?}") };
         let second = decode(bytes).unwrap();
         assert_eq!(
             decode_value::<PagedResults>(second.control(PAGED_RESULTS).unwrap()).unwrap().cookie.as_ref(),
             b"next"
         );
         let none = PagedResults { size: 0, cookie: OctetString::from_static(b"") };
-        s.bytes(
+        s.receive(
             0,
             &Message::new(second.id, Op::SearchDone(result(0)))
                 .with_control(PAGED_RESULTS, false, &none)
                 .encode(),
         );
-        assert_eq!(updates(&mut s), [News::End { whole: true }]);
-        assert!(s.settled() && s.wake() == 5 * SEC);
+        assert_eq!(updates(&mut s), [ContentUpdate::RefreshCompleted { complete: true }]);
+        assert!(s.is_up_to_date() && s.next_deadline() == 5 * SEC);
         s.tick(5 * SEC);
         let Op::Search(poll) = sent_messages(&mut s).remove(0).op else { panic!() };
         assert!(format!("{:?}", poll.filter).contains("GreaterOrEqual"));
@@ -680,75 +688,86 @@
 
     #[test]
     fn unknown_cookie_restarts_the_synchronization() {
-        let (mut s, request) = start_search(Quest::default(), true, Some(b"old".to_vec()));
+        let (mut s, request) = start_search(SessionConfig::default(), true, Some(b"old".to_vec()));
         let asked = decode_value::<SyncRequest>(request.control(SYNC_REQUEST).unwrap()).unwrap();
         assert_eq!(asked.cookie.unwrap().as_ref(), b"old");
-        s.bytes(0, &Message::new(request.id, Op::SearchDone(result(REFRESH_REQUIRED))).encode());
+        s.receive(0, &Message::new(request.id, Op::SearchDone(result(REFRESH_REQUIRED))).encode());
         let again = sent_messages(&mut s).remove(0);
         assert_eq!(decode_value::<SyncRequest>(again.control(SYNC_REQUEST).unwrap()).unwrap().cookie, None);
         let state = SyncState { state: Enumerated(1), uuid: vec![7; 16].into(), cookie: None };
-        s.bytes(
+        s.receive(
             0,
             &Message::new(again.id, Op::Entry(entry(&[]))).with_control(SYNC_STATE, false, &state).encode(),
         );
         let done = SyncInfo::Present(Refresh { cookie: Some(b"new".to_vec().into()), done: true });
         let info =
             IntermediateResponse { name: Some(SYNC_INFO.to_vec().into()), value: Some(encode(&done).into()) };
-        s.bytes(0, &Message::new(again.id, Op::IntermediateResponse(info)).encode());
+        s.receive(0, &Message::new(again.id, Op::IntermediateResponse(info)).encode());
         let got = updates(&mut s);
-        assert!(matches!(got[0], News::Entry { uuid: [7, ..], .. }));
-        assert_eq!(got[1..], [News::Cookie(b"new".to_vec()), News::End { whole: true }]);
+        assert!(matches!(got[0], ContentUpdate::Entry { uuid: [7, ..], .. }));
+        assert_eq!(
+            got[1..],
+            [ContentUpdate::Cookie(b"new".to_vec()), ContentUpdate::RefreshCompleted { complete: true }]
+        );
         // An idle connection is probed, and closed when the probe gets no response.
-        let at = s.wake();
+        let at = s.next_deadline();
         s.tick(at);
         assert_eq!(sent_messages(&mut s).len(), 1);
-        let at = s.wake();
+        let at = s.next_deadline();
         s.tick(at);
-        assert!(matches!(s.out().last(), Some(Out::Over { why, .. }) if why == "no response to a probe"));
+        assert!(
+            matches!(s.take_actions().last(), Some(Action::Closed { why, .. }) if why == "no response to a probe")
+        );
     }
 
     #[test]
     fn too_many_entries_stray_responses_and_timeouts_end_the_session() {
-        let (mut s, request) = start_search(Quest { most_entries: 3, ..Quest::default() }, false, None);
+        let (mut s, request) =
+            start_search(SessionConfig { max_entries: 3, ..SessionConfig::default() }, false, None);
         for _ in 0..10 {
-            s.bytes(0, &Message::new(request.id, Op::Entry(entry(&[("entryUUID", UUID)]))).encode());
+            s.receive(0, &Message::new(request.id, Op::Entry(entry(&[("entryUUID", UUID)]))).encode());
         }
-        let out = s.out();
+        let out = s.take_actions();
         let sends: Vec<Message> = out
             .iter()
             .filter_map(|o| match o {
-                Out::Send(b) => decode(b).ok(),
+                Action::Send(b) => decode(b).ok(),
                 _ => None,
             })
             .collect();
         assert!(matches!(sends[0].op, Op::Abandon(AbandonRequest(id)) if id == request.id));
-        assert!(matches!(out.last(), Some(Out::Over { why, .. }) if why.contains("3 entries")));
-        let (mut s, _) = start_search(Quest::default(), false, None);
+        assert!(matches!(out.last(), Some(Action::Closed { why, .. }) if why.contains("3 entries")));
+        let (mut s, _) = start_search(SessionConfig::default(), false, None);
         for _ in 0..=MAX_STRAY {
-            s.bytes(0, &Message::new(77, Op::SearchDone(result(0))).encode());
+            s.receive(0, &Message::new(77, Op::SearchDone(result(0))).encode());
         }
-        assert!(s.over());
-        let (mut s, _) = start_search(Quest::default(), false, None);
+        assert!(s.is_closed());
+        let (mut s, _) = start_search(SessionConfig::default(), false, None);
         s.tick(5 * SEC);
-        assert!(matches!(s.out().last(), Some(Out::Over { why, .. }) if why == "response timed out"));
+        assert!(
+            matches!(s.take_actions().last(), Some(Action::Closed { why, .. }) if why == "response timed out")
+        );
         // A size limit of the server does not complete a refresh: no entry may count as deleted.
-        let (mut s, request) = start_search(Quest::default(), false, None);
-        s.bytes(0, &Message::new(request.id, Op::SearchDone(result(SIZE_LIMIT_EXCEEDED))).encode());
-        let out = s.out();
-        assert!(!out.contains(&Out::News(News::End { whole: true })) && s.over());
+        let (mut s, request) = start_search(SessionConfig::default(), false, None);
+        s.receive(0, &Message::new(request.id, Op::SearchDone(result(SIZE_LIMIT_EXCEEDED))).encode());
+        let out = s.take_actions();
+        assert!(
+            !out.contains(&Action::Update(ContentUpdate::RefreshCompleted { complete: true }))
+                && s.is_closed()
+        );
     }
 
     #[test]
     fn passwords_are_not_sent_unencrypted_and_data_before_tls_is_rejected() {
         let login = Login::Simple { dn: "cn=a".into(), password: "geheim".into() };
-        let quest = Quest { login, ..Quest::default() };
-        let mut s = Session::begin(0, quest.clone(), false, None);
+        let config = SessionConfig { login, ..SessionConfig::default() };
+        let mut s = Session::start(0, config.clone(), false, None);
         assert!(
-            s.over()
-                && !format!("{:?}", s.out()).contains("geheim")
-                && !format!("{quest:?}").contains("geheim")
+            s.is_closed()
+                && !format!("{:?}", s.take_actions()).contains("geheim")
+                && !format!("{config:?}").contains("geheim")
         );
-        let mut s = Session::begin(0, Quest { start_tls: true, ..quest }, false, None);
+        let mut s = Session::start(0, SessionConfig { start_tls: true, ..config }, false, None);
         let id = sent_messages(&mut s).remove(0).id;
         let empty = OctetString::from_static(b"");
         let yes = ExtendedResponse {
@@ -762,8 +781,8 @@
         let yes = Message::new(id, Op::ExtendedResponse(yes)).encode();
         // The StartTLS response followed by a forged bind response without encryption.
         let forged = [yes.clone(), Message::new(id + 1, bound(0)).encode()].concat();
-        s.bytes(0, &forged);
-        assert!(s.over());
+        s.receive(0, &forged);
+        assert!(s.is_closed());
     }
 
     #[test]
@@ -777,7 +796,7 @@
         };
         let good = Message::new(3, Op::Entry(entry(&[("entryUUID", UUID), ("cn", "abc")]))).encode();
         for _ in 0..20_000 {
-            let (mut s, request) = (Session::begin(0, Quest::default(), false, None), 1);
+            let (mut s, request) = (Session::start(0, SessionConfig::default(), false, None), 1);
             let mut bytes = good.clone();
             for _ in 0..=draw(4) {
                 let at = draw(bytes.len() as u64) as usize;
@@ -790,8 +809,8 @@
                     break;
                 }
             }
-            s.bytes(0, &Message::new(request, bound(0)).encode());
-            s.bytes(0, &bytes);
+            s.receive(0, &Message::new(request, bound(0)).encode());
+            s.receive(0, &bytes);
         }
     }
 }
--- a/standin/src/directory.rs
+++ b/standin/src/directory.rs
@@ -3,7 +3,7 @@
 //! have. Its content is changed, and its faults are set, over HTTP on another port.
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, ExtendedKeyUsagePurpose, IsCa, KeyPair};
 use rockpick_ldap::filter;
-use rockpick_ldap::frames::Frames;
+use rockpick_ldap::frames::FrameReader;
 use rockpick_ldap::message::*;
 use rockpick_net::http::Request;
 use rockpick_net::{tls, Event, Id, Net, Ns, MS, SEC};
@@ -107,7 +107,7 @@
 
 #[derive(Default)]
 struct Peer {
-    frames: Frames,
+    frames: FrameReader,
     secure: Option<Box<ServerConnection>>,
     running: VecDeque<Running>,
     /// Persistent searches: their ids and requests.
@@ -535,7 +535,7 @@
                 .chain(of_own)
                 .collect()
         };
-        if !within || !filter::fits(&request.filter, &values) {
+        if !within || !filter::matches(&request.filter, &values) {
             return None;
         }
         let wanted: Vec<String> = request.attributes.iter().map(|a| a.0.to_lowercase()).collect();
--- a/tenant/src/limit.rs
+++ b/tenant/src/limit.rs
@@ -365,11 +365,11 @@
     use super::*;
     use crate::model::{Directory, EntryMapping};
     use rockpick_ldap::message::{Attribute, Entry};
-    use rockpick_ldap::News;
+    use rockpick_ldap::ContentUpdate;
 
     fn directory(rates: &[Option<f64>]) -> Directory {
         let mut d = Directory::new(EntryMapping::default());
-        d.apply(0, News::Begin);
+        d.apply(0, ContentUpdate::RefreshStarted);
         for (i, rate) in rates.iter().enumerate() {
             let pair = |k: &str, v: String| Attribute {
                 kind: k.as_bytes().to_vec().into(),
@@ -378,9 +378,9 @@
             let mut attributes = vec![pair("objectClass", "organization".into()), pair("o", format!("t{i}"))];
             attributes.extend(rate.map(|r| pair("rockpickRate", r.to_string())));
             let entry = Entry { dn: format!("o=t{i}").into_bytes().into(), attributes };
-            d.apply(0, News::Entry { uuid: [i as u8; 16], entry });
+            d.apply(0, ContentUpdate::Entry { uuid: [i as u8; 16], entry });
         }
-        d.apply(0, News::End { whole: true });
+        d.apply(0, ContentUpdate::RefreshCompleted { complete: true });
         d
     }
 
--- a/tenant/src/link.rs
+++ b/tenant/src/link.rs
@@ -5,7 +5,7 @@
 use crate::worker::DirectoryWorker;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use rockpick_ldap::{News, Out, Quest, Session};
+use rockpick_ldap::{Action, ContentUpdate, Session, SessionConfig};
 use rockpick_net::{tls, Event, Id, Net, Ns, SEC};
 use rustls::pki_types::ServerName;
 use rustls::{ClientConfig, ClientConnection};
@@ -28,7 +28,7 @@
 
 pub struct Link {
     settings: DirectorySettings,
-    quest: Quest,
+    config: SessionConfig,
     tls: Option<Arc<ClientConfig>>,
     selector: ServerSelector,
     rng: StdRng,
@@ -53,7 +53,7 @@
         let selector =
             ServerSelector::new(now, settings.servers.len(), fronts, settings.binds_a_second, &mut rng);
         Ok(Link {
-            quest: settings.session_config()?,
+            config: settings.session_config()?,
             settings,
             tls,
             selector,
@@ -70,7 +70,7 @@
 
     /// Whether the session has completed a refresh and receives changes.
     pub fn is_up_to_date(&self) -> bool {
-        self.session.as_ref().is_some_and(Session::settled)
+        self.session.as_ref().is_some_and(Session::is_up_to_date)
     }
 
     /// The server in use.
@@ -81,7 +81,7 @@
     /// Unbinds and closes the connection.
     pub fn close(&mut self, net: &mut Net, worker: &DirectoryWorker) {
         if let Some(session) = &mut self.session {
-            session.leave();
+            session.close();
             self.process_session_output(net, worker);
         }
     }
@@ -97,7 +97,7 @@
         }
         if self.selector.fail_back(now, &mut self.rng) {
             if let Some(session) = &mut self.session {
-                session.leave();
+                session.close();
             }
             self.disconnect(net);
         }
@@ -108,7 +108,7 @@
         match net.dial(self.settings.servers[server].at, CONNECT_TIMEOUT) {
             Ok(conn) => {
                 self.conn = Some(conn);
-                self.handshake_deadline = now + CONNECT_TIMEOUT + self.quest.within;
+                self.handshake_deadline = now + CONNECT_TIMEOUT + self.config.response_timeout;
             }
             Err(err) => self.failed(net, &err.to_string()),
         }
@@ -140,7 +140,7 @@
 
     fn start_session(&mut self, now: Ns, secured: bool, worker: &DirectoryWorker) {
         let cookie = worker.status().cookie;
-        self.session = Some(Session::begin(now, self.quest.clone(), secured, cookie));
+        self.session = Some(Session::start(now, self.config.clone(), secured, cookie));
     }
 
     /// Starts the TLS handshake.
@@ -160,14 +160,14 @@
         let now = net.now();
         let Some(tls_conn) = &mut self.tls_conn else {
             if let Some(session) = &mut self.session {
-                session.bytes(now, bytes);
+                session.receive(now, bytes);
             }
             return self.process_session_output(net, worker);
         };
         let mut plaintext = Vec::new();
         let decrypted = tls::decrypt(tls_conn, bytes, &mut plaintext);
         if let Some(session) = self.session.as_mut().filter(|_| !plaintext.is_empty()) {
-            session.bytes(now, &plaintext);
+            session.receive(now, &plaintext);
         }
         if let Err(why) = decrypted {
             // Sends the TLS alert.
@@ -176,7 +176,7 @@
         }
         if !tls_conn.is_handshaking() {
             match &mut self.session {
-                Some(session) => session.secured(now),
+                Some(session) => session.tls_established(now),
                 None => self.start_session(now, true, worker),
             }
         }
@@ -187,29 +187,29 @@
     fn process_session_output(&mut self, net: &mut Net, worker: &DirectoryWorker) {
         let now = net.now();
         let Some(session) = &mut self.session else { return self.flush(net) };
-        for out in session.out() {
+        for out in session.take_actions() {
             match out {
-                Out::Send(bytes) => match (&mut self.tls_conn, self.conn) {
+                Action::Send(bytes) => match (&mut self.tls_conn, self.conn) {
                     (Some(tls_conn), _) => drop(tls_conn.writer().write_all(&bytes)),
                     (None, Some(conn)) => drop(net.send(conn, &bytes)),
                     _ => {}
                 },
-                Out::StartTls => self.start_tls(net),
-                Out::News(news) => {
-                    match &news {
-                        News::Begin => self.stats.refreshes += 1,
-                        News::End { .. } => {
+                Action::StartTls => self.start_tls(net),
+                Action::Update(update) => {
+                    match &update {
+                        ContentUpdate::RefreshStarted => self.stats.refreshes += 1,
+                        ContentUpdate::RefreshCompleted { .. } => {
                             self.selector.succeeded(now);
                             self.stats.last_error.clear();
                         }
                         _ => {}
                     }
-                    if !worker.submit(now, news) {
+                    if !worker.submit(now, update) {
                         self.flush(net);
                         return self.failed(net, "update queue is full");
                     }
                 }
-                Out::Over { why, referral } => {
+                Action::Closed { why, referral } => {
                     self.flush(net);
                     let configured = |url: &String| {
                         self.settings.servers.iter().position(|s| url.contains(&s.at.to_string()))
--- a/tenant/src/model.rs
+++ b/tenant/src/model.rs
@@ -7,7 +7,7 @@
 //! until the content is back or an operator confirms the loss.
 use imbl::{HashMap, OrdMap};
 use rockpick_ldap::message::{format_uuid, parse_uuid, Entry};
-use rockpick_ldap::News;
+use rockpick_ldap::ContentUpdate;
 use rockpick_net::{Ns, MS, SEC};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -379,13 +379,13 @@
     }
 
     /// Applies an update from a session. Returns whether there is a new version.
-    pub fn apply(&mut self, now: Ns, news: News) -> bool {
-        match news {
-            News::Begin => {
+    pub fn apply(&mut self, now: Ns, update: ContentUpdate) -> bool {
+        match update {
+            ContentUpdate::RefreshStarted => {
                 self.seen = Some(BTreeSet::new());
                 false
             }
-            News::Entry { uuid, entry } => {
+            ContentUpdate::Entry { uuid, entry } => {
                 self.seen.iter_mut().for_each(|s| {
                     s.insert(uuid);
                 });
@@ -398,25 +398,25 @@
                 }
                 self.seen.is_none() && self.publish(now, false)
             }
-            News::Keep(uuid) => {
+            ContentUpdate::Unchanged(uuid) => {
                 self.seen.iter_mut().for_each(|s| {
                     s.insert(uuid);
                 });
                 false
             }
-            News::Gone(uuid) => {
+            ContentUpdate::Deleted(uuid) => {
                 self.put(uuid, None);
                 self.seen.is_none() && self.publish(now, false)
             }
-            News::End { whole } => {
-                if let Some(seen) = self.seen.take().filter(|_| whole) {
+            ContentUpdate::RefreshCompleted { complete } => {
+                if let Some(seen) = self.seen.take().filter(|_| complete) {
                     let gone: Vec<_> = self.entries.keys().filter(|u| !seen.contains(*u)).copied().collect();
                     gone.into_iter().for_each(|uuid| self.put(uuid, None));
                 }
                 self.refreshed_at = Some(now);
                 self.publish(now, false)
             }
-            News::Cookie(cookie) => {
+            ContentUpdate::Cookie(cookie) => {
                 self.cookie = Some(cookie);
                 false
             }
@@ -678,25 +678,25 @@
         [n; 16]
     }
 
-    fn tenant(n: u8, name: &str, more: &[(&str, &str)]) -> News {
+    fn tenant(n: u8, name: &str, more: &[(&str, &str)]) -> ContentUpdate {
         let mut attributes = vec![("objectClass", "Organization"), ("o", name)];
         attributes.extend(more);
-        News::Entry { uuid: id(n), entry: entry(&format!("o={name},dc=x"), &attributes) }
+        ContentUpdate::Entry { uuid: id(n), entry: entry(&format!("o={name},dc=x"), &attributes) }
     }
 
-    fn user(n: u8, dn: &str, uid: &str, more: &[(&str, &str)]) -> News {
+    fn user(n: u8, dn: &str, uid: &str, more: &[(&str, &str)]) -> ContentUpdate {
         let mut attributes = vec![("objectClass", "person"), ("uid", uid)];
         attributes.extend(more);
-        News::Entry { uuid: id(n), entry: entry(dn, &attributes) }
+        ContentUpdate::Entry { uuid: id(n), entry: entry(dn, &attributes) }
     }
 
-    fn directory(news: Vec<News>) -> Directory {
+    fn directory(updates: Vec<ContentUpdate>) -> Directory {
         let mut d = Directory::new(EntryMapping::default());
-        d.apply(0, News::Begin);
-        news.into_iter().for_each(|n| {
+        d.apply(0, ContentUpdate::RefreshStarted);
+        updates.into_iter().for_each(|n| {
             d.apply(0, n);
         });
-        assert!(d.apply(0, News::End { whole: true }));
+        assert!(d.apply(0, ContentUpdate::RefreshCompleted { complete: true }));
         d
     }
 
@@ -741,10 +741,10 @@
         // A former name that another tenant takes belongs to that tenant at once, also in repeated swaps.
         for turn in 0..6 {
             let (a, b) = if turn % 2 == 0 { ("Bolt", "Apex") } else { ("Apex", "Bolt") };
-            d.apply(2 * SEC, News::Begin);
+            d.apply(2 * SEC, ContentUpdate::RefreshStarted);
             d.apply(2 * SEC, tenant(1, a, &[]));
             d.apply(2 * SEC, tenant(2, b, &[]));
-            assert!(d.apply(2 * SEC, News::End { whole: true }));
+            assert!(d.apply(2 * SEC, ContentUpdate::RefreshCompleted { complete: true }));
             assert_eq!(d.version().tenant_by_name(3 * SEC, a), Some(before.1), "turn {turn}");
         }
     }
@@ -763,10 +763,10 @@
             ),
         ]);
         let bolt = d.version().tenant_by_name(0, "bolt").unwrap();
-        d.apply(SEC, News::Begin);
+        d.apply(SEC, ContentUpdate::RefreshStarted);
         d.apply(SEC, tenant(2, "Bolt", &[("rockpickMergedFrom", &format_uuid(&id(1)))]));
-        d.apply(SEC, News::Keep(id(10)));
-        assert!(d.apply(SEC, News::End { whole: true }));
+        d.apply(SEC, ContentUpdate::Unchanged(id(10)));
+        assert!(d.apply(SEC, ContentUpdate::RefreshCompleted { complete: true }));
         assert_eq!(
             (tenant_name(&d, "a").as_deref(), d.version().tenant_by_name(2 * SEC, "acme")),
             (Some("Bolt"), Some(bolt))
@@ -779,11 +779,11 @@
     #[test]
     fn suspicious_loss_is_held_back_until_restored_or_confirmed() {
         let refresh = |d: &mut Directory, now: Ns, many: u8| {
-            d.apply(now, News::Begin);
+            d.apply(now, ContentUpdate::RefreshStarted);
             (0..many).for_each(|n| {
                 d.apply(now, tenant(n, &format!("t{n}"), &[]));
             });
-            d.apply(now, News::End { whole: true })
+            d.apply(now, ContentUpdate::RefreshCompleted { complete: true })
         };
         let mut d = Directory::new(EntryMapping::default());
         assert!(refresh(&mut d, 0, 20));
@@ -795,7 +795,7 @@
         assert!(refresh(&mut d, 3 * SEC, 15) && d.suspicion.is_none() && d.version().len() == 15);
         // A gradual loss within a minute is as suspicious as a sudden one.
         for n in (5..15).rev() {
-            d.apply(4 * SEC, News::Gone(id(n)));
+            d.apply(4 * SEC, ContentUpdate::Deleted(id(n)));
         }
         assert!(d.suspicion.is_some() && d.version().len() >= 10, "{}", d.version().len());
         assert!(d.confirm(5 * SEC) && d.version().len() == 5 && d.suspicion.is_none());
@@ -811,7 +811,7 @@
             tenant(3, "", &[]),
         ]);
         let invalid = Entry { dn: vec![0xff, 0xfe].into(), attributes: Vec::new() };
-        d.apply(0, News::Entry { uuid: id(4), entry: invalid });
+        d.apply(0, ContentUpdate::Entry { uuid: id(4), entry: invalid });
         assert_eq!((d.version().len(), d.ignored_entries), (1, 2));
         let text = serde_json::to_string(&d.save(5 * SEC)).unwrap();
         let mut restored = Directory::new(EntryMapping::default());
--- a/tenant/src/settings.rs
+++ b/tenant/src/settings.rs
@@ -2,7 +2,7 @@
 //! tenant.
 use crate::limit::UnknownCallers;
 use crate::model::EntryMapping;
-use rockpick_ldap::{filter, Login, Quest};
+use rockpick_ldap::{filter, Login, SessionConfig};
 use rockpick_net::{Ns, MS};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -155,7 +155,7 @@
             check(share > 0.0 && share <= 1e9, "unknown.common.share", "above 0, at most 1e9");
             check(rate.is_none_or(|r| (0.0..=1e9).contains(&r)), "unknown.common.rate", "0 to 1e9");
         }
-        if let Err(why) = filter::read(&self.filter) {
+        if let Err(why) = filter::parse(&self.filter) {
             check(false, "filter", &why);
         }
         check(self.authorities.len() <= MAX_PEM_LENGTH, "authorities", "256 KiB at most");
@@ -227,8 +227,8 @@
     }
 
     /// The parameters of a session.
-    pub fn session_config(&self) -> Result<Quest, String> {
-        Ok(Quest {
+    pub fn session_config(&self) -> Result<SessionConfig, String> {
+        Ok(SessionConfig {
             login: match &self.login {
                 Credentials::Anonymous => Login::Anonymous,
                 Credentials::Simple { dn, password } => {
@@ -237,16 +237,16 @@
                 Credentials::External { .. } => Login::External,
             },
             start_tls: self.start_tls,
-            plain: self.plain,
+            allow_plaintext: self.plain,
             base: self.base.clone(),
-            filter: filter::read(&self.filter)?,
+            filter: filter::parse(&self.filter)?,
             attributes: self.tenancy.attributes(),
-            page: self.page,
+            page_size: self.page,
             sync: self.sync,
-            poll: self.poll_ms as Ns * MS,
-            within: self.answer_within_ms as Ns * MS,
-            most_entries: crate::model::MAX_ENTRIES,
-            ..Quest::default()
+            poll_interval: self.poll_ms as Ns * MS,
+            response_timeout: self.answer_within_ms as Ns * MS,
+            max_entries: crate::model::MAX_ENTRIES,
+            ..SessionConfig::default()
         })
     }
 
--- a/tenant/src/worker.rs
+++ b/tenant/src/worker.rs
@@ -3,7 +3,7 @@
 //! without blocking (`arc-swap`).
 use crate::model::{Directory, DirectorySnapshot, EntryMapping, Suspicion, Tenants};
 use arc_swap::ArcSwap;
-use rockpick_ldap::News;
+use rockpick_ldap::ContentUpdate;
 use rockpick_net::{Ns, SEC};
 use std::sync::mpsc::{channel, sync_channel, Receiver, RecvTimeoutError, SyncSender};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,7 +18,7 @@
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
 enum Command {
-    News(Ns, News),
+    Update(Ns, ContentUpdate),
     Confirm(Ns),
     Tick(Ns),
     Stop(Ns),
@@ -76,8 +76,8 @@
     }
 
     /// Queues an update. Returns false if the queue is full: the update is lost and the session must be restarted.
-    pub fn submit(&self, now: Ns, news: News) -> bool {
-        self.commands.try_send(Command::News(now, news)).is_ok()
+    pub fn submit(&self, now: Ns, update: ContentUpdate) -> bool {
+        self.commands.try_send(Command::Update(now, update)).is_ok()
     }
 
     /// Queues an operator's confirmation. Returns false if it could not be queued and must be repeated.
@@ -118,9 +118,10 @@
     let (mut saved, mut saved_at) = (directory.version().version, -SAVE_INTERVAL);
     for command in commands {
         let (now, refresh_status, stop) = match command {
-            Command::News(now, news) => {
-                let changes_status = matches!(news, News::End { .. } | News::Cookie(_));
-                (now, directory.apply(now, news) || changes_status, false)
+            Command::Update(now, update) => {
+                let changes_status =
+                    matches!(update, ContentUpdate::RefreshCompleted { .. } | ContentUpdate::Cookie(_));
+                (now, directory.apply(now, update) || changes_status, false)
             }
             Command::Confirm(now) => (now, directory.confirm(now), false),
             Command::Tick(now) => (now, true, false),
@@ -163,8 +164,12 @@
             dn: b"o=x".to_vec().into(),
             attributes: vec![kind("objectClass"), kind("o")],
         };
-        for news in [News::Begin, News::Entry { uuid: [1; 16], entry }, News::End { whole: true }] {
-            assert!(worker.submit(0, news));
+        for update in [
+            ContentUpdate::RefreshStarted,
+            ContentUpdate::Entry { uuid: [1; 16], entry },
+            ContentUpdate::RefreshCompleted { complete: true },
+        ] {
+            assert!(worker.submit(0, update));
         }
         // The thread panics while saving its snapshot, which disconnects the channel.
         assert!(worker.exited.recv().is_err());
