--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -19,7 +19,7 @@
 use rockpick_fault_injection::Fault as StormFault;
 use rockpick_front::restart;
 use rockpick_ldap::message::{Attribute, Entry as LdapEntry};
-use rockpick_ldap::News;
+use rockpick_ldap::ContentUpdate;
 use rockpick_net::{MS, SEC};
 use rockpick_rehearse::day::{Action as ScriptAction, DatagramFaults};
 use rockpick_rehearse::judge::{
@@ -220,7 +220,7 @@
 /// The three tenants of the clients, loaded as from an LDAP directory.
 fn tenants(rates: &[Option<f64>; 3]) -> Rc<Tenants> {
     let mut directory = Directory::new(EntryMapping::default());
-    directory.apply(0, News::Begin);
+    directory.apply(0, ContentUpdate::RefreshStarted);
     for (i, rate) in rates.iter().enumerate() {
         let attribute = |kind: &str, value: String| Attribute {
             kind: kind.as_bytes().to_vec().into(),
@@ -230,9 +230,9 @@
             vec![attribute("objectClass", "organization".into()), attribute("o", format!("firm-{i}"))];
         attributes.extend(rate.map(|r| attribute("rockpickRate", r.to_string())));
         let entry = LdapEntry { dn: format!("o=firm-{i}").into_bytes().into(), attributes };
-        directory.apply(0, News::Entry { uuid: [i as u8; 16], entry });
+        directory.apply(0, ContentUpdate::Entry { uuid: [i as u8; 16], entry });
     }
-    directory.apply(0, News::End { whole: true });
+    directory.apply(0, ContentUpdate::RefreshCompleted { complete: true });
     Rc::new((**directory.version()).clone())
 }
 
