--- a/cli/tests/node_soak.rs
+++ b/cli/tests/node_soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of the live node among scripted peers; longer ones are run by hand (docs/operations.md).
+//! Runs a short soak test of the live node among scripted peers; longer ones are run by hand (docs/operations.md).
 use std::process::Command;
 
 fn soak(seed: u64) {
@@ -7,17 +7,18 @@
         .args(["rehearse", "--day", "node", "--seconds", "20", "--seed", &seed])
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&out.stdout);
-    assert!(out.status.success(), "{said}{}", String::from_utf8_lossy(&out.stderr));
+    let stdout = String::from_utf8_lossy(&out.stdout);
+    assert!(out.status.success(), "{stdout}{}", String::from_utf8_lossy(&out.stderr));
 }
 
-/// Guards against requests without their one answer, effects twice, picks past a drain, cold machines overloaded, caps broken.
+/// Guards against requests without exactly one answer, repeated effects, picks after the grace of a drain, overloaded cold
+/// machines and exceeded caps.
 #[test]
 fn a_soak_of_the_live_node_keeps_the_rules() {
     soak(1);
 }
 
-/// Guards against requests without an answer whose connections are closed for new ones of a crowd.
+/// Guards against unanswered requests on connections that the node closes to make room for new ones of a crowd.
 #[test]
 fn a_soak_with_crowds_keeps_the_rules() {
     soak(9);
--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -85,7 +85,7 @@
 pub fn run(plan: Plan) -> Result<bool, String> {
     if plan.is_node_soak() {
         plan.check()?;
-        return node_soak::play(plan.seed, plan.seconds, plan.out);
+        return node_soak::run(plan.seed, plan.seconds, plan.out);
     }
     crew::play(plan)
 }
--- a/rehearse/src/node_soak/fault_plan.rs
+++ b/rehearse/src/node_soak/fault_plan.rs
@@ -1,101 +1,101 @@
-//! The faults of a soak, drawn from its seed.
+//! The faults of a soak test, drawn from its seed.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// One seed in so many has crowds.
-const CROWDED_SEEDS: u64 = 3;
+/// Seeds that are multiples of this have crowds.
+const CROWD_SEED_DIVISOR: u64 = 3;
 
 /// How a machine behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Conduct {
-    Usual,
+pub enum Behavior {
+    Normal,
     /// Reads and never answers.
     Hangs,
-    /// Resets connections under queries.
+    /// Closes the connection when a query arrives.
     Resets,
-    /// Stands still, then answers all.
+    /// Delays answers until the fault is over.
     Pauses,
-    /// Turns queries away.
+    /// Refuses queries with an error that says that they did not run.
     Refuses,
-    /// Sends a part of its answers, then closes.
-    Halves,
-    /// Answers with an error.
-    Errs,
-    /// Closes connections that rest.
-    ClosesResting,
+    /// Sends the first half of an answer, then closes.
+    TruncatesAnswers,
+    /// Answers with an error after which the query may have run.
+    Fails,
+    /// Closes idle connections.
+    ClosesIdle,
 }
 
-const CONDUCTS: [Conduct; 7] = [
-    Conduct::Hangs,
-    Conduct::Resets,
-    Conduct::Pauses,
-    Conduct::Refuses,
-    Conduct::Halves,
-    Conduct::Errs,
-    Conduct::ClosesResting,
+const FAULTY_BEHAVIORS: [Behavior; 7] = [
+    Behavior::Hangs,
+    Behavior::Resets,
+    Behavior::Pauses,
+    Behavior::Refuses,
+    Behavior::TruncatesAnswers,
+    Behavior::Fails,
+    Behavior::ClosesIdle,
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A new configuration with discovery and platform at other addresses, then SIGHUP, so many times in a row.
+    /// A new configuration with discovery and platform at other addresses, then SIGHUP, repeated `times` times.
     Reload {
         times: u32,
     },
-    /// SIGTERM, with SIGHUP and SIGTERM behind it in a series; SIGKILL at the page's earliest, then a restart.
+    /// SIGTERM, in a series followed by SIGHUP, SIGTERM and SIGHUP; then SIGKILL at the earliest time that is specified, and a restart.
     Stop {
         series: bool,
     },
     /// SIGKILL, then a restart.
     Kill,
-    /// The process is held up.
+    /// SIGSTOP, then SIGCONT.
     Pause,
     DiscoveryDown,
     DiscoverySilent,
-    /// A machine drains, goes, and returns cold; with another build while none is on trial.
+    /// A machine drains, goes down, and comes back cold.
     Restart {
         machine: usize,
     },
-    Misconduct {
+    MachineFault {
         machine: usize,
-        conduct: Conduct,
+        behavior: Behavior,
     },
     /// Many clients at once, each on a connection of its own.
     Crowd,
-    /// The next step of a release: announced, raised, ended.
+    /// The next step of a trial: announced, cap raised, sent back, gone.
     ReleaseStep,
 }
 
-/// A fault, and how long after the one before it.
+/// A fault, and how long after the previous one it begins.
 #[derive(Clone, Debug)]
-pub struct Act {
+pub struct ScheduledFault {
     pub after: Duration,
     pub fault: Fault,
-    /// How long it lasts, where it lasts.
-    pub lasts: Duration,
+    /// The duration, for faults that last.
+    pub duration: Duration,
 }
 
-/// Acts until `length` is over.
-pub fn draw(seed: u64, length: Duration, machines: usize) -> Vec<Act> {
-    let mut chance = StdRng::seed_from_u64(seed);
-    let crowds = seed.is_multiple_of(CROWDED_SEEDS);
-    let mut acts = Vec::new();
+/// Draws faults for `length`.
+pub fn draw(seed: u64, length: Duration, machines: usize) -> Vec<ScheduledFault> {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let crowds = seed.is_multiple_of(CROWD_SEED_DIVISOR);
+    let mut faults = Vec::new();
     let mut at = Duration::ZERO;
     while at < length {
-        let after = Duration::from_millis(chance.random_range(200..1_200));
-        let lasts = Duration::from_millis(chance.random_range(300..2_500));
-        acts.push(Act { after, fault: draw_fault(&mut chance, crowds, machines), lasts });
+        let after = Duration::from_millis(rng.random_range(200..1_200));
+        let duration = Duration::from_millis(rng.random_range(300..2_500));
+        faults.push(ScheduledFault { after, fault: draw_fault(&mut rng, crowds, machines), duration });
         at += after;
     }
-    acts
+    faults
 }
 
-fn draw_fault(chance: &mut StdRng, crowds: bool, machines: usize) -> Fault {
-    let machine = chance.random_range(0..machines);
-    let conduct = CONDUCTS[chance.random_range(0..CONDUCTS.len())];
-    match chance.random_range(0..20) {
-        0..2 => Fault::Reload { times: chance.random_range(1..4) },
-        2..5 => Fault::Stop { series: chance.random_bool(0.5) },
+fn draw_fault(rng: &mut StdRng, crowds: bool, machines: usize) -> Fault {
+    let machine = rng.random_range(0..machines);
+    let behavior = FAULTY_BEHAVIORS[rng.random_range(0..FAULTY_BEHAVIORS.len())];
+    match rng.random_range(0..20) {
+        0..2 => Fault::Reload { times: rng.random_range(1..4) },
+        2..5 => Fault::Stop { series: rng.random_bool(0.5) },
         5 => Fault::Kill,
         6 => Fault::Pause,
         7 => Fault::DiscoveryDown,
@@ -103,6 +103,6 @@
         9..12 => Fault::Restart { machine },
         12..14 => Fault::ReleaseStep,
         14..16 if crowds => Fault::Crowd,
-        _ => Fault::Misconduct { machine, conduct },
+        _ => Fault::MachineFault { machine, behavior },
     }
 }
--- a/rehearse/src/node_soak/fleet.rs
+++ b/rehearse/src/node_soak/fleet.rs
@@ -1,4 +1,4 @@
-//! Machines and platform of a soak: what is listed and told, and since when.
+//! Machines and platform of a soak test: what is listed and announced, and since when.
 use super::checker::{Attempt, Cap, Listing};
 use super::machines::Machine;
 use super::{lock, Clock, LIMITS, LONGEST_DEADLINE_MS};
@@ -9,16 +9,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Machines that run the build of the start, and those that run builds on trial.
-pub const USUAL_MACHINES: usize = 4;
+/// Machines that run the first build, and machines that run builds on trial.
+pub const STABLE_MACHINES: usize = 4;
 const TRIAL_MACHINES: usize = 2;
-/// So many usual machines serve at any time.
-const LEAST_SERVING: usize = 2;
+/// At least this many machines of the first build serve at any time.
+const MIN_SERVING: usize = 2;
 const FIRST_BUILD: u32 = 1;
 /// Share of the requests that the first stage of a trial may get.
 const FIRST_CAP: f64 = 0.2;
-/// A machine goes so long after its drain, beyond the grace, and comes back so long after that.
-const GOES_AFTER: Duration = Duration::from_millis(400);
+/// How long after the drain grace a machine goes down, and how long after that it comes back.
+const GOES_DOWN_AFTER: Duration = Duration::from_millis(400);
 const COMES_BACK_AFTER: Duration = Duration::from_millis(700);
 
 #[derive(Clone, Copy, PartialEq)]
@@ -33,26 +33,26 @@
 struct Listed {
     health: Health,
     build: u32,
-    /// When it started, by the soak's clock; none: long ago.
+    /// When it started, by the clock of the soak test; none if it is warm.
     started: Option<Ns>,
 }
 
-/// A listing, and the line of the watch that tells it.
+/// A listing, and the line of the discovery watch that carries it.
 struct Change {
     line: usize,
     listing: Listing,
-    /// A process that started since was told by its configuration.
-    told_at_start: Option<Ns>,
+    /// When a process of the node was started whose configuration contains the listing.
+    in_configuration_since: Option<Ns>,
 }
 
-/// What follows a drain.
+/// The steps after a drain.
 #[derive(Clone, Copy)]
-pub enum Later {
-    Goes(usize),
+pub enum DrainStep {
+    GoesDown(usize),
     ComesBack(usize),
 }
 
-/// Where the newest build stands.
+/// The state of the newest build.
 #[derive(Clone, Copy)]
 struct Release {
     build: u32,
@@ -73,12 +73,12 @@
 }
 
 impl Fleet {
-    pub fn begin(clock: Clock) -> Fleet {
+    pub fn start(clock: Clock) -> Fleet {
         let attempts = Arc::<Mutex<Vec<Attempt>>>::default();
-        let all = USUAL_MACHINES + TRIAL_MACHINES;
-        let machines: Vec<Machine> = (0..all).map(|i| Machine::begin(i, clock, attempts.clone())).collect();
-        machines[USUAL_MACHINES..].iter().for_each(|m| m.set_up(false));
-        let health = |i| if i < USUAL_MACHINES { Health::Active } else { Health::Gone };
+        let all = STABLE_MACHINES + TRIAL_MACHINES;
+        let machines: Vec<Machine> = (0..all).map(|i| Machine::start(i, clock, attempts.clone())).collect();
+        machines[STABLE_MACHINES..].iter().for_each(|m| m.set_up(false));
+        let health = |i| if i < STABLE_MACHINES { Health::Active } else { Health::Gone };
         let listed =
             (0..all).map(|i| Listed { health: health(i), build: FIRST_BUILD, started: None }).collect();
         let release = Release { build: FIRST_BUILD, stage: 0, status: "stable", cap: 1.0 };
@@ -86,25 +86,25 @@
         let (changes, caps) = (Vec::new(), Vec::new());
         let mut fleet = Fleet { clock, machines, platform, listed, changes, caps, release, attempts };
         fleet.announce(release);
-        for machine in 0..USUAL_MACHINES {
+        for machine in 0..STABLE_MACHINES {
             fleet.list(machine, Health::Active);
         }
-        fleet.told_by_configuration();
+        fleet.record_configured_start();
         fleet
     }
 
-    /// Discovery and platform move to other addresses.
+    /// Moves discovery and platform to other addresses.
     pub fn move_platform(&mut self) {
         self.platform = self.platform.at_other_addresses();
     }
 
-    /// A node's configuration as of now.
+    /// The node's current configuration.
     pub fn configuration(&self) -> Value {
         let Release { build, stage, status, cap } = self.release;
-        let mut told = configuration(&self.platform, &[]);
-        told["known"] = self.whole_list();
-        told["platform"]["news"] = json!({ "version": build, "step": stage, "status": status, "maxWeight": cap, "observedAgoMs": 0 });
-        let settings = &mut told["settings"];
+        let mut configuration_json = configuration(&self.platform, &[]);
+        configuration_json["known"] = self.whole_list();
+        configuration_json["platform"]["news"] = json!({ "version": build, "step": stage, "status": status, "maxWeight": cap, "observedAgoMs": 0 });
+        let settings = &mut configuration_json["settings"];
         for lane in settings["lanes"].as_array_mut().into_iter().flatten() {
             lane["deadlineMs"] = LONGEST_DEADLINE_MS.into();
         }
@@ -118,53 +118,53 @@
         invariants["overloadFactor"] = LIMITS.overload_factor.into();
         invariants["fallMs"] = ms(LIMITS.fall_time).into();
         invariants["drainGraceMs"] = ms(LIMITS.drain_grace).into();
-        told
+        configuration_json
     }
 
-    /// A process that starts now knows all that is listed, written to a watch or not.
-    pub fn told_by_configuration(&mut self) {
+    /// Records that a process starts now, whose configuration contains all listings, whether or not a watch has carried them.
+    pub fn record_configured_start(&mut self) {
         let now = self.clock.now();
         self.changes
             .iter_mut()
-            .filter(|c| c.told_at_start.is_none())
-            .for_each(|c| c.told_at_start = Some(now));
+            .filter(|c| c.in_configuration_since.is_none())
+            .for_each(|c| c.in_configuration_since = Some(now));
     }
 
-    /// Listings and caps by when they were told, and all attempts.
+    /// Listings and caps with the times of their announcement, and all attempts.
     pub fn evidence(&self) -> (Vec<Listing>, Vec<Cap>, Vec<Attempt>) {
         let written = lock(&self.platform.written);
-        let told = |change: &Change| {
+        let listing_of = |change: &Change| {
             let by_watch = written.get(change.line).map(|at| self.clock.at(*at));
-            let told = by_watch.into_iter().chain(change.told_at_start).min()?;
-            Some(Listing { told, ..change.listing })
+            let announced = by_watch.into_iter().chain(change.in_configuration_since).min()?;
+            Some(Listing { announced, ..change.listing })
         };
-        let listings = self.changes.iter().filter_map(told).collect();
+        let listings = self.changes.iter().filter_map(listing_of).collect();
         (listings, self.caps.clone(), lock(&self.attempts).clone())
     }
 
-    /// Begins a drain, unless too few would serve; gives what follows it.
-    pub fn drain(&mut self, machine: usize) -> Option<(Duration, Later)> {
-        let serving = (0..USUAL_MACHINES).filter(|i| self.listed[*i].health == Health::Active).count();
-        if self.listed[machine].health != Health::Active || serving <= LEAST_SERVING {
+    /// Begins a drain unless too few machines would serve; returns the next step and its delay.
+    pub fn drain(&mut self, machine: usize) -> Option<(Duration, DrainStep)> {
+        let serving = (0..STABLE_MACHINES).filter(|i| self.listed[*i].health == Health::Active).count();
+        if self.listed[machine].health != Health::Active || serving <= MIN_SERVING {
             return None;
         }
         self.list(machine, Health::Leaving);
-        Some((self.drain_time(), Later::Goes(machine)))
+        Some((self.drain_time(), DrainStep::GoesDown(machine)))
     }
 
     fn drain_time(&self) -> Duration {
-        Duration::from_nanos(LIMITS.drain_grace as u64) + GOES_AFTER
+        Duration::from_nanos(LIMITS.drain_grace as u64) + GOES_DOWN_AFTER
     }
 
-    /// The next step after a drain; gives what follows it.
-    pub fn go_on(&mut self, step: Later) -> Option<(Duration, Later)> {
+    /// Does a step after a drain; returns the next step and its delay.
+    pub fn continue_drain(&mut self, step: DrainStep) -> Option<(Duration, DrainStep)> {
         match step {
-            Later::Goes(machine) => {
+            DrainStep::GoesDown(machine) => {
                 self.machines[machine].set_up(false);
                 self.list(machine, Health::Gone);
-                Some((COMES_BACK_AFTER, Later::ComesBack(machine)))
+                Some((COMES_BACK_AFTER, DrainStep::ComesBack(machine)))
             }
-            Later::ComesBack(machine) => {
+            DrainStep::ComesBack(machine) => {
                 self.start_cold(machine, FIRST_BUILD);
                 None
             }
@@ -177,10 +177,10 @@
         self.list(machine, Health::Active);
     }
 
-    /// A build on trial comes up, gets more, or is sent back.
+    /// Does the next step of a trial: starts a build on trial, raises its cap, or sends it back.
     pub fn release_step(&mut self) {
         let Release { build, stage, status, .. } = self.release;
-        let trial = USUAL_MACHINES..USUAL_MACHINES + TRIAL_MACHINES;
+        let trial = STABLE_MACHINES..STABLE_MACHINES + TRIAL_MACHINES;
         match (status, stage) {
             ("canary", 0) => self.announce(Release { build, stage: 1, status, cap: 1.0 }),
             ("canary", _) => {
@@ -205,11 +205,11 @@
         let Release { build, stage, status, cap } = release;
         self.release = release;
         if build > FIRST_BUILD {
-            self.caps.push(Cap { told: self.clock.now(), build, share: cap });
+            self.caps.push(Cap { announced: self.clock.now(), build, share: cap });
         }
-        let words = format!("{build} {stage} {status} {cap} 0");
-        *lock(&self.platform.answer) = Some(format!("OK {words}"));
-        self.platform.news(&format!("* progress {words}"));
+        let fields = format!("{build} {stage} {status} {cap} 0");
+        *lock(&self.platform.answer) = Some(format!("OK {fields}"));
+        self.platform.news(&format!("* progress {fields}"));
     }
 
     fn list(&mut self, machine: usize, health: Health) {
@@ -217,8 +217,8 @@
         let Listed { build, started, .. } = self.listed[machine];
         let line = self.platform.change(&[self.host(machine)]);
         *lock(&self.platform.whole) = self.whole_list().to_string();
-        let listing = Listing { told: 0, machine, build, serves: health == Health::Active, started };
-        self.changes.push(Change { line, listing, told_at_start: None });
+        let listing = Listing { announced: 0, machine, build, serves: health == Health::Active, started };
+        self.changes.push(Change { line, listing, in_configuration_since: None });
     }
 
     fn host(&self, machine: usize) -> Value {
--- a/rehearse/src/node_soak/machines.rs
+++ b/rehearse/src/node_soak/machines.rs
@@ -1,6 +1,6 @@
-//! Machines of a soak: they serve, misbehave as told, and note each request that comes to them.
+//! Machines of a soak test. They serve, misbehave as configured, and record each request that they receive.
 use super::checker::{value_of, Attempt};
-use super::fault_plan::Conduct;
+use super::fault_plan::Behavior;
 use super::{lock, Clock};
 use rockpick::Ns;
 use rockpick_net::MS;
@@ -12,17 +12,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Work of a request, by its id: from this up to so much more.
-const SHORTEST_WORK: Duration = Duration::from_millis(3);
+/// The work of a request, by its id: the minimum plus 0 to 29 steps of 1 ms.
+const MIN_WORK: Duration = Duration::from_millis(3);
 const WORK_STEPS: u64 = 30;
 const WORK_STEP: Duration = Duration::from_millis(1);
-/// A machine that closes what rests closes it after this.
-const RESTS: Duration = Duration::from_millis(20);
-/// How often a machine that stands still looks whether it may go on.
-const LOOKS: Duration = Duration::from_millis(10);
+/// The idle timeout of a machine that closes idle connections.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(20);
+/// How often a paused machine checks whether it should continue.
+const PAUSE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The end of a connection; the machine closes it.
-type Closed = Option<()>;
+/// None if the connection is over and the machine closes it.
+type Connected = Option<()>;
 
 pub struct Machine {
     pub name: String,
@@ -34,16 +34,16 @@
     number: usize,
     clock: Clock,
     up: AtomicBool,
-    conduct: Mutex<Conduct>,
+    behavior: Mutex<Behavior>,
     attempts: Arc<Mutex<Vec<Attempt>>>,
 }
 
 impl Machine {
-    pub fn begin(number: usize, clock: Clock, attempts: Arc<Mutex<Vec<Attempt>>>) -> Machine {
-        let (up, conduct) = (AtomicBool::new(true), Mutex::new(Conduct::Usual));
-        let state = Arc::new(State { number, clock, up, conduct, attempts });
-        let theirs = state.clone();
-        let at = served(move |_, line| theirs.serve(line));
+    pub fn start(number: usize, clock: Clock, attempts: Arc<Mutex<Vec<Attempt>>>) -> Machine {
+        let (up, behavior) = (AtomicBool::new(true), Mutex::new(Behavior::Normal));
+        let state = Arc::new(State { number, clock, up, behavior, attempts });
+        let server_state = state.clone();
+        let at = served(move |_, line| server_state.serve(line));
         Machine { name: format!("m{number}"), at, state }
     }
 
@@ -51,12 +51,12 @@
         self.state.up.store(up, Ordering::SeqCst);
     }
 
-    pub fn behaves(&self, conduct: Conduct) {
-        *lock(&self.state.conduct) = conduct;
+    pub fn set_behavior(&self, behavior: Behavior) {
+        *lock(&self.state.behavior) = behavior;
     }
 }
 
-/// What a statement's comment says: the request's id, and the time it was told.
+/// Reads the request's id and its time left from a statement's comment.
 fn read_comment(statement: &str) -> Option<(u64, Ns)> {
     let field = |name: &str| {
         let from = statement.rfind(name)? + name.len();
@@ -73,60 +73,60 @@
         self.up.load(Ordering::SeqCst)
     }
 
-    fn conduct(&self) -> Conduct {
-        *lock(&self.conduct)
+    fn behavior(&self) -> Behavior {
+        *lock(&self.behavior)
     }
 
-    fn serve(&self, mut line: Line) -> Closed {
+    fn serve(&self, mut line: Line) -> Connected {
         line.hello()?;
         self.is_up().then_some(())?;
         line.welcome()?;
         loop {
-            let rests = (self.conduct() == Conduct::ClosesResting).then_some(RESTS);
-            line.io.set_read_timeout(rests).ok()?;
+            let timeout = (self.behavior() == Behavior::ClosesIdle).then_some(IDLE_TIMEOUT);
+            line.io.set_read_timeout(timeout).ok()?;
             let statement = line.query()?;
-            let conduct = self.conduct();
+            let behavior = self.behavior();
             let Some((request, time_left)) = read_comment(&statement) else { continue };
-            let (machine, may_have_run) = (self.number, conduct != Conduct::Refuses);
+            let (machine, may_have_run) = (self.number, behavior != Behavior::Refuses);
             let at = self.clock.now();
             lock(&self.attempts).push(Attempt { request, at, machine, may_have_run, time_left });
             self.is_up().then_some(())?;
-            self.answer(&mut line, conduct, request)?;
+            self.answer(&mut line, behavior, request)?;
         }
     }
 
-    fn answer(&self, line: &mut Line, conduct: Conduct, request: u64) -> Closed {
-        let mut words = row(&value_of(request));
-        match conduct {
-            Conduct::Usual | Conduct::ClosesResting => {
-                std::thread::sleep(SHORTEST_WORK + WORK_STEP * (request % WORK_STEPS) as u32);
+    fn answer(&self, line: &mut Line, behavior: Behavior, request: u64) -> Connected {
+        let mut bytes = row(&value_of(request));
+        match behavior {
+            Behavior::Normal | Behavior::ClosesIdle => {
+                std::thread::sleep(MIN_WORK + WORK_STEP * (request % WORK_STEPS) as u32);
             }
-            Conduct::Hangs => {
-                self.wait_while(conduct);
+            Behavior::Hangs => {
+                self.wait_while(behavior);
                 return None;
             }
-            Conduct::Pauses => self.wait_while(conduct),
-            Conduct::Resets => return None,
-            Conduct::Refuses => words = error(pg::TOO_MANY_CONNECTIONS),
-            Conduct::Errs => words = error(pg::INTERNAL_ERROR),
-            Conduct::Halves => {
-                line.io.write_all(&words[..words.len() / 2]).ok()?;
+            Behavior::Pauses => self.wait_while(behavior),
+            Behavior::Resets => return None,
+            Behavior::Refuses => bytes = error(pg::TOO_MANY_CONNECTIONS),
+            Behavior::Fails => bytes = error(pg::INTERNAL_ERROR),
+            Behavior::TruncatesAnswers => {
+                line.io.write_all(&bytes[..bytes.len() / 2]).ok()?;
                 return None;
             }
         }
-        line.io.write_all(&words).ok()
+        line.io.write_all(&bytes).ok()
     }
 
-    fn wait_while(&self, conduct: Conduct) {
-        while self.conduct() == conduct && self.is_up() {
-            std::thread::sleep(LOOKS);
+    fn wait_while(&self, behavior: Behavior) {
+        while self.behavior() == behavior && self.is_up() {
+            std::thread::sleep(PAUSE_POLL_INTERVAL);
         }
     }
 }
 
 fn error(code: &str) -> Vec<u8> {
-    let mut words = Vec::new();
-    pg::put_error(&mut words, false, code, "no", None);
-    pg::put_ready(&mut words);
-    words
+    let mut bytes = Vec::new();
+    pg::put_error(&mut bytes, false, code, "no", None);
+    pg::put_ready(&mut bytes);
+    bytes
 }
--- a/rehearse/src/node_soak/mod.rs
+++ b/rehearse/src/node_soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak of the live node: one node after another among scripted machines, discovery and clients, under faults drawn from a
-//! seed; judged by what the peers saw.
+//! A soak test of the live node, which runs among scripted machines, discovery and clients under faults drawn from a seed.
+//! The rules are checked against what those peers recorded.
 pub mod checker;
 mod clients;
 mod fault_plan;
@@ -9,9 +9,9 @@
 #[cfg(test)]
 mod tests;
 
-use checker::{judge, Breach, Evidence, Life, Limits};
+use checker::{judge, Breach, Evidence, Limits, NodeRun};
 use clients::Shared;
-use fault_plan::{Act, Conduct, Fault};
+use fault_plan::{Behavior, Fault, ScheduledFault};
 use fleet::Fleet;
 use process::NodeProcess;
 use rockpick::Ns;
@@ -26,21 +26,20 @@
 const CLIENTS: u64 = 12;
 const CROWD: u64 = 120;
 const DEFAULT_LENGTH: Duration = Duration::from_secs(20);
-/// What peers note is kept in memory until it is judged.
-const LONGEST: Duration = Duration::from_secs(300);
-/// The longest deadline of a method, and the page's time from SIGTERM to SIGKILL beyond it.
+/// Bounds the peers' records, which are kept in memory until they are checked.
+const MAX_LENGTH: Duration = Duration::from_secs(300);
+/// The longest deadline of a method, and the specified time from SIGTERM to SIGKILL: 700 ms more.
 const LONGEST_DEADLINE_MS: u64 = 1_200;
 const KILL_AFTER: Duration = Duration::from_millis(LONGEST_DEADLINE_MS + 700);
-/// New connections go on to a node that stops for so long.
-const NEW_CONNECTIONS: Duration = Duration::from_millis(300);
+/// Clients still connect to a node for this long after SIGTERM.
+const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(300);
 /// Between the signals of a series.
-const SERIES_GAP: Duration = Duration::from_millis(15);
-/// A process may be held up for so long.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// At most so many breaches are printed.
-const PRINTED: usize = 20;
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(15);
+/// How long SIGSTOP pauses the process.
+const PAUSE: Duration = Duration::from_millis(150);
+const MAX_PRINTED_BREACHES: usize = 20;
 
-/// The rules' figures, which the node's configuration states too.
+/// The limits that the rules check, which are also set in the node's configuration.
 const LIMITS: Limits = Limits {
     drain_grace: SEC,
     window: 3 * SEC,
@@ -51,7 +50,7 @@
     fall_time: SEC,
 };
 
-/// Time since the soak began.
+/// Measures time since the soak test began.
 #[derive(Clone, Copy)]
 pub struct Clock(Instant);
 
@@ -69,19 +68,19 @@
     }
 }
 
-/// A thread that panicked leaves what it held as it was.
+/// Locks a mutex, also after a thread that held it has panicked.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Plays a soak and prints its breaches; true when no rule was broken.
+/// Runs a soak test and prints the breaches; true if there were none.
 ///
 /// # Errors
-/// A node that can't be started, a folder that can't be written.
-pub fn play(seed: u64, seconds: Option<f64>, out: Option<PathBuf>) -> Result<bool, String> {
+/// The node can't be started, or a file of the folder can't be written.
+pub fn run(seed: u64, seconds: Option<f64>, out: Option<PathBuf>) -> Result<bool, String> {
     let length = seconds.map_or(DEFAULT_LENGTH, Duration::from_secs_f64);
-    if length > LONGEST {
-        return Err(format!("--seconds: a soak lasts {} s at most", LONGEST.as_secs()));
+    if length > MAX_LENGTH {
+        return Err(format!("--seconds: a soak test lasts at most {} s", MAX_LENGTH.as_secs()));
     }
     let kept = out.is_some();
     let folder = match out {
@@ -89,13 +88,13 @@
         None => tempfile::tempdir().map_err(|err| err.to_string())?.keep(),
     };
     crate::begin_folder(&folder)?;
-    let evidence = Soak::begin(folder.clone())?.run(seed, length)?;
+    let evidence = Soak::start(folder.clone())?.run(seed, length)?;
     let breaches = judge(&LIMITS, &evidence);
     report(seed, &evidence, &breaches);
     if breaches.is_empty() && !kept {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
-        println!("the node's logs: {}", folder.display());
+        println!("node logs: {}", folder.display());
     }
     Ok(breaches.is_empty())
 }
@@ -109,16 +108,16 @@
             (Some((_, checker::Answer::Failed)), _) => "failed",
             (None, Some(checker::ConnectionEnd::Left(_))) => "left",
             (None, Some(checker::ConnectionEnd::Unread(_))) => "unread",
-            (None, _) => "without an answer",
+            (None, _) => "no answer",
         };
         *ends.entry(end).or_insert(0) += 1;
     }
-    let (lives, attempts) = (evidence.lives.len(), evidence.attempts.len());
+    let (runs, attempts) = (evidence.runs.len(), evidence.attempts.len());
     println!(
-        "seed {seed}: {lives} starts, {} requests {ends:?}, {attempts} attempts",
+        "seed {seed}: {runs} starts, {} requests {ends:?}, {attempts} attempts",
         evidence.requests.len()
     );
-    for Breach { rule, request, at, what } in breaches.iter().take(PRINTED) {
+    for Breach { rule, request, at, what } in breaches.iter().take(MAX_PRINTED_BREACHES) {
         println!("rule {rule}: seed {seed}, request {request:016x}, at {} ms: {what}", at / MS);
     }
     match breaches.len() {
@@ -127,10 +126,10 @@
     }
 }
 
-/// What is done at a later time.
-enum Later {
-    Fleet(fleet::Later),
-    Conduct(usize),
+/// A step that is scheduled for a later time.
+enum ScheduledStep {
+    Drain(fleet::DrainStep),
+    RestoreMachine(usize),
     DiscoveryBack,
 }
 
@@ -140,33 +139,33 @@
     fleet: Fleet,
     shared: Arc<Shared>,
     node: NodeProcess,
-    lives: Vec<Life>,
-    /// By when, in the order in which they were entered.
-    later: Vec<(Instant, Later)>,
+    runs: Vec<NodeRun>,
+    /// When each is due, in the order of scheduling.
+    schedule: Vec<(Instant, ScheduledStep)>,
 }
 
 impl Soak {
-    fn begin(folder: PathBuf) -> Result<Soak, String> {
+    fn start(folder: PathBuf) -> Result<Soak, String> {
         let clock = Clock::begin();
-        let fleet = Fleet::begin(clock);
+        let fleet = Fleet::start(clock);
         let shared = Shared::new(clock);
         let node = NodeProcess::start(&folder, 0, &fleet.configuration())?;
-        let lives = vec![Life { began: clock.now(), ..Life::default() }];
+        let runs = vec![NodeRun { began: clock.now(), ..NodeRun::default() }];
         *lock(&shared.node) = Some((0, node.at));
-        Ok(Soak { clock, folder, fleet, shared, node, lives, later: Vec::new() })
+        Ok(Soak { clock, folder, fleet, shared, node, runs, schedule: Vec::new() })
     }
 
     fn run(mut self, seed: u64, length: Duration) -> Result<Evidence, String> {
-        let acts = fault_plan::draw(seed, length, fleet::USUAL_MACHINES);
+        let faults = fault_plan::draw(seed, length, fleet::STABLE_MACHINES);
         let clients: Vec<_> = (0..CLIENTS)
             .map(|i| {
                 let shared = self.shared.clone();
                 std::thread::spawn(move || clients::run(&shared, seed << 16 | i))
             })
             .collect();
-        for (number, act) in acts.iter().enumerate() {
-            self.wait(act.after);
-            self.act(act, seed << 32 | number as u64)?;
+        for (number, fault) in faults.iter().enumerate() {
+            self.wait(fault.after);
+            self.inject(fault, seed << 32 | number as u64)?;
         }
         self.wait(Duration::from_secs(1));
         self.shared.over.store(true, Ordering::SeqCst);
@@ -178,76 +177,79 @@
 
     fn evidence(self) -> Evidence {
         let (listings, caps, attempts) = self.fleet.evidence();
-        let (requests, stuck) = (lock(&self.shared.requests).clone(), lock(&self.shared.stuck).clone());
-        Evidence { requests, attempts, listings, caps, lives: self.lives, stuck }
+        let (requests, stalled_clients) =
+            (lock(&self.shared.requests).clone(), lock(&self.shared.stalled_clients).clone());
+        Evidence { requests, attempts, listings, caps, runs: self.runs, stalled_clients }
     }
 
-    /// Lets time pass, and does what falls due in it.
+    /// Waits, and runs the scheduled steps that fall due.
     fn wait(&mut self, time: Duration) {
         let until = Instant::now() + time;
         loop {
             let due =
-                self.later.iter().enumerate().min_by_key(|(_, (at, _))| *at).map(|(i, (at, _))| (i, *at));
+                self.schedule.iter().enumerate().min_by_key(|(_, (at, _))| *at).map(|(i, (at, _))| (i, *at));
             let Some((index, at)) = due.filter(|(_, at)| *at <= until) else { break };
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
-            let (_, what) = self.later.remove(index);
-            self.carry_out(what);
+            let (_, what) = self.schedule.remove(index);
+            self.run_step(what);
         }
         std::thread::sleep(until.saturating_duration_since(Instant::now()));
     }
 
-    fn enter(&mut self, after: Duration, what: Later) {
-        self.later.push((Instant::now() + after, what));
+    fn schedule(&mut self, after: Duration, what: ScheduledStep) {
+        self.schedule.push((Instant::now() + after, what));
     }
 
-    fn carry_out(&mut self, what: Later) {
+    fn run_step(&mut self, what: ScheduledStep) {
         match what {
-            Later::Fleet(step) => {
-                if let Some((after, next)) = self.fleet.go_on(step) {
-                    self.enter(after, Later::Fleet(next));
+            ScheduledStep::Drain(step) => {
+                if let Some((after, next)) = self.fleet.continue_drain(step) {
+                    self.schedule(after, ScheduledStep::Drain(next));
                 }
             }
-            Later::Conduct(machine) => self.fleet.machines[machine].behaves(Conduct::Usual),
-            Later::DiscoveryBack => {
+            ScheduledStep::RestoreMachine(machine) => {
+                self.fleet.machines[machine].set_behavior(Behavior::Normal)
+            }
+            ScheduledStep::DiscoveryBack => {
                 self.fleet.platform.down.store(false, Ordering::SeqCst);
                 self.fleet.platform.mute.store(false, Ordering::SeqCst);
             }
         }
     }
 
-    fn act(&mut self, act: &Act, seed: u64) -> Result<(), String> {
-        match act.fault {
+    fn inject(&mut self, scheduled: &ScheduledFault, seed: u64) -> Result<(), String> {
+        match scheduled.fault {
             Fault::Reload { times } => {
                 for _ in 0..times {
                     self.fleet.move_platform();
                     self.node.configure(&self.fleet.configuration())?;
                     self.node.signal(Signal::HUP)?;
-                    self.wait(SERIES_GAP);
+                    self.wait(SIGNAL_INTERVAL);
                 }
             }
             Fault::Stop { series } => self.stop(series)?,
             Fault::Kill => self.kill_and_restart()?,
             Fault::Pause => {
                 self.node.signal(Signal::STOP)?;
-                self.wait(HELD_UP);
+                self.wait(PAUSE);
                 self.node.signal(Signal::CONT)?;
             }
             Fault::DiscoveryDown => {
                 self.fleet.platform.down.store(true, Ordering::SeqCst);
-                self.enter(act.lasts, Later::DiscoveryBack);
+                self.schedule(scheduled.duration, ScheduledStep::DiscoveryBack);
             }
             Fault::DiscoverySilent => {
                 self.fleet.platform.mute.store(true, Ordering::SeqCst);
-                self.enter(act.lasts, Later::DiscoveryBack);
+                self.schedule(scheduled.duration, ScheduledStep::DiscoveryBack);
             }
             Fault::Restart { machine } => {
                 if let Some((after, next)) = self.fleet.drain(machine) {
-                    self.enter(after, Later::Fleet(next));
+                    self.schedule(after, ScheduledStep::Drain(next));
                 }
             }
-            Fault::Misconduct { machine, conduct } => {
-                self.fleet.machines[machine].behaves(conduct);
-                self.enter(act.lasts, Later::Conduct(machine));
+            Fault::MachineFault { machine, behavior } => {
+                self.fleet.machines[machine].set_behavior(behavior);
+                self.schedule(scheduled.duration, ScheduledStep::RestoreMachine(machine));
             }
             Fault::ReleaseStep => self.fleet.release_step(),
             Fault::Crowd => {
@@ -260,21 +262,21 @@
         Ok(())
     }
 
-    /// SIGTERM; clients go on with their connections until SIGKILL at the page's earliest.
+    /// Sends SIGTERM. Clients keep their connections until SIGKILL, at the earliest time that is specified.
     fn stop(&mut self, series: bool) -> Result<(), String> {
         let terminated = Instant::now();
         self.node.signal(Signal::TERM)?;
-        if let Some(life) = self.lives.last_mut() {
-            life.terminated = Some(self.clock.at(terminated));
+        if let Some(run) = self.runs.last_mut() {
+            run.terminated = Some(self.clock.at(terminated));
         }
         if series {
             for signal in [Signal::HUP, Signal::TERM, Signal::HUP] {
-                self.wait(SERIES_GAP);
-                // It may have ended by now.
+                self.wait(SIGNAL_INTERVAL);
+                // The process may have ended already.
                 let _ = self.node.signal(signal);
             }
         }
-        self.wait(NEW_CONNECTIONS);
+        self.wait(CONNECTS_AFTER_TERM);
         *lock(&self.shared.node) = None;
         self.wait(KILL_AFTER.saturating_sub(terminated.elapsed()));
         self.kill_and_restart()
@@ -284,12 +286,12 @@
         *lock(&self.shared.node) = None;
         let killed = self.clock.now();
         self.node.kill();
-        if let Some(life) = self.lives.last_mut() {
-            life.killed = Some(killed);
+        if let Some(run) = self.runs.last_mut() {
+            run.killed = Some(killed);
         }
-        self.fleet.told_by_configuration();
-        self.lives.push(Life { began: self.clock.now(), ..Life::default() });
-        let number = self.lives.len() - 1;
+        self.fleet.record_configured_start();
+        self.runs.push(NodeRun { began: self.clock.now(), ..NodeRun::default() });
+        let number = self.runs.len() - 1;
         self.node = NodeProcess::start(&self.folder, number, &self.fleet.configuration())?;
         *lock(&self.shared.node) = Some((number, self.node.at));
         Ok(())
--- a/rehearse/src/node_soak/process.rs
+++ b/rehearse/src/node_soak/process.rs
@@ -1,4 +1,4 @@
-//! The node's process: started with a configuration, signalled, killed.
+//! Starts, signals and kills a process of the node.
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use std::fs::File;
@@ -20,35 +20,35 @@
 }
 
 impl NodeProcess {
-    /// Starts this program as a node, and waits for its address. Configuration and log stay in `folder`.
+    /// Starts this program as a node and waits until it prints its address. Configuration and log are files in `folder`.
     ///
     /// # Errors
-    /// Files that can't be written, a node that says no address.
-    pub fn start(folder: &Path, number: usize, told: &Value) -> Result<NodeProcess, String> {
-        let say = |err: std::io::Error| format!("node {number}: {err}");
+    /// A file can't be written, or the node prints no address.
+    pub fn start(folder: &Path, number: usize, configuration_json: &Value) -> Result<NodeProcess, String> {
+        let describe = |err: std::io::Error| format!("node {number}: {err}");
         let configuration = folder.join(format!("node-{number}.json"));
-        std::fs::write(&configuration, told.to_string()).map_err(say)?;
-        let log = File::create(folder.join(format!("node-{number}.log"))).map_err(say)?;
-        let mut child = Command::new(std::env::current_exe().map_err(say)?)
+        std::fs::write(&configuration, configuration_json.to_string()).map_err(describe)?;
+        let log = File::create(folder.join(format!("node-{number}.log"))).map_err(describe)?;
+        let mut child = Command::new(std::env::current_exe().map_err(describe)?)
             .arg("node")
             .env("PROXY_CONFIG", &configuration)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()
-            .map_err(say)?;
+            .map_err(describe)?;
         let mut line = String::new();
         let out = child.stdout.take().ok_or("no standard output")?;
-        BufReader::new(out).read_line(&mut line).map_err(say)?;
+        BufReader::new(out).read_line(&mut line).map_err(describe)?;
         let at = line.trim().strip_prefix("listening ").and_then(|at| at.parse().ok());
         let at = at.ok_or_else(|| format!("node {number} did not start: '{}'", line.trim()))?;
         Ok(NodeProcess { child, configuration, at })
     }
 
-    pub fn configure(&self, told: &Value) -> Result<(), String> {
-        let fresh = self.configuration.with_extension("new");
-        std::fs::write(&fresh, told.to_string()).map_err(|err| err.to_string())?;
-        std::fs::rename(&fresh, &self.configuration).map_err(|err| err.to_string())
+    pub fn configure(&self, configuration_json: &Value) -> Result<(), String> {
+        let new_file = self.configuration.with_extension("new");
+        std::fs::write(&new_file, configuration_json.to_string()).map_err(|err| err.to_string())?;
+        std::fs::rename(&new_file, &self.configuration).map_err(|err| err.to_string())
     }
 
     /// # Errors
