--- a/rehearse/src/node_soak/fault_plan.rs
+++ b/rehearse/src/node_soak/fault_plan.rs
@@ -56,7 +56,7 @@
     Restart {
         machine: usize,
     },
-    MachineFault {
+    MachineBehavior {
         machine: usize,
         behavior: Behavior,
     },
@@ -103,6 +103,6 @@
         9..12 => Fault::Restart { machine },
         12..14 => Fault::ReleaseStep,
         14..16 if crowds => Fault::Crowd,
-        _ => Fault::MachineFault { machine, behavior },
+        _ => Fault::MachineBehavior { machine, behavior },
     }
 }
