--- a/rehearse/src/lib.rs
+++ b/rehearse/src/lib.rs
@@ -1,47 +1,47 @@
-//! A rehearsal: controller, fronts, machines and clients as processes of their own on loopback, a scripted
-//! day of troubles, and a judgement by [`judge`] of what crossed the sockets.
+//! Rehearsals: controller, fronts, machines and clients run as separate processes on loopback under a script of faults.
+//! [`judge`] checks the rules against what was recorded at the ends of their connections.
 
-/// In place of the standard one, which ends the process by a panic when nobody reads.
+/// Replaces the standard macro, which panics when standard output is closed.
 macro_rules! println {
-    ($($words:tt)*) => { crate::write_stdout(format_args!("{}\n", format_args!($($words)*))) };
+    ($($args:tt)*) => { crate::write_stdout(format_args!("{}\n", format_args!($($args)*))) };
 }
 
-mod books;
-mod crew;
 pub mod day;
+mod directory;
 pub mod judge;
 pub mod node_soak;
+mod runner;
 mod watch;
 
-pub use crew::{print_judgement, read_records};
 pub use day::Plan;
 use rockpick_net::http::{self, Response};
 use rockpick_net::{Call, CallEnd, Event, Net, MS, SEC};
+pub use runner::{print_judgement, read_records};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
-/// What became of standard output, if something could not be written there.
-static LOST: Mutex<Option<std::io::ErrorKind>> = Mutex::new(None);
+/// The first error of a write to standard output.
+static STDOUT_ERROR: Mutex<Option<std::io::ErrorKind>> = Mutex::new(None);
 
-/// Writes to standard output; what can't be written is remembered, and what runs goes on.
-pub fn write_stdout(words: std::fmt::Arguments) {
+/// Writes to standard output. An error is stored for [`stdout_error`] and does not stop the caller.
+pub fn write_stdout(args: std::fmt::Arguments) {
     let mut out = std::io::stdout().lock();
-    if let Err(err) = out.write_fmt(words).and_then(|()| out.flush()) {
-        LOST.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert(err.kind());
+    if let Err(err) = out.write_fmt(args).and_then(|()| out.flush()) {
+        STDOUT_ERROR.lock().unwrap_or_else(PoisonError::into_inner).get_or_insert(err.kind());
     }
 }
 
-/// Why something could not be written to standard output, if it could not.
+/// The first error of a write to standard output, if any failed.
 pub fn stdout_error() -> Option<std::io::ErrorKind> {
-    *LOST.lock().unwrap_or_else(PoisonError::into_inner)
+    *STDOUT_ERROR.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One call to an HTTP server, waited for: five seconds at most.
+/// Sends a request to an HTTP server and waits for the response, at most five seconds.
 ///
 /// # Errors
-/// Says what became of the call.
+/// Says why there is no response.
 pub fn call(to: SocketAddr, method: &str, target: &str, body: &str) -> Result<Response, String> {
     let mut net = Net::new(1).map_err(|err| err.to_string())?;
     let lines = [("Content-Type", "application/json")];
@@ -66,11 +66,11 @@
     Err(format!("{to}: no answer within 5 s"))
 }
 
-/// Makes the folder of a day's records.
+/// Creates the folder of a day's records.
 ///
 /// # Errors
-/// It can't be made, or is not empty.
-fn begin_folder(out: &Path) -> Result<(), String> {
+/// The folder can't be created, or is not empty.
+fn create_folder(out: &Path) -> Result<(), String> {
     std::fs::create_dir_all(out).map_err(|err| format!("{}: {err}", out.display()))?;
     if std::fs::read_dir(out).map_err(|err| err.to_string())?.next().is_some() {
         return Err(format!("--out {}: not empty", out.display()));
@@ -78,14 +78,14 @@
     Ok(())
 }
 
-/// Plays a day; true when no rule was broken.
+/// Runs a rehearsal; true if no rule was broken.
 ///
 /// # Errors
-/// A plan that makes no sense, processes that can't be started.
+/// The plan is invalid, or a process can't be started.
 pub fn run(plan: Plan) -> Result<bool, String> {
     if plan.is_node_soak() {
         plan.check()?;
         return node_soak::run(plan.seed, plan.seconds, plan.out);
     }
-    crew::play(plan)
+    runner::run(plan)
 }
--- a/rehearse/src/node_soak/mod.rs
+++ b/rehearse/src/node_soak/mod.rs
@@ -87,7 +87,7 @@
         Some(out) => out,
         None => tempfile::tempdir().map_err(|err| err.to_string())?.keep(),
     };
-    crate::begin_folder(&folder)?;
+    crate::create_folder(&folder)?;
     let evidence = Soak::start(folder.clone())?.run(seed, length)?;
     let breaches = judge(&LIMITS, &evidence);
     report(seed, &evidence, &breaches);
@@ -247,7 +247,7 @@
                     self.schedule(after, ScheduledStep::Drain(next));
                 }
             }
-            Fault::MachineFault { machine, behavior } => {
+            Fault::MachineBehavior { machine, behavior } => {
                 self.fleet.machines[machine].set_behavior(behavior);
                 self.schedule(scheduled.duration, ScheduledStep::RestoreMachine(machine));
             }
--- a/rehearse/src/crew.rs
+++ b/rehearse/src/runner.rs
@@ -1,7 +1,7 @@
-//! The processes of a rehearsal: started, stopped and killed by the script; a host that starts the machines
-//! which the controller wants; the clients; and the judgement at the end.
-use crate::books;
+//! Runs a rehearsal: starts its processes, stops and kills them by the script, starts the machines that the controller wants,
+//! and checks the rules at the end.
 use crate::day::{self, Action, Plan};
+use crate::directory;
 use crate::judge::{self, Judgement, RawRecords};
 use crate::{call, watch};
 use rockpick_control::Settings;
@@ -21,28 +21,28 @@
 use std::time::Duration;
 
 const SEC: i64 = 1_000_000_000;
-/// The rehearsal looks after its processes this often.
-const BEAT: Duration = Duration::from_millis(20);
-/// The host asks what is wanted this often.
-const HOST: i64 = SEC / 4;
-/// A machine's process starts after a while, as builds do.
-const BOOT: i64 = SEC / 2;
-/// All must be up within this.
-const UP_WITHIN: i64 = 20 * SEC;
-/// On a day of peers: how fast fronts probe each other, and how long after the day they may take to agree.
-const PERIOD_MS: u64 = 100;
-const SETTLES: i64 = 20 * SEC;
-/// Breaches printed of each rule.
-const SHOWN: usize = 8;
-/// After the last arrival: the longest deadline and the time to end.
-const END_WITHIN: i64 = 12 * SEC;
+/// How often the main loop runs.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How often the controller is asked which machines it wants.
+const WANTED_INTERVAL: i64 = SEC / 4;
+/// The delay before a machine's process is started, which stands for the boot time of a build.
+const BOOT_DELAY: i64 = SEC / 2;
+/// All fronts and machines must be up within this.
+const STARTUP_TIMEOUT: i64 = 20 * SEC;
+/// On a peers day: the probe period of fronts, and how long after the day they may take to hold equal copies.
+const PROBE_PERIOD_MS: u64 = 100;
+const SETTLE_TIMEOUT: i64 = 20 * SEC;
+/// The most breaches printed of each rule.
+const MAX_PRINTED_BREACHES: usize = 8;
+/// Time after the last arrival in which clients must end: the longest deadline and a margin.
+const END_TIMEOUT: i64 = 12 * SEC;
 
 struct Proc {
     child: Child,
     at: SocketAddr,
 }
 
-impl Drop for Crew {
+impl Drop for Rehearsal {
     fn drop(&mut self) {
         self.end_agents();
     }
@@ -50,10 +50,10 @@
 
 impl Proc {
     fn start(args: &[String], log: &Path) -> Result<Proc, String> {
-        Proc::begin(args, log, &[])
+        Proc::start_with_env(args, log, &[])
     }
 
-    fn begin(args: &[String], log: &Path, env: &[(&str, PathBuf)]) -> Result<Proc, String> {
+    fn start_with_env(args: &[String], log: &Path, env: &[(&str, PathBuf)]) -> Result<Proc, String> {
         let program = std::env::current_exe().map_err(|err| err.to_string())?;
         let log = File::options().create(true).append(true).open(log).map_err(|err| err.to_string())?;
         let mut child = Command::new(program)
@@ -68,7 +68,7 @@
         if let Some(out) = child.stdout.take() {
             let mut out = BufReader::new(out);
             let _ = out.read_line(&mut line);
-            // What it still prints is let go; the pipe must not fill.
+            // Reads and discards the rest of the output, so that the pipe does not fill up.
             std::thread::spawn(move || {
                 let mut rest = String::new();
                 while out.read_line(&mut rest).is_ok_and(|n| n > 0) {
@@ -76,15 +76,15 @@
                 }
             });
         }
-        // An agent listens nowhere.
-        let nowhere = (line.trim() == "agent up").then_some(SocketAddr::from(([127, 0, 0, 1], 0)));
-        let at = line.trim().strip_prefix("listening ").and_then(|at| at.parse().ok()).or(nowhere);
+        // An agent has no listener.
+        let no_address = (line.trim() == "agent up").then_some(SocketAddr::from(([127, 0, 0, 1], 0)));
+        let at = line.trim().strip_prefix("listening ").and_then(|at| at.parse().ok()).or(no_address);
         match at {
             Some(at) => Ok(Proc { child, at }),
             None => {
                 let _ = child.kill();
                 let _ = child.wait();
-                Err(format!("'rockpick {}' did not come up", args.join(" ")))
+                Err(format!("'rockpick {}' did not start", args.join(" ")))
             }
         }
     }
@@ -100,7 +100,7 @@
         let _ = self.child.wait();
     }
 
-    fn ended(&mut self) -> bool {
+    fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 }
@@ -111,47 +111,48 @@
     }
 }
 
-struct Crew {
+struct Rehearsal {
     plan: Plan,
-    charter: Settings,
+    settings: Settings,
     out: PathBuf,
-    acts: Record,
+    actions: Record,
     controller: Option<Proc>,
     control_at: SocketAddr,
     fronts: Vec<Option<Proc>>,
     front_at: Vec<SocketAddr>,
     machines: BTreeMap<String, Proc>,
     clients: Option<Proc>,
-    /// By place, where agents start the builds.
+    /// By place; empty unless agents start the builds.
     agents: Vec<Option<Proc>>,
-    /// Machines on their way: when their process starts.
+    /// When the process of each machine that is booting starts.
     booting: BTreeMap<(String, u32), i64>,
     bad: BTreeMap<u32, String>,
     fault: Option<Value>,
-    /// By machine, what was told to each; and are the zones parted?
+    /// The fault that was injected at each machine.
     faults: BTreeMap<String, Value>,
-    parted: bool,
+    partitioned: bool,
+    /// How much a bad build slows all machines by its share of them.
     shared: f64,
-    /// Seats for notes, by front, and then for peers.
+    /// Relays datagrams between fronts; it has one seat for each front's notes, then one for each front's peer protocol.
     relay: Relay,
-    /// What becomes of notes, and the fronts' zones while they are parted.
-    carried: day::DatagramFaults,
+    /// The faults of datagrams, and the fronts' zones during a partition.
+    datagram_faults: day::DatagramFaults,
     zones: Vec<u32>,
-    /// The storm of a day of peers: which acts are on; by front, how often it is stopped and down.
+    /// The storm of a peers day, its active faults, and how many of them stop or keep down each front.
     storm: Option<rockpick_storm::Plan>,
-    on: Vec<usize>,
+    active: Vec<usize>,
     stopped: Vec<u32>,
     down: Vec<u32>,
-    hosted: i64,
+    wanted_asked_at: i64,
     pending: Vec<(i64, Pending)>,
     warm: bool,
     starts: u64,
-    /// The directory: its addresses, its process, when it came back, and what that took all fronts, s.
-    books: Option<[SocketAddr; 2]>,
+    /// The directory: its addresses, its process, when it came back, and after how many seconds all fronts had its changes.
+    directory_at: Option<[SocketAddr; 2]>,
     directory: Option<Proc>,
-    returned: Option<i64>,
-    in_force: Option<f64>,
-    looked: i64,
+    directory_back_at: Option<i64>,
+    changes_after_s: Option<f64>,
+    directory_checked_at: i64,
 }
 
 enum Pending {
@@ -163,57 +164,59 @@
     StartAgent(usize),
 }
 
-fn words(args: &[&str]) -> Vec<String> {
+fn strings(args: &[&str]) -> Vec<String> {
     args.iter().map(|a| a.to_string()).collect()
 }
 
-pub fn play(plan: Plan) -> Result<bool, String> {
+pub fn run(plan: Plan) -> Result<bool, String> {
     if plan.trouble.iter().any(|t| t == "list") {
         day::TROUBLES.iter().for_each(|(name, what)| println!("{name:<15} {what}"));
         return Ok(true);
     }
     plan.check()?;
     if plan.fronts > 200 || plan.machines > 500 || plan.rate > 1e5 {
-        return Err("on loopback --fronts 200, --machines 500 and --rate 100000 at most".into());
+        return Err(
+            "on loopback, at most --fronts 200, --machines 500 and --rate 100000 are supported".into()
+        );
     }
-    let (script, lasts) = day::script(&plan)?;
-    let charter = day::settings(&plan)?;
+    let (script, seconds) = day::script(&plan)?;
+    let settings = day::settings(&plan)?;
     let out = plan.out.clone().unwrap_or_else(|| {
         std::env::temp_dir().join(format!("rockpick-rehearsal-{}-{}", std::process::id(), clock() / SEC))
     });
-    crate::begin_folder(&out)?;
+    crate::create_folder(&out)?;
     let text = serde_json::to_string(&plan).map_err(|err| err.to_string())?;
     std::fs::write(out.join("plan.json"), text).map_err(|err| format!("plan.json: {err}"))?;
-    let mut crew = Crew::assemble(plan, charter, out)?;
-    crew.day(&script, lasts)
+    let mut rehearsal = Rehearsal::start(plan, settings, out)?;
+    rehearsal.run_day(&script, seconds)
 }
 
-impl Crew {
+impl Rehearsal {
     fn log(&self, name: &str) -> PathBuf {
         self.out.join(format!("{name}.log"))
     }
 
-    fn assemble(plan: Plan, charter: Settings, out: PathBuf) -> Result<Crew, String> {
-        let say = |err: std::io::Error| err.to_string();
-        let acts = Record::open(Some(&out.join("acts.jsonl"))).map_err(say)?;
-        let relay = Relay::begin(2 * plan.fronts, plan.seed).map_err(say)?;
+    fn start(plan: Plan, settings: Settings, out: PathBuf) -> Result<Rehearsal, String> {
+        let describe = |err: std::io::Error| err.to_string();
+        let actions = Record::open(Some(&out.join("acts.jsonl"))).map_err(describe)?;
+        let relay = Relay::begin(2 * plan.fronts, plan.seed).map_err(describe)?;
         let storm = plan.is_peers_day().then(|| day::storm(&plan));
         if let Some(storm) = &storm {
-            std::fs::write(out.join("storm.jsonl"), storm.write()).map_err(say)?;
-            std::fs::write(out.join("peers.key"), "the key of a rehearsal's fronts").map_err(say)?;
+            std::fs::write(out.join("storm.jsonl"), storm.write()).map_err(describe)?;
+            std::fs::write(out.join("peers.key"), "the key of a rehearsal's fronts").map_err(describe)?;
         }
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut crew = Crew {
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+        let mut rehearsal = Rehearsal {
             stopped: vec![0; plan.fronts],
             down: vec![0; plan.fronts],
             fronts: (0..plan.fronts).map(|_| None).collect(),
-            front_at: vec![nowhere; plan.fronts],
+            front_at: vec![unset; plan.fronts],
             plan,
-            charter,
+            settings,
             out,
-            acts,
+            actions,
             controller: None,
-            control_at: nowhere,
+            control_at: unset,
             machines: BTreeMap::new(),
             clients: None,
             agents: Vec::new(),
@@ -222,70 +225,70 @@
             fault: None,
             shared: 0.0,
             relay,
-            carried: day::DatagramFaults::default(),
+            datagram_faults: day::DatagramFaults::default(),
             zones: Vec::new(),
             storm,
-            on: Vec::new(),
+            active: Vec::new(),
             faults: BTreeMap::new(),
-            parted: false,
-            hosted: 0,
+            partitioned: false,
+            wanted_asked_at: 0,
             pending: Vec::new(),
             warm: true,
             starts: 0,
-            books: None,
+            directory_at: None,
             directory: None,
-            returned: None,
-            in_force: None,
-            looked: 0,
+            directory_back_at: None,
+            changes_after_s: None,
+            directory_checked_at: 0,
         };
-        if crew.plan.day == "directory" && crew.plan.trouble.is_empty() {
-            let at = books::addresses().map_err(say)?;
-            crew.charter.directory = Some(books::books(at[0]));
-            crew.books = Some(at);
-            crew.start_directory(false)?;
+        if rehearsal.plan.day == "directory" && rehearsal.plan.trouble.is_empty() {
+            let at = directory::reserve_addresses().map_err(describe)?;
+            rehearsal.settings.directory = Some(directory::settings(at[0]));
+            rehearsal.directory_at = Some(at);
+            rehearsal.start_directory(false)?;
         }
-        if crew.plan.agents {
-            crew.make_repo()?;
+        if rehearsal.plan.agents {
+            rehearsal.make_repo()?;
         }
-        crew.start_controller()?;
-        let settings = serde_json::to_string(&crew.charter).map_err(|err| err.to_string())?;
-        let put = call(crew.control_at, "PUT", "/settings", &settings)?;
+        rehearsal.start_controller()?;
+        let settings_json = serde_json::to_string(&rehearsal.settings).map_err(|err| err.to_string())?;
+        let put = call(rehearsal.control_at, "PUT", "/settings", &settings_json)?;
         if put.status != 200 {
             return Err(format!("settings: {}", String::from_utf8_lossy(&put.body)));
         }
-        for front in 0..crew.fronts.len() {
-            crew.start_front(front)?;
+        for front in 0..rehearsal.fronts.len() {
+            rehearsal.start_front(front)?;
         }
-        if crew.plan.agents {
-            crew.agents = (0..crew.plan.machines).map(|_| None).collect();
-            for place in 0..crew.plan.machines {
-                crew.start_agent(place)?;
+        if rehearsal.plan.agents {
+            rehearsal.agents = (0..rehearsal.plan.machines).map(|_| None).collect();
+            for place in 0..rehearsal.plan.machines {
+                rehearsal.start_agent(place)?;
             }
         }
-        let by = clock() + UP_WITHIN;
+        let by = clock() + STARTUP_TIMEOUT;
         loop {
-            crew.host()?;
-            let status = call(crew.control_at, "GET", "/status", "")?;
+            rehearsal.start_wanted_machines()?;
+            let status = call(rehearsal.control_at, "GET", "/status", "")?;
             let status: Value = serde_json::from_slice(&status.body).unwrap_or(Value::Null);
             let up = status["machines"].as_array().map_or(0, Vec::len);
             let watching = status["watching"].as_array().map_or(0, Vec::len);
-            if up >= crew.plan.machines && watching >= crew.plan.fronts {
+            if up >= rehearsal.plan.machines && watching >= rehearsal.plan.fronts {
                 break;
             }
             if clock() > by {
-                return Err(format!("only {up} machines and {watching} fronts came up"));
+                return Err(format!("only {up} machines and {watching} fronts came up in time"));
             }
-            std::thread::sleep(BEAT);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        crew.warm = false;
-        Ok(crew)
+        rehearsal.warm = false;
+        Ok(rehearsal)
     }
 
     fn start_directory(&mut self, back: bool) -> Result<(), String> {
-        let Some([at, control]) = self.books else { return Ok(()) };
-        let args = words(&["directory", "--listen", &at.to_string(), "--control", &control.to_string()]);
+        let Some([at, control]) = self.directory_at else { return Ok(()) };
+        let args = strings(&["directory", "--listen", &at.to_string(), "--control", &control.to_string()]);
         let proc = Proc::start(&args, &self.log("directory"))?;
-        let put = call(control, "POST", "/entries", &books::entries(back).to_string())?;
+        let put = call(control, "POST", "/entries", &directory::entries(back).to_string())?;
         if put.status != 200 {
             return Err(format!("the directory's entries: {}", String::from_utf8_lossy(&put.body)));
         }
@@ -293,28 +296,30 @@
         Ok(())
     }
 
-    /// Do all fronts know what the directory has come back with?
-    fn look(&mut self) {
+    /// Records when all fronts have the changes with which the directory came back.
+    fn check_directory(&mut self) {
         let now = clock();
-        let Some(returned) = self.returned.filter(|_| self.in_force.is_none() && now - self.looked > SEC / 5)
+        let Some(returned) = self
+            .directory_back_at
+            .filter(|_| self.changes_after_s.is_none() && now - self.directory_checked_at > SEC / 5)
         else {
             return;
         };
-        self.looked = now;
-        let knows = |at: &SocketAddr| {
+        self.directory_checked_at = now;
+        let has_changes = |at: &SocketAddr| {
             let Ok(answer) = call(*at, "GET", "/status", "") else { return false };
             let status: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
             let d = &status["directory"];
-            d["tenants"] == books::AFTER && d["settled"] == true
+            d["tenants"] == directory::TENANTS_AFTER && d["settled"] == true
         };
-        if self.front_at.iter().all(knows) {
-            self.in_force = Some((now - returned) as f64 / SEC as f64);
+        if self.front_at.iter().all(has_changes) {
+            self.changes_after_s = Some((now - returned) as f64 / SEC as f64);
         }
     }
 
     fn start_controller(&mut self) -> Result<(), String> {
         let state = self.out.join("controller");
-        let mut args = words(&[
+        let mut args = strings(&[
             "controller",
             "--listen",
             &self.control_at.to_string(),
@@ -324,7 +329,7 @@
             "json",
         ]);
         if self.plan.agents {
-            args.extend(words(&["--repo", &self.out.join("repo").to_string_lossy()]));
+            args.extend(strings(&["--repo", &self.out.join("repo").to_string_lossy()]));
         }
         let proc = Proc::start(&args, &self.log("controller"))?;
         self.control_at = proc.at;
@@ -333,14 +338,14 @@
     }
 
     fn start_front(&mut self, front: usize) -> Result<(), String> {
-        let name = self.charter.fronts[front].name.clone();
+        let name = self.settings.fronts[front].name.clone();
         let (listen, controller) = (self.front_at[front].to_string(), self.control_at.to_string());
         let seed = (self.plan.seed.wrapping_mul(1_000) + front as u64 + self.starts * 7_919).to_string();
         self.starts += 1;
         let state = self.out.join(&name);
         let (state, notes) = (state.to_string_lossy().into_owned(), self.relay.seats[front].to_string());
         let mut args = match self.plan.faulty {
-            Some(rule) => words(&[
+            Some(rule) => strings(&[
                 "faulty",
                 "--listen",
                 &listen,
@@ -353,7 +358,7 @@
                 "--seed",
                 &seed,
             ]),
-            None => words(&[
+            None => strings(&[
                 "front",
                 "--listen",
                 &listen,
@@ -373,103 +378,103 @@
         };
         if self.storm.is_some() && self.plan.faulty.is_none() {
             let lies = self.out.join(format!("{name}.lies"));
-            args.extend(words(&["--disk-lies", &lies.to_string_lossy()]));
+            args.extend(strings(&["--disk-lies", &lies.to_string_lossy()]));
             args.push(format!("--clock-ppm={}", day::clock_ppm(&self.plan, front)));
         }
-        let company = self.storm.is_some() && !self.plan.alone;
+        let peered = self.storm.is_some() && !self.plan.alone;
         let seat = |front: usize| self.relay.seats[self.plan.fronts + front].to_string();
-        if company {
+        if peered {
             let others: Vec<String> =
                 (0..self.plan.fronts).filter(|i| *i != front).take(3).map(seat).collect();
             let key = self.out.join("peers.key");
-            args.extend(words(&["--peers-listen", "127.0.0.1:0", "--peers-at", &seat(front)]));
-            args.extend(words(&["--peers", &others.join(","), "--peers-key", &key.to_string_lossy()]));
-            args.extend(words(&["--peers-period-ms", &PERIOD_MS.to_string()]));
+            args.extend(strings(&["--peers-listen", "127.0.0.1:0", "--peers-at", &seat(front)]));
+            args.extend(strings(&["--peers", &others.join(","), "--peers-key", &key.to_string_lossy()]));
+            args.extend(strings(&["--peers-period-ms", &PROBE_PERIOD_MS.to_string()]));
         }
         let proc = Proc::start(&args, &self.log(&name))?;
         self.front_at[front] = proc.at;
         self.fronts[front] = Some(proc);
-        // Where its sockets really are; the others know the relay's seats alone.
-        let told = |target: &str, field: &str| -> Option<SocketAddr> {
+        // Tells the relay the front's real addresses; other fronts only know the relay's seats.
+        let address = |target: &str, field: &str| -> Option<SocketAddr> {
             let answer = call(self.front_at[front], "GET", target, "").ok()?;
             serde_json::from_slice::<Value>(&answer.body).ok()?[field].as_str()?.parse().ok()
         };
-        if let Some(at) = told("/status", "notes") {
+        if let Some(at) = address("/status", "notes") {
             self.relay.real(front, at);
         }
-        if let (true, Some(at)) = (company, told("/peers", "listen")) {
+        if let (true, Some(at)) = (peered, address("/peers", "listen")) {
             self.relay.real(self.plan.fronts + front, at);
         }
         Ok(())
     }
 
-    /// What each link between fronts does now, for notes and for peers.
-    fn links(&self) {
+    /// Sets the faults of each link between fronts, for notes and for the peer protocol.
+    fn apply_link_faults(&self) {
         let fronts = self.plan.fronts;
-        let carried = Way {
-            lost: self.carried.loss,
-            doubled: self.carried.duplication,
-            jitter: self.carried.max_delay_ms as i64 * 1_000_000,
+        let base = Way {
+            lost: self.datagram_faults.loss,
+            doubled: self.datagram_faults.duplication,
+            jitter: self.datagram_faults.max_delay_ms as i64 * 1_000_000,
             ..Way::default()
         };
         for (from, to) in (0..fronts).flat_map(|a| (0..fronts).map(move |b| (a, b))).filter(|(a, b)| a != b) {
-            let parted = Way { cut: self.zones.get(from) != self.zones.get(to), ..Way::default() };
-            let storm = self.storm.as_ref().map_or(carried, |s| s.way(&self.on, from, to, carried));
-            let way = storm.with(&parted);
+            let partition = Way { cut: self.zones.get(from) != self.zones.get(to), ..Way::default() };
+            let storm = self.storm.as_ref().map_or(base, |s| s.way(&self.active, from, to, base));
+            let way = storm.with(&partition);
             self.relay.set(from, to, way);
             self.relay.set(fronts + from, fronts + to, way);
         }
     }
 
-    /// A fault of the storm begins or ends.
-    fn storm(&mut self, act: usize, begins: bool) -> Result<(), String> {
+    /// Begins or ends a fault of the storm.
+    fn apply_storm_fault(&mut self, act: usize, begins: bool) -> Result<(), String> {
         let Some(fault) = self.storm.as_ref().map(|s| s.acts[act].fault.clone()) else { return Ok(()) };
-        self.on.retain(|i| *i != act);
+        self.active.retain(|i| *i != act);
         if begins {
-            self.on.push(act);
+            self.active.push(act);
         }
         let count = |n: &mut u32| *n = if begins { *n + 1 } else { n.saturating_sub(1) };
         match fault {
             Fault::Links { .. } => {
-                self.links();
-                self.note(if begins { "cut" } else { "join" }, &format!("link {act}"));
+                self.apply_link_faults();
+                self.record(if begins { "cut" } else { "join" }, &format!("link {act}"));
             }
             Fault::Stop { who } => {
                 count(&mut self.stopped[who]);
-                self.hold(who);
+                self.apply_stop(who);
             }
             Fault::Kill { who, back } => {
                 count(&mut self.down[who]);
-                self.take_down(who, begins, back)?;
+                self.apply_kill(who, begins, back)?;
             }
-            // Its clients would have to be told; here a front that leaves is killed.
+            // A front that leaves would have to announce that to its clients; here it is killed.
             Fault::Leave { who } => {
                 count(&mut self.down[who]);
-                self.take_down(who, begins, Return::Same)?;
+                self.apply_kill(who, begins, Return::Same)?;
             }
             Fault::Disk { who, how } => {
-                let name = self.charter.fronts[who].name.clone();
+                let name = self.settings.fronts[who].name.clone();
                 let text = if begins { how.as_str() } else { "" };
                 std::fs::write(self.out.join(format!("{name}.lies")), text).map_err(|err| err.to_string())?;
-                self.note(&format!("disk {text}"), &name);
+                self.record(&format!("disk {text}"), &name);
             }
             Fault::Clock { .. } => {}
         }
         Ok(())
     }
 
-    /// Stops a front's process, or lets it go on, by how often it is stopped now.
-    fn hold(&mut self, who: usize) {
+    /// Stops or continues a front's process, depending on whether any active fault stops it.
+    fn apply_stop(&mut self, who: usize) {
         let stopped = self.stopped[who] > 0;
         if let Some(proc) = &self.fronts[who] {
             proc.signal(if stopped { Signal::STOP } else { Signal::CONT });
-            let name = self.charter.fronts[who].name.clone();
-            self.note(if stopped { "stop" } else { "cont" }, &name);
+            let name = self.settings.fronts[who].name.clone();
+            self.record(if stopped { "stop" } else { "cont" }, &name);
         }
     }
 
-    fn take_down(&mut self, who: usize, begins: bool, back: Return) -> Result<(), String> {
-        let name = self.charter.fronts[who].name.clone();
+    fn apply_kill(&mut self, who: usize, begins: bool, back: Return) -> Result<(), String> {
+        let name = self.settings.fronts[who].name.clone();
         let files = ["json", "peers.rows"].map(|kind| {
             let file = self.out.join(&name).join(format!("{name}.{kind}"));
             (file, self.out.join(format!("{name}.{kind}.former")))
@@ -479,9 +484,9 @@
                 return Ok(());
             }
             if self.stopped[who] > 0 {
-                self.note("cont", &name);
+                self.record("cont", &name);
             }
-            self.note("kill", &name);
+            self.record("kill", &name);
             self.fronts[who] = None;
             for (file, former) in &files {
                 match back {
@@ -492,33 +497,33 @@
             }
         } else if self.down[who] == 0 && self.fronts[who].is_none() {
             self.start_front(who)?;
-            self.note("start", &name);
-            // What it has kept by now is a former folder's later on.
+            self.record("start", &name);
+            // A later fault may restore this state as the former content of the folder.
             files.iter().for_each(|(file, former)| drop(std::fs::copy(file, former)));
             if self.stopped[who] > 0 {
-                self.hold(who);
+                self.apply_stop(who);
             }
         }
         Ok(())
     }
 
-    /// What is wrong in the copies that the fronts hold after the day: held against each other, and against the keys that a
-    /// trial's machines have answered.
-    fn copies(&self, bound: &BTreeMap<u64, u32>) -> Option<String> {
+    /// The first difference between the fronts' copies after the day, or between them and the keys that machines on trial have
+    /// answered.
+    fn copy_difference(&self, bound: &BTreeMap<u64, u32>) -> Option<String> {
         let mut whole: Vec<Value> = Vec::new();
-        for (at, front) in self.front_at.iter().zip(&self.charter.fronts) {
+        for (at, front) in self.front_at.iter().zip(&self.settings.fronts) {
             let answer = call(*at, "GET", "/peers", "").ok();
             let shown: Value =
                 answer.and_then(|a| serde_json::from_slice(&a.body).ok()).unwrap_or(Value::Null);
             if shown["copies"]["whole"].as_array().is_none_or(|w| w.len() < 5) {
-                return Some(format!("{} is not whole", front.name));
+                return Some(format!("{} is incomplete", front.name));
             }
             whole.push(shown["copies"]["digests"].clone());
         }
         if let Some(at) = whole.iter().position(|d| *d != whole[0]) {
             return Some(format!(
                 "{} and {} differ",
-                self.charter.fronts[0].name, self.charter.fronts[at].name
+                self.settings.fronts[0].name, self.settings.fronts[at].name
             ));
         }
         let (mut held, mut from) = (BTreeMap::new(), String::new());
@@ -543,7 +548,7 @@
         }
         let lost = bound.iter().find(|(key, build)| held.get(key).is_none_or(|b| b < build));
         lost.map(|(key, build)| {
-            format!("key {key} was answered by build {build}, all hold {:?}", held.get(key))
+            format!("key {key} was answered by build {build}, but the fronts hold {:?}", held.get(key))
         })
     }
 
@@ -567,10 +572,10 @@
 
     fn make_repo(&self) -> Result<(), String> {
         self.repo(&["init"])?;
-        self.add_build(self.charter.first_build, true)
+        self.add_build(self.settings.first_build, true)
     }
 
-    /// Signs a stand-in machine as a build: a script that becomes one.
+    /// Adds a signed build to the repository: a script that executes a stand-in machine.
     fn add_build(&self, build: u32, warm: bool) -> Result<(), String> {
         let bad = self.bad.get(&build).map_or(String::new(), |bad| format!("--bad {bad}"));
         let script = format!(
@@ -585,12 +590,12 @@
     }
 
     fn start_agent(&mut self, place: usize) -> Result<(), String> {
-        let name = self.charter.places[place].name.clone();
+        let name = self.settings.places[place].name.clone();
         let state = self.out.join("agents").join(&name);
         let root = self.out.join("repo").join("metadata").join("1.root.json");
         let seed = (self.plan.seed + self.starts * 104_729).to_string();
         self.starts += 1;
-        let args = words(&[
+        let args = strings(&[
             "agent",
             "--machine",
             &name,
@@ -608,11 +613,11 @@
         ]);
         let program = std::env::current_exe().map_err(|err| err.to_string())?;
         let env = [("REHEARSAL_PROGRAM", program), ("REHEARSAL_OUT", self.out.clone())];
-        self.agents[place] = Some(Proc::begin(&args, &self.log("agents"), &env)?);
+        self.agents[place] = Some(Proc::start_with_env(&args, &self.log("agents"), &env)?);
         Ok(())
     }
 
-    /// Where machines listen: of the host's own, or as the roster has it.
+    /// The addresses of the machines: of own child processes, or from the roster if agents run them.
     fn machines(&self) -> BTreeMap<String, SocketAddr> {
         if !self.plan.agents {
             return self.machines.iter().map(|(name, m)| (name.clone(), m.at)).collect();
@@ -624,7 +629,7 @@
         listed.filter_map(at).collect()
     }
 
-    /// Signals a machine's process: the host's own child, or the one that its agent has written down.
+    /// Signals a machine's process: a child process, or the one whose pid its agent has stored.
     fn signal(&mut self, name: &str, signal: Signal) {
         if let Some(m) = self.machines.get(name) {
             return m.signal(signal);
@@ -638,20 +643,20 @@
         }
     }
 
-    fn still(&self) -> bool {
+    fn controller_is_down(&self) -> bool {
         self.pending.iter().any(|(_, p)| matches!(p, Pending::ContController | Pending::StartController))
     }
 
-    /// Starts what the controller wants and is not there; clears away what has ended.
-    fn host(&mut self) -> Result<(), String> {
+    /// Starts the machines that the controller wants and that don't run; forgets those that have ended.
+    fn start_wanted_machines(&mut self) -> Result<(), String> {
         let now = clock();
-        self.machines.retain(|_, m| !m.ended());
-        if self.plan.agents || now - self.hosted < HOST {
+        self.machines.retain(|_, m| !m.has_ended());
+        if self.plan.agents || now - self.wanted_asked_at < WANTED_INTERVAL {
             return Ok(());
         }
-        self.hosted = now;
-        // While the controller stands still, nothing is started.
-        if self.still() {
+        self.wanted_asked_at = now;
+        // Machines are not started while the controller is down.
+        if self.controller_is_down() {
             return Ok(());
         }
         let Ok(answer) = call(self.control_at, "GET", "/wanted", "") else { return Ok(()) };
@@ -664,8 +669,10 @@
                 self.booting.remove(&(place, build));
                 continue;
             }
-            let due =
-                *self.booting.entry((place.clone(), build)).or_insert(now + if self.warm { 0 } else { BOOT });
+            let due = *self
+                .booting
+                .entry((place.clone(), build))
+                .or_insert(now + if self.warm { 0 } else { BOOT_DELAY });
             if due <= now {
                 self.start_machine(&name, &place, build)?;
             }
@@ -677,7 +684,7 @@
         let seed = (self.plan.seed + self.starts * 104_729).to_string();
         self.starts += 1;
         let record = self.out.join(format!("machine-{name}.jsonl"));
-        let mut args = words(&[
+        let mut args = strings(&[
             "machine",
             "--controller",
             &self.control_at.to_string(),
@@ -699,7 +706,7 @@
             args.extend(["--bad".into(), bad.clone()]);
         }
         let proc = Proc::start(&args, &self.log("machines"))?;
-        let fault = self.behind(name, self.fault.as_ref().unwrap_or(&json!({})));
+        let fault = self.with_partition(name, self.fault.as_ref().unwrap_or(&json!({})));
         if fault != json!({}) {
             let _ = call(proc.at, "POST", "/fault", &fault.to_string());
         }
@@ -707,11 +714,11 @@
         Ok(())
     }
 
-    fn note(&mut self, act: &str, who: &str) {
-        self.acts.put(json!({ "act": act, "who": who }));
+    fn record(&mut self, act: &str, who: &str) {
+        self.actions.put(json!({ "act": act, "who": who }));
     }
 
-    fn act(&mut self, act: &Action) -> Result<(), String> {
+    fn perform(&mut self, act: &Action) -> Result<(), String> {
         let now = clock();
         let after = |ms: u64| now + ms as i64 * 1_000_000;
         match act {
@@ -727,48 +734,48 @@
                 }
                 let body = json!({ "build": build }).to_string();
                 let _ = call(self.control_at, "POST", "/builds", &body);
-                self.note("offer", &format!("build {build}"));
+                self.record("offer", &format!("build {build}"));
             }
             Action::DrainMachine(nth) => {
                 let names: Vec<String> = self.machines().into_keys().collect();
                 if let Some(name) = names.get(nth % names.len().max(1)) {
                     self.signal(name, Signal::TERM);
-                    self.note("leave", name);
+                    self.record("leave", name);
                 }
             }
             Action::KillAgents { share, down_ms } => {
-                let many = (share * self.agents.len() as f64).ceil() as usize;
-                for place in 0..many {
+                let count = (share * self.agents.len() as f64).ceil() as usize;
+                for place in 0..count {
                     if let Some(mut agent) = self.agents[place].take() {
                         agent.kill();
                         self.pending.push((after(*down_ms), Pending::StartAgent(place)));
                     }
                 }
-                self.note("kill", &format!("{many} agents"));
+                self.record("kill", &format!("{count} agents"));
             }
             Action::KillFront { front, down_ms } => {
-                let name = self.charter.fronts[*front].name.clone();
-                self.note("kill", &name);
+                let name = self.settings.fronts[*front].name.clone();
+                self.record("kill", &name);
                 self.fronts[*front] = None;
                 self.pending.push((after(*down_ms), Pending::StartFront(*front)));
             }
             Action::StopFront { front, ms } => {
                 if let Some(proc) = &self.fronts[*front] {
                     proc.signal(Signal::STOP);
-                    let name = self.charter.fronts[*front].name.clone();
-                    self.note("stop", &name);
+                    let name = self.settings.fronts[*front].name.clone();
+                    self.record("stop", &name);
                     self.pending.push((after(*ms), Pending::ContFront(*front)));
                 }
             }
             Action::StopController { ms } => {
                 if let Some(proc) = &self.controller {
                     proc.signal(Signal::STOP);
-                    self.note("stop", "controller");
+                    self.record("stop", "controller");
                     self.pending.push((after(*ms), Pending::ContController));
                 }
             }
             Action::KillController { down_ms } => {
-                self.note("kill", "controller");
+                self.record("kill", "controller");
                 self.controller = None;
                 self.pending.push((after(*down_ms), Pending::StartController));
             }
@@ -776,16 +783,16 @@
                 let names: Vec<String> = self.machines().into_keys().collect();
                 if let Some(name) = names.get(machine % names.len().max(1)).cloned() {
                     self.signal(&name, Signal::STOP);
-                    self.note("vanish", &name);
+                    self.record("vanish", &name);
                     self.pending.push((after(*ms), Pending::KillMachine(name)));
                 }
             }
             Action::Fault { share, fault } => {
                 let machines = self.machines();
-                let many = (share * machines.len() as f64).ceil() as usize;
-                self.note("fault", &fault.to_string());
-                for (name, at) in machines.into_iter().take(many) {
-                    let _ = call(at, "POST", "/fault", &self.behind(&name, fault).to_string());
+                let count = (share * machines.len() as f64).ceil() as usize;
+                self.record("fault", &fault.to_string());
+                for (name, at) in machines.into_iter().take(count) {
+                    let _ = call(at, "POST", "/fault", &self.with_partition(&name, fault).to_string());
                     self.faults.insert(name, fault.clone());
                 }
                 self.fault = (*share >= 1.0).then(|| fault.clone());
@@ -793,65 +800,65 @@
             Action::Heal => {
                 self.fault = None;
                 self.faults.clear();
-                self.note("heal", "all");
+                self.record("heal", "all");
                 for (name, at) in self.machines() {
-                    let _ = call(at, "POST", "/fault", &self.behind(&name, &json!({})).to_string());
+                    let _ = call(at, "POST", "/fault", &self.with_partition(&name, &json!({})).to_string());
                 }
             }
             Action::Load(load) => {
-                self.note("load", &load.to_string());
+                self.record("load", &load.to_string());
                 if let Some(clients) = &self.clients {
                     let _ = call(clients.at, "POST", "/load", &load.to_string());
                 }
             }
-            Action::Datagrams(carried) => {
+            Action::Datagrams(faults) => {
                 // The record keeps the names that it had before the type was renamed.
-                let day::DatagramFaults { loss, duplication, max_delay_ms } = carried;
+                let day::DatagramFaults { loss, duplication, max_delay_ms } = faults;
                 let text =
                     format!("Carried {{ lost: {loss:?}, twice: {duplication:?}, late_ms: {max_delay_ms} }}");
-                self.note(&text, "fronts");
-                self.carried = *carried;
-                self.links();
+                self.record(&text, "fronts");
+                self.datagram_faults = *faults;
+                self.apply_link_faults();
             }
             Action::Directory(back) => {
-                self.note(if *back { "start" } else { "kill" }, "directory");
+                self.record(if *back { "start" } else { "kill" }, "directory");
                 if *back {
                     self.start_directory(true)?;
-                    self.returned = Some(clock());
+                    self.directory_back_at = Some(clock());
                 } else {
                     self.directory = None;
                 }
             }
-            Action::Storm { act, begins, .. } => self.storm(*act, *begins)?,
-            Action::Partition(parted) => {
-                self.note(if *parted { "part" } else { "join" }, "zones");
-                let zones = self.charter.fronts.iter().map(|f| self.charter.zone_index(&f.zone));
-                let zones = if *parted { zones.collect() } else { Vec::new() };
+            Action::Storm { act, begins, .. } => self.apply_storm_fault(*act, *begins)?,
+            Action::Partition(begins) => {
+                self.record(if *begins { "part" } else { "join" }, "zones");
+                let zones = self.settings.fronts.iter().map(|f| self.settings.zone_index(&f.zone));
+                let zones = if *begins { zones.collect() } else { Vec::new() };
                 self.zones = zones;
-                self.links();
-                self.parted = *parted;
+                self.apply_link_faults();
+                self.partitioned = *begins;
                 for (name, at) in self.machines() {
                     let fault = self.faults.get(&name).cloned().unwrap_or_else(|| json!({}));
-                    let _ = call(at, "POST", "/fault", &self.behind(&name, &fault).to_string());
+                    let _ = call(at, "POST", "/fault", &self.with_partition(&name, &fault).to_string());
                 }
             }
         }
         Ok(())
     }
 
-    /// A machine's fault, and the fronts that a partition keeps from it.
-    fn behind(&self, machine: &str, fault: &Value) -> Value {
+    /// A machine's fault, with the fronts that a partition cuts off from it.
+    fn with_partition(&self, machine: &str, fault: &Value) -> Value {
         let mut fault = fault.clone();
-        if self.parted {
+        if self.partitioned {
             let place = machine.split("..").next().unwrap_or(machine);
-            let zone = self.charter.places.iter().find(|p| p.name == place).map(|p| p.zone.as_str());
-            let far = self.charter.fronts.iter().filter(|f| Some(f.zone.as_str()) != zone);
+            let zone = self.settings.places.iter().find(|p| p.name == place).map(|p| p.zone.as_str());
+            let far = self.settings.fronts.iter().filter(|f| Some(f.zone.as_str()) != zone);
             fault["cut"] = far.map(|f| f.name.as_str()).collect();
         }
         fault
     }
 
-    fn due(&mut self) -> Result<(), String> {
+    fn run_due(&mut self) -> Result<(), String> {
         let now = clock();
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| p.0 <= now);
@@ -860,58 +867,58 @@
             match pending {
                 Pending::StartFront(front) => {
                     self.start_front(front)?;
-                    let name = self.charter.fronts[front].name.clone();
-                    self.note("start", &name);
+                    let name = self.settings.fronts[front].name.clone();
+                    self.record("start", &name);
                 }
                 Pending::StartAgent(place) => self.start_agent(place)?,
                 Pending::ContFront(front) => {
                     if let Some(proc) = &self.fronts[front] {
                         proc.signal(Signal::CONT);
-                        let name = self.charter.fronts[front].name.clone();
-                        self.note("cont", &name);
+                        let name = self.settings.fronts[front].name.clone();
+                        self.record("cont", &name);
                     }
                 }
                 Pending::ContController => {
                     if let Some(proc) = &self.controller {
                         proc.signal(Signal::CONT);
-                        self.note("cont", "controller");
+                        self.record("cont", "controller");
                     }
                 }
                 Pending::StartController => {
                     self.start_controller()?;
-                    self.note("start", "controller");
+                    self.record("start", "controller");
                 }
                 Pending::KillMachine(name) => {
                     self.signal(&name, Signal::KILL);
                     self.machines.remove(&name);
-                    self.note("kill", &name);
+                    self.record("kill", &name);
                 }
             }
         }
         Ok(())
     }
 
-    /// A build that slows all machines in step with its traffic: as long as it runs, by its share.
-    fn share_slowness(&mut self) {
+    /// Slows all machines by the share of them that runs a bad build of kind `shared`.
+    fn apply_shared_slowness(&mut self) {
         if self.shared <= 0.0 {
             return;
         }
         let machines = self.machines();
         let bad = |name: &String| self.bad.keys().any(|b| name.ends_with(&format!("..{b}")));
-        let part = machines.keys().filter(|n| bad(n)).count() as f64 / machines.len().max(1) as f64;
-        let fault = json!({ "slow": 1.0 + 2.0 * self.shared * part });
+        let share = machines.keys().filter(|n| bad(n)).count() as f64 / machines.len().max(1) as f64;
+        let fault = json!({ "slow": 1.0 + 2.0 * self.shared * share });
         for at in machines.into_values() {
             let _ = call(at, "POST", "/fault", &fault.to_string());
         }
     }
 
-    fn day(&mut self, script: &[(f64, Action)], lasts: f64) -> Result<bool, String> {
+    fn run_day(&mut self, script: &[(f64, Action)], seconds: f64) -> Result<bool, String> {
         let stop = Arc::new(AtomicBool::new(false));
         let (at, file, flag) = (self.control_at, self.out.join("watch.jsonl"), stop.clone());
         let watcher = std::thread::spawn(move || watch::watch(at, &file, flag));
         let fronts: Vec<String> = self.front_at.iter().map(SocketAddr::to_string).collect();
         let record = self.out.join("clients.jsonl");
-        let args = words(&[
+        let args = strings(&[
             "client",
             "--controller",
             &self.control_at.to_string(),
@@ -920,7 +927,7 @@
             "--rate",
             &self.plan.rate.to_string(),
             "--seconds",
-            &lasts.to_string(),
+            &seconds.to_string(),
             "--work-ms",
             &self.plan.work_ms.to_string(),
             "--record",
@@ -929,60 +936,60 @@
             &self.plan.seed.to_string(),
         ]);
         if self.storm.is_some() {
-            self.note("company", "fronts");
+            self.record("company", "fronts");
         }
         self.clients = Some(Proc::start(&args, &self.log("clients"))?);
         let began = clock();
-        self.say(&format!(
-            "{} fronts, {} machines, {} RPCs/s for {lasts} s; record in {}",
+        self.print(&format!(
+            "{} fronts, {} machines, {} RPCs/s for {seconds} s; record in {}",
             self.plan.fronts,
             self.plan.machines,
             self.plan.rate,
             self.out.display()
         ));
-        let mut left = script.iter().peekable();
+        let mut remaining = script.iter().peekable();
         let (mut told, mut slowed) = (0, began);
-        let by = began + (lasts * SEC as f64) as i64 + END_WITHIN;
+        let by = began + (seconds * SEC as f64) as i64 + END_TIMEOUT;
         loop {
             let now = clock();
             let at = (now - began) as f64 / SEC as f64;
-            while let Some((_, act)) = left.next_if(|(due, _)| *due <= at) {
-                self.say(&format!("{at:5.1} s  {act:?}"));
-                self.act(act)?;
+            while let Some((_, act)) = remaining.next_if(|(due, _)| *due <= at) {
+                self.print(&format!("{at:5.1} s  {act:?}"));
+                self.perform(act)?;
             }
-            self.due()?;
-            self.host()?;
-            self.look();
+            self.run_due()?;
+            self.start_wanted_machines()?;
+            self.check_directory();
             if now - slowed > SEC {
                 slowed = now;
-                self.share_slowness();
+                self.apply_shared_slowness();
             }
             if at as u64 / 5 > told {
                 told = at as u64 / 5;
                 self.progress(at);
             }
-            if self.clients.as_mut().is_none_or(Proc::ended) {
+            if self.clients.as_mut().is_none_or(Proc::has_ended) {
                 break;
             }
             if now > by {
-                return Err("the clients did not come to an end".into());
+                return Err("the clients did not end in time".into());
             }
-            std::thread::sleep(BEAT);
+            std::thread::sleep(POLL_INTERVAL);
         }
         self.clients = None;
-        // Machines finish what runs on them; then all may go.
+        // Gives machines time to finish their RPCs before all processes are ended.
         std::thread::sleep(Duration::from_millis(300));
         let mut differ = None;
         if self.storm.is_some() && !self.plan.alone {
-            let evidence = judge::parse_records(&self.charter, &read_records(&self.out)?);
-            let bound = judge::trial_answered_keys(&self.charter, &evidence);
-            let by = clock() + SETTLES;
+            let evidence = judge::parse_records(&self.settings, &read_records(&self.out)?);
+            let bound = judge::trial_answered_keys(&self.settings, &evidence);
+            let by = clock() + SETTLE_TIMEOUT;
             loop {
-                differ = self.copies(&bound);
+                differ = self.copy_difference(&bound);
                 if differ.is_none() || clock() > by {
                     break;
                 }
-                std::thread::sleep(BEAT);
+                std::thread::sleep(POLL_INTERVAL);
             }
             match &differ {
                 None => println!(
@@ -1001,47 +1008,47 @@
         self.end_agents();
         self.controller = None;
         self.fronts.iter_mut().for_each(|f| *f = None);
-        let evidence = judge::parse_records(&self.charter, &read_records(&self.out)?);
-        let judgement = judge::judge(&self.charter, &evidence);
+        let evidence = judge::parse_records(&self.settings, &read_records(&self.out)?);
+        let judgement = judge::judge(&self.settings, &evidence);
         print_judgement(&judgement, "loopback");
         let mut good = judgement.breaches.is_empty() && differ.is_none();
-        if let Some([_, control]) = self.books {
+        if let Some([_, control]) = self.directory_at {
             let status = call(control, "GET", "/status", "")?;
             let status: Value = serde_json::from_slice(&status.body).unwrap_or(Value::Null);
-            match self.in_force {
+            match self.changes_after_s {
                 Some(s) => println!(
                     "directory: changes in force at all {} fronts {s:.1} s after its return; \
                     {} binds in a second at most",
                     self.fronts.len(),
                     status["most_binds_a_second"]
                 ),
-                None => println!("directory: changes never came into force at all fronts"),
+                None => println!("directory: its changes did not come into force at all fronts"),
             }
-            good &= self.in_force.is_some();
+            good &= self.changes_after_s.is_some();
         }
         Ok(good)
     }
 
-    /// Agents end with their builds.
+    /// Ends the agents, which end their builds.
     fn end_agents(&mut self) {
         self.agents.iter().flatten().for_each(|a| a.signal(Signal::TERM));
         for agent in self.agents.iter_mut().flatten() {
             let by = clock() + 2 * SEC;
-            while !agent.ended() && clock() < by {
+            while !agent.has_ended() && clock() < by {
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
         self.agents.clear();
     }
 
-    fn say(&self, text: &str) {
+    fn print(&self, text: &str) {
         if !self.plan.quiet {
             println!("{text}");
         }
     }
 
     fn progress(&self, at: f64) {
-        if self.plan.quiet || self.still() {
+        if self.plan.quiet || self.controller_is_down() {
             return;
         }
         let Ok(answer) = call(self.control_at, "GET", "/stage", "") else { return };
@@ -1056,10 +1063,10 @@
     }
 }
 
-/// All records of a rehearsal's folder, as they were written.
+/// Reads all records of a rehearsal's folder.
 ///
 /// # Errors
-/// Names the file and the line that is none.
+/// Names the file and line that can't be parsed.
 pub fn read_records(out: &Path) -> Result<RawRecords, String> {
     let mut evidence = RawRecords::default();
     let entries = std::fs::read_dir(out).map_err(|err| err.to_string())?;
@@ -1079,7 +1086,7 @@
         for (i, line) in lines.iter().enumerate() {
             match serde_json::from_slice(line) {
                 Ok(value) => into.push(value),
-                // A killed machine may leave its last line torn; any other must be whole.
+                // A killed machine may leave an incomplete last line; all other lines must be complete.
                 Err(_) if i + 1 == lines.len() && name.starts_with("machine-") => {}
                 Err(err) => return Err(format!("{name}, line {}: {err}", i + 1)),
             }
@@ -1088,9 +1095,9 @@
     Ok(evidence)
 }
 
-/// Prints stages, the table of methods, and breaches; `how` says where the figures come from.
+/// Prints stages, outcomes by method, and breaches; `how` says how the day was run, such as on loopback.
 pub fn print_judgement(judgement: &Judgement, how: &str) {
-    println!("\nstages as told:");
+    println!("\nstages as announced:");
     for (at, build, stage, phase) in &judgement.stages {
         println!("{:6.1} s  build {build} stage {stage} {phase}", *at as f64 / SEC as f64);
     }
@@ -1104,14 +1111,14 @@
             r.rpcs, r.ok, r.in_time, r.pushed_back, r.aborted, r.unanswered, r.picks
         );
     }
-    println!("\nservice {:.3} (utility within the soft deadline over utility asked for, {how}); {} picks at builds on trial",
+    println!("\nservice {:.3} (utility served within the soft deadline over utility requested, {how}); {} picks at builds on trial",
         judgement.service, judgement.trial_picks);
     let many = judgement.breaches.len();
     for rule in 1..=5u8 {
-        let ours: Vec<&judge::Breach> = judgement.breaches.iter().filter(|b| b.rule == rule).collect();
-        ours.iter().take(SHOWN).for_each(|b| println!("rule {rule}: {}", b.description));
-        if ours.len() > SHOWN {
-            println!("rule {rule}: ... and {} more", ours.len() - SHOWN);
+        let of_rule: Vec<&judge::Breach> = judgement.breaches.iter().filter(|b| b.rule == rule).collect();
+        of_rule.iter().take(MAX_PRINTED_BREACHES).for_each(|b| println!("rule {rule}: {}", b.description));
+        if of_rule.len() > MAX_PRINTED_BREACHES {
+            println!("rule {rule}: ... and {} more", of_rule.len() - MAX_PRINTED_BREACHES);
         }
     }
     match many {
--- a/rehearse/src/watch.rs
+++ b/rehearse/src/watch.rs
@@ -1,4 +1,4 @@
-//! A watcher of the controller: every line that it tells, with the time at which it came.
+//! Records every line of a watch of the controller with the time at which it was received.
 use rockpick_net::{http, take_line, Call, Event, Net, MS, SEC};
 use rockpick_standin::record::Record;
 use serde_json::{json, Value};
@@ -7,32 +7,32 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Watches until told to stop, asking again when the stream ends.
+/// Watches until `stop` is set, and opens a new watch when a stream ends.
 pub fn watch(controller: SocketAddr, file: &Path, stop: Arc<AtomicBool>) -> Result<(), String> {
-    let say = |err: std::io::Error| err.to_string();
-    let mut record = Record::open(Some(file)).map_err(say)?;
-    let mut net = Net::new(1).map_err(say)?;
+    let describe = |err: std::io::Error| err.to_string();
+    let mut record = Record::open(Some(file)).map_err(describe)?;
+    let mut net = Net::new(1).map_err(describe)?;
     let request = http::encode_request("GET", "/watch", &controller.to_string(), &[], b"");
     let (mut events, mut line, mut call) = (Vec::new(), Vec::new(), None);
     while !stop.load(Ordering::Relaxed) {
         if call.is_none() {
-            let asked = Call {
+            let watch_call = Call {
                 to: controller,
                 request: &request,
                 connect_within: SEC,
                 stream: true,
                 head_only: false,
             };
-            call = Some(net.call(&mut events, asked));
+            call = Some(net.call(&mut events, watch_call));
         }
-        net.turn(&mut events, 50 * MS).map_err(say)?;
+        net.turn(&mut events, 50 * MS).map_err(describe)?;
         for event in events.drain(..) {
             match event {
                 Event::CallData { bytes, .. } => {
                     line.extend_from_slice(&bytes);
-                    while let Some(whole) = take_line(&mut line) {
-                        let said: Value = serde_json::from_slice(&whole).unwrap_or(Value::Null);
-                        record.put(json!({ "line": said }));
+                    while let Some(complete) = take_line(&mut line) {
+                        let value: Value = serde_json::from_slice(&complete).unwrap_or(Value::Null);
+                        record.put(json!({ "line": value }));
                     }
                 }
                 Event::CallEnded { .. } => {
