--- a/cli/src/bench.rs
+++ b/cli/src/bench.rs
@@ -1,6 +1,8 @@
-//! `rockpick bench front`: one front on one core against direct calls and against a plain hyper proxy, all in
-//! one run, so that only ratios count.
-use crate::Bad2;
+//! `rockpick bench front`: compares one front on one core with direct calls and with a plain hyper proxy. All are measured
+//! in one run; only the ratios are meaningful.
+//!
+//! Also holds the process helpers that other benchmarks share.
+use crate::CliError;
 use clap::Args;
 use hdrhistogram::Histogram;
 use rockpick_control::{Controller, Settings};
@@ -14,44 +16,44 @@
 
 #[derive(Args)]
 pub struct Front {
-    /// Seconds of each measurement.
+    /// Duration of each measurement, in seconds.
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
-    /// RPCs held open at once where throughput is measured.
+    /// Number of concurrent RPCs while throughput is measured.
     #[arg(long, default_value_t = 64)]
     open: usize,
-    /// Idle client connections whose memory is measured.
+    /// Number of idle client connections for the memory measurement.
     #[arg(long, default_value_t = 10_000)]
     idle: usize,
-    /// The plain proxy to measure against (cargo build --release -p rockpick-proxy); beside this program if
-    /// left out, and left out of the table if not there.
+    /// Program of the plain proxy to compare with (cargo build --release -p rockpick-proxy); by default the one next
+    /// to this program. Without one, the table has no row for it.
     #[arg(long)]
     proxy: Option<std::path::PathBuf>,
-    /// Rounds; the median of each figure is shown.
+    /// Number of rounds; the median of each figure is printed.
     #[arg(long, default_value_t = 3)]
     rounds: usize,
-    /// Measures a front that keeps company too, with one that holds so many bindings.
+    /// Also measure a front with a peer that holds this many bindings.
     #[arg(long)]
     peers: Option<u64>,
 }
 
-/// The company of the front that is measured: another member, on a core of its own, that holds so many bindings.
-fn companion(key: &std::path::Path, listen: SocketAddr, bindings: u64) -> Result<SocketAddr, Bad2> {
-    let say = |err: std::io::Error| Bad2(err.to_string());
-    let mut net = Net::new(1).map_err(say)?;
-    let circle = Config {
+/// Starts a peer of the measured front, on a core of its own, that holds this many bindings; returns its address.
+fn start_peer(key: &std::path::Path, listen: SocketAddr, bindings: u64) -> Result<SocketAddr, CliError> {
+    let io_error = |err: std::io::Error| CliError(err.to_string());
+    let mut net = Net::new(1).map_err(io_error)?;
+    let config = Config {
         join: Vec::new(),
         listen,
         advertised: None,
-        key: std::fs::read(key).map_err(say)?,
+        key: std::fs::read(key).map_err(io_error)?,
         probe_period: SEC / 10,
         row_log: None,
     };
-    let mut peers = Peers::start(&mut net, "companion", 1, &circle, 1).map_err(Bad2)?;
+    let mut peers = Peers::start(&mut net, "companion", 1, &config, 1).map_err(CliError)?;
     peers.preload_bindings(bindings, 1);
     let listen = peers.status(0)["listen"].as_str().and_then(|at| at.parse().ok());
     std::thread::spawn(move || {
-        pin(None, MACHINES + 2);
+        pin(None, MACHINE_CORE + 2);
         let mut events = Vec::new();
         while net.turn(&mut events, SEC).is_ok() {
             for event in events.drain(..) {
@@ -63,9 +65,10 @@
             }
         }
     });
-    listen.ok_or(Bad2("the companion has no address".into()))
+    listen.ok_or(CliError("the peer has no address".into()))
 }
 
+/// A child process and the address it listens on; it is killed when dropped.
 pub struct Proc(pub Child, pub SocketAddr);
 
 impl Drop for Proc {
@@ -75,8 +78,8 @@
     }
 }
 
-/// Keeps a process (or, without one, this thread) to one core, where the system lets it: else the scheduler
-/// puts both ends of a busy connection on the same one now and then.
+/// Pins a process (or, without one, this thread) to one core, if the system permits it. Otherwise the scheduler
+/// occasionally puts both ends of a busy connection on the same core.
 fn pin(pid: Option<u32>, core: usize) {
     let mut set = rustix::thread::CpuSet::new();
     set.set(core % std::thread::available_parallelism().map_or(1, |n| n.get()));
@@ -84,38 +87,46 @@
     let _ = rustix::thread::sched_setaffinity(pid, &set);
 }
 
-/// The cores of the load, of what is measured, and of the machines.
-const LOAD: usize = 0;
-const MEASURED: usize = 1;
-const MACHINES: usize = 2;
+/// Cores of the load generator, of the measured process and of the first machine.
+const LOAD_CORE: usize = 0;
+const MEASURED_CORE: usize = 1;
+const MACHINE_CORE: usize = 2;
 
-pub fn spawn(mut command: Command) -> Result<Proc, Bad2> {
-    let say = |err: std::io::Error| Bad2(err.to_string());
-    let mut child =
-        command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn().map_err(say)?;
+/// Starts a process on the core of the measured one and reads its address from standard output.
+pub fn spawn(mut command: Command) -> Result<Proc, CliError> {
+    let io_error = |err: std::io::Error| CliError(err.to_string());
+    let mut child = command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null())
+        .spawn()
+        .map_err(io_error)?;
     let mut line = String::new();
     if let Some(out) = child.stdout.take() {
-        BufReader::new(out).read_line(&mut line).map_err(say)?;
+        BufReader::new(out).read_line(&mut line).map_err(io_error)?;
     }
     match line.trim().strip_prefix("listening ").and_then(|at| at.parse().ok()) {
         Some(at) => {
-            pin(Some(child.id()), MEASURED);
+            pin(Some(child.id()), MEASURED_CORE);
             Ok(Proc(child, at))
         }
-        None => Err(Bad2("a process did not come up".into())),
+        None => Err(CliError("a process did not print its address".into())),
     }
 }
 
-/// A machine that answers at once, on a thread of its own; it beats by itself if a controller is given.
-fn machine(name: &'static str, core: usize, controller: Option<SocketAddr>) -> Result<SocketAddr, Bad2> {
-    let mut net = Net::new(20_000).map_err(|err| Bad2(err.to_string()))?;
-    let (_, at) = net.listen(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(|err| Bad2(err.to_string()))?;
+/// Starts a machine that answers at once, on a thread of its own. It sends heartbeats if a controller is given.
+fn start_machine(
+    name: &'static str, core: usize, controller: Option<SocketAddr>,
+) -> Result<SocketAddr, CliError> {
+    let mut net = Net::new(20_000).map_err(|err| CliError(err.to_string()))?;
+    let (_, at) =
+        net.listen(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(|err| CliError(err.to_string()))?;
     std::thread::spawn(move || {
         pin(None, core);
-        let (mut events, mut made) = (Vec::new(), Vec::new());
+        let (mut events, mut new_events) = (Vec::new(), Vec::new());
         net.wake_at(0, 1);
         loop {
-            events.append(&mut made);
+            events.append(&mut new_events);
             if net.turn(&mut events, SEC).is_err() {
                 return;
             }
@@ -138,7 +149,7 @@
                             stream: false,
                             head_only: false,
                         };
-                        net.call(&mut made, call);
+                        net.call(&mut new_events, call);
                         net.wake_at(net.now() + SEC / 2, 1);
                     }
                     _ => {}
@@ -149,85 +160,87 @@
     Ok(at)
 }
 
-/// What is due within one of these goes together.
-const SPAN: Ns = 200 * MS;
-/// Times are not taken before this on a schedule.
-const OPENS: Ns = 100 * MS;
-/// Most RPCs open on a schedule; those due meanwhile are sent late, and count from when they were due.
-const MOST_OPEN: usize = 1_024;
+/// Times on a schedule are grouped by when they were due, in intervals of this length.
+const INTERVAL: Ns = 200 * MS;
+/// RPCs due before this are not recorded on a schedule: they wait for connections to be opened, and would be 1% of a
+/// short load.
+const WARM_UP: Ns = 100 * MS;
+/// Maximum number of open RPCs on a schedule; RPCs due meanwhile are sent late and timed from when they were due.
+const MAX_OPEN: usize = 1_024;
 
-struct Measured {
-    a_second: f64,
+struct Measurement {
+    rpcs_per_second: f64,
     times: Histogram<u64>,
-    /// On a schedule, by when they were due.
-    spans: Vec<Histogram<u64>>,
+    /// On a schedule: times by the interval in which the RPC was due.
+    intervals: Vec<Histogram<u64>>,
     failed: u64,
 }
 
-/// Sends to some addresses: with a rate, on a schedule fixed beforehand, late sends counted from when they
-/// were due; without one, as many as are held open.
-fn load(to: &[SocketAddr], open: usize, rate: Option<f64>, lasts: Ns) -> Result<Measured, Bad2> {
-    let say = |err: String| Bad2(err);
-    let mut net = Net::new(1).map_err(|err| say(err.to_string()))?;
-    let mut times = Histogram::new_with_bounds(1, 60_000_000_000, 3).map_err(|err| say(err.to_string()))?;
-    let many = rate.map_or(0, |_| (lasts / SPAN) as usize + 1);
-    let mut spans: Vec<Histogram<u64>> = (0..many).map(|_| times.clone()).collect();
-    let lines = [("Rockpick-Key", "7")];
+/// Sends RPCs to these addresses in turn. With a rate, on a schedule fixed in advance, timed from when each RPC was due;
+/// without one, with a constant number of open RPCs.
+fn run_load(
+    to: &[SocketAddr], open: usize, rate: Option<f64>, duration: Ns,
+) -> Result<Measurement, CliError> {
+    let mut net = Net::new(1).map_err(|err| CliError(err.to_string()))?;
+    let mut times =
+        Histogram::new_with_bounds(1, 60_000_000_000, 3).map_err(|err| CliError(err.to_string()))?;
+    let count = rate.map_or(0, |_| (duration / INTERVAL) as usize + 1);
+    let mut intervals: Vec<Histogram<u64>> = (0..count).map(|_| times.clone()).collect();
+    let headers = [("Rockpick-Key", "7")];
     let requests: Vec<Vec<u8>> = to
         .iter()
-        .map(|at| http::encode_request("POST", "/rpc/lookup", &at.to_string(), &lines, b"hello"))
+        .map(|at| http::encode_request("POST", "/rpc/lookup", &at.to_string(), &headers, b"hello"))
         .collect();
-    let (mut events, mut made) = (Vec::new(), Vec::new());
-    let mut due: std::collections::HashMap<u64, Ns> = std::collections::HashMap::new();
-    let (mut nth, mut ok, mut failed) = (0usize, 0u64, 0u64);
-    let mut next: Ns = 0;
+    let (mut events, mut new_events) = (Vec::new(), Vec::new());
+    let mut due_at: std::collections::HashMap<u64, Ns> = std::collections::HashMap::new();
+    let (mut sent, mut ok, mut failed) = (0usize, 0u64, 0u64);
+    let mut next_due: Ns = 0;
     let gap = rate.map_or(0, |r| (SEC as f64 / r) as Ns);
     loop {
         let now = net.clock();
-        let sending = now < lasts;
-        if !sending && due.is_empty() {
+        let sending = now < duration;
+        if !sending && due_at.is_empty() {
             break;
         }
         while sending
-            && due.len() < if rate.is_some() { MOST_OPEN } else { open }
-            && (rate.is_none() || next <= now)
+            && due_at.len() < if rate.is_some() { MAX_OPEN } else { open }
+            && (rate.is_none() || next_due <= now)
         {
-            let which = nth % to.len();
-            nth += 1;
-            let request = &requests[which];
-            let call = Call { to: to[which], request, connect_within: SEC, stream: false, head_only: false };
-            let id = net.call(&mut made, call);
-            due.insert(id, if rate.is_some() { next } else { now });
-            next += gap;
+            let index = sent % to.len();
+            sent += 1;
+            let request = &requests[index];
+            let call = Call { to: to[index], request, connect_within: SEC, stream: false, head_only: false };
+            let id = net.call(&mut new_events, call);
+            due_at.insert(id, if rate.is_some() { next_due } else { now });
+            next_due += gap;
         }
-        events.append(&mut made);
-        // With a schedule it spins: a sleep could be a millisecond too long.
+        events.append(&mut new_events);
+        // On a schedule this loop polls without waiting, as a sleep may last a millisecond too long.
         let wait = if rate.is_some() && sending { 0 } else { 10 * MS };
-        net.turn(&mut events, wait).map_err(|err| say(err.to_string()))?;
+        net.turn(&mut events, wait).map_err(|err| CliError(err.to_string()))?;
         let now = net.clock();
         for event in events.drain(..) {
             let Event::CallEnded { call, end } = event else { continue };
-            let Some(at) = due.remove(&call) else { continue };
+            let Some(at) = due_at.remove(&call) else { continue };
             match end {
                 CallEnd::Answer(r) if r.status == 200 => {
                     ok += 1;
-                    // The first connections are made meanwhile: of a short load they would be a hundredth.
-                    let took = (now - at).max(1) as u64;
-                    if at >= OPENS || rate.is_none() {
-                        let _ = times.record(took);
+                    let elapsed = (now - at).max(1) as u64;
+                    if at >= WARM_UP || rate.is_none() {
+                        let _ = times.record(elapsed);
                     }
-                    if let Some(span) = spans.get_mut((at / SPAN) as usize) {
-                        let _ = span.record(took);
+                    if let Some(interval) = intervals.get_mut((at / INTERVAL) as usize) {
+                        let _ = interval.record(elapsed);
                     }
                 }
                 _ => failed += 1,
             }
         }
-        if now > lasts + 10 * SEC {
-            return Err(say("answers stayed away".into()));
+        if now > duration + 10 * SEC {
+            return Err(CliError("some RPCs had no answer 10 s after the end of the load".into()));
         }
     }
-    Ok(Measured { a_second: ok as f64 / (lasts as f64 / SEC as f64), times, spans, failed })
+    Ok(Measurement { rpcs_per_second: ok as f64 / (duration as f64 / SEC as f64), times, intervals, failed })
 }
 
 /// User and system CPU time of a process so far, in clock ticks of 10 ms.
@@ -237,7 +250,7 @@
     [11, 12].map(|i| rest.get(i).and_then(|v| v.parse().ok()).unwrap_or(0.0))
 }
 
-/// A field of a process's memory (VmRSS: now; VmHWM: the most so far), in bytes.
+/// A memory figure of a process in bytes: VmRSS (current) or VmHWM (peak).
 pub fn memory(pid: u32, field: &str) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix(field)?.strip_prefix(':'));
@@ -249,92 +262,101 @@
     figures.get(figures.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// A front under an even load of this, while it takes bindings from one that comes up two seconds in.
-const MEANWHILE: f64 = 5_000.0;
-const COMES_UP: Duration = Duration::from_secs(2);
+/// RPCs per second at a front while it fetches bindings from a new peer.
+const CATCH_UP_RATE: f64 = 5_000.0;
+/// Delay from the start of that load to the start of the peer.
+const PEER_STARTS_AFTER: Duration = Duration::from_secs(2);
 
 impl Front {
-    /// p99 of each fifth of a second, before another comes up and while its bindings are taken.
-    fn catching_up(
-        &self, bindings: u64, begin: impl Fn(SocketAddr) -> Result<Proc, Bad2>, key: &std::path::Path,
-    ) -> Result<(), Bad2> {
-        let say = |err: std::io::Error| Bad2(err.to_string());
-        let at = std::net::UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).map_err(say)?;
-        let front = begin(at)?;
-        load(&[front.1], self.open, None, 2 * SEC)?;
+    /// Prints the p99 of each interval before a peer starts and while the front fetches its bindings.
+    fn measure_catch_up(
+        &self, bindings: u64, start_front: impl Fn(SocketAddr) -> Result<Proc, CliError>,
+        key: &std::path::Path,
+    ) -> Result<(), CliError> {
+        let io_error = |err: std::io::Error| CliError(err.to_string());
+        let peer_at =
+            std::net::UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).map_err(io_error)?;
+        let front = start_front(peer_at)?;
+        run_load(&[front.1], self.open, None, 2 * SEC)?;
         let key = key.to_path_buf();
-        let company = std::thread::spawn(move || {
-            std::thread::sleep(COMES_UP);
-            companion(&key, at, bindings)
+        let peer = std::thread::spawn(move || {
+            std::thread::sleep(PEER_STARTS_AFTER);
+            start_peer(&key, peer_at, bindings)
         });
-        let m = load(&[front.1], self.open, Some(MEANWHILE), 8 * SEC)?;
-        company.join().map_err(|_| Bad2("the companion ended".into()))??;
-        let answer = crate::ask::call(front.1, "GET", "/peers", "")?;
-        let shown: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-        let p99: Vec<u64> = m.spans.iter().map(|s| s.value_at_quantile(0.99) / 1_000).collect();
+        let measured = run_load(&[front.1], self.open, Some(CATCH_UP_RATE), 8 * SEC)?;
+        peer.join().map_err(|_| CliError("the thread that starts the peer panicked".into()))??;
+        let answer = crate::api_client::call(front.1, "GET", "/peers", "")?;
+        let status: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
+        let p99: Vec<u64> = measured.intervals.iter().map(|i| i.value_at_quantile(0.99) / 1_000).collect();
         println!(
-            "catching up on {bindings} bindings at {MEANWHILE:.0} RPCs/s, p99 us of each {} ms; the other comes up after {} s: {p99:?}; \
-             held then: {}",
-            SPAN / MS,
-            COMES_UP.as_secs(),
-            shown["copies"]["rows"]["Bindings"]
+            "catching up on {bindings} bindings at {CATCH_UP_RATE:.0} RPCs/s, p99 us per {} ms; the peer starts after {} s: {p99:?}; \
+             bindings at the end: {}",
+            INTERVAL / MS,
+            PEER_STARTS_AFTER.as_secs(),
+            status["copies"]["rows"]["Bindings"]
         );
         Ok(())
     }
 
-    pub fn run(self) -> Result<ExitCode, Bad2> {
+    pub fn run(self) -> Result<ExitCode, CliError> {
         if !((0.5..=3_600.0).contains(&self.seconds) && self.open > 0 && (1..=99).contains(&self.rounds)) {
-            return Err(Bad2("--seconds 0.5 to 3600, --open 1 or more, --rounds 1 to 99".into()));
+            return Err(CliError(
+                "--seconds: must be 0.5 to 3600; --open: must be 1 or more; --rounds: must be 1 to 99".into(),
+            ));
         }
-        let (to, from) = std::sync::mpsc::channel();
+        let (sender, receiver) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             let listen = SocketAddr::from(([127, 0, 0, 1], 0));
             Controller { listen, state: None, repo: None }.run(|at| {
-                let _ = to.send(at);
+                let _ = sender.send(at);
             })
         });
-        let controller = from.recv().map_err(|err| Bad2(err.to_string()))?;
-        // One that is told that it is alone has nothing to take from others.
-        let mut charter = Settings::example(if self.peers.is_some() { 2 } else { 1 }, 2);
-        charter.rollout.tally_sample = 0.0;
-        charter.rollout.one_way = self.peers.is_some();
-        let text = serde_json::to_string(&charter).map_err(|err| Bad2(err.to_string()))?;
-        crate::ask::call(controller, "PUT", "/settings", &text)?;
-        let machines =
-            vec![machine("p0", MACHINES, Some(controller))?, machine("p1", MACHINES + 1, Some(controller))?];
-        let program = std::env::current_exe().map_err(|err| Bad2(err.to_string()))?;
-        let key = tempfile::NamedTempFile::new().map_err(|err| Bad2(err.to_string()))?;
-        std::fs::write(key.path(), "the key of a measurement").map_err(|err| Bad2(err.to_string()))?;
-        let anywhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let circle = |join: SocketAddr| -> Vec<String> {
+        let controller = receiver.recv().map_err(|err| CliError(err.to_string()))?;
+        // A front that is alone in the settings has no peers to fetch from.
+        let mut settings = Settings::example(if self.peers.is_some() { 2 } else { 1 }, 2);
+        settings.rollout.tally_sample = 0.0;
+        settings.rollout.one_way = self.peers.is_some();
+        let document = serde_json::to_string(&settings).map_err(|err| CliError(err.to_string()))?;
+        crate::api_client::call(controller, "PUT", "/settings", &document)?;
+        let machines = vec![
+            start_machine("p0", MACHINE_CORE, Some(controller))?,
+            start_machine("p1", MACHINE_CORE + 1, Some(controller))?,
+        ];
+        let program = std::env::current_exe().map_err(|err| CliError(err.to_string()))?;
+        let key = tempfile::NamedTempFile::new().map_err(|err| CliError(err.to_string()))?;
+        std::fs::write(key.path(), "the key of a measurement").map_err(|err| CliError(err.to_string()))?;
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let peer_args = |join: SocketAddr| -> Vec<String> {
             let (join, file) = (join.to_string(), key.path().display().to_string());
-            let words = ["--peers-listen", "127.0.0.1:0", "--peers-key", &file, "--peers", &join];
-            words.into_iter().chain(["--peers-period-ms", "100"]).map(String::from).collect()
+            let args = ["--peers-listen", "127.0.0.1:0", "--peers-key", &file, "--peers", &join];
+            args.into_iter().chain(["--peers-period-ms", "100"]).map(String::from).collect()
         };
-        let begin = |profile: bool, more: &[String]| -> Result<Proc, Bad2> {
+        let start_front = |profile: bool, args: &[String]| -> Result<Proc, CliError> {
             let mut command = Command::new(&program);
             command.args(["front", "--name", "f0", "--controller", &controller.to_string()]);
             if profile {
                 command.arg("--profile");
             }
-            command.args(more);
+            command.args(args);
             let front = spawn(command)?;
-            let by = Instant::now() + Duration::from_secs(10);
+            let deadline = Instant::now() + Duration::from_secs(10);
             while status(front.1)?["machines"] != 2 {
-                if Instant::now() > by {
-                    return Err(Bad2("the front heard of no machines".into()));
+                if Instant::now() > deadline {
+                    return Err(CliError("the front received no roster of machines within 10 s".into()));
                 }
                 std::thread::sleep(Duration::from_millis(20));
             }
             Ok(front)
         };
-        let front = begin(false, &[])?;
-        let kept = match self.peers {
-            Some(bindings) => Some(begin(false, &circle(companion(key.path(), anywhere, bindings)?))?),
+        let front = start_front(false, &[])?;
+        let peered = match self.peers {
+            Some(bindings) => {
+                Some(start_front(false, &peer_args(start_peer(key.path(), any_port, bindings)?))?)
+            }
             None => None,
         };
-        let beside = program.parent().map(|dir| dir.join("rockpick-proxy"));
-        let proxy = match self.proxy.clone().or(beside).filter(|p| p.exists()) {
+        let default_proxy = program.parent().map(|dir| dir.join("rockpick-proxy"));
+        let proxy = match self.proxy.clone().or(default_proxy).filter(|p| p.exists()) {
             Some(path) => {
                 let mut command = Command::new(path);
                 command.args(machines.iter().map(SocketAddr::to_string));
@@ -342,73 +364,73 @@
             }
             None => None,
         };
-        pin(None, LOAD);
-        let lasts = (self.seconds * SEC as f64) as Ns;
-        let ways: Vec<(&str, Vec<SocketAddr>)> =
+        pin(None, LOAD_CORE);
+        let duration = (self.seconds * SEC as f64) as Ns;
+        let paths: Vec<(&str, Vec<SocketAddr>)> =
             [("direct", Some(machines.clone())), ("front", Some(vec![front.1]))]
                 .into_iter()
                 .chain([("proxy", proxy.as_ref().map(|p| vec![p.1]))])
-                .chain([("peers", kept.as_ref().map(|f| vec![f.1]))])
+                .chain([("peers", peered.as_ref().map(|f| vec![f.1]))])
                 .filter_map(|(name, to)| Some((name, to?)))
                 .collect();
-        // A front that has served nothing yet takes little at first: that is not what is measured here.
-        for (_, to) in &ways {
-            load(to, self.open, None, SEC)?;
+        // Warms up: a front that has served nothing yet accepts little load at first.
+        for (_, to) in &paths {
+            run_load(to, self.open, None, SEC)?;
         }
-        let mut fast: Vec<Vec<f64>> = vec![Vec::new(); ways.len()];
+        let mut throughput: Vec<Vec<f64>> = vec![Vec::new(); paths.len()];
         let mut failed = 0;
         for _ in 0..self.rounds {
-            for (i, (_, to)) in ways.iter().enumerate() {
-                let m = load(to, self.open, None, lasts)?;
-                failed += m.failed;
-                fast[i].push(m.a_second);
+            for (i, (_, to)) in paths.iter().enumerate() {
+                let measured = run_load(to, self.open, None, duration)?;
+                failed += measured.failed;
+                throughput[i].push(measured.rpcs_per_second);
             }
         }
-        let fast: Vec<f64> = fast.into_iter().map(median).collect();
-        // Half of what the slower of front and proxy can do, for all.
-        let half = fast[1..].iter().copied().fold(f64::MAX, f64::min) / 2.0;
-        let mut slow: Vec<[Vec<f64>; 2]> = ways.iter().map(|_| Default::default()).collect();
+        let throughput: Vec<f64> = throughput.into_iter().map(median).collect();
+        // Latency is measured for all at half the throughput of the slowest, direct calls aside.
+        let half = throughput[1..].iter().copied().fold(f64::MAX, f64::min) / 2.0;
+        let mut latency: Vec<[Vec<f64>; 2]> = paths.iter().map(|_| Default::default()).collect();
         for _ in 0..self.rounds {
-            for (i, (_, to)) in ways.iter().enumerate() {
-                let m = load(to, self.open, Some(half), lasts)?;
-                failed += m.failed;
+            for (i, (_, to)) in paths.iter().enumerate() {
+                let measured = run_load(to, self.open, Some(half), duration)?;
+                failed += measured.failed;
                 for (j, q) in [0.5, 0.99].into_iter().enumerate() {
-                    slow[i][j].push(m.times.value_at_quantile(q) as f64 / 1e3);
+                    latency[i][j].push(measured.times.value_at_quantile(q) as f64 / 1e3);
                 }
             }
         }
-        let slow: Vec<[f64; 2]> = slow.into_iter().map(|[a, b]| [median(a), median(b)]).collect();
+        let latency: Vec<[f64; 2]> = latency.into_iter().map(|[a, b]| [median(a), median(b)]).collect();
         println!(
-            "loopback, one run, {} rounds of {} s, {} RPCs open; half load is {half:.0} RPCs/s",
+            "loopback, one run, {} rounds of {} s, {} open RPCs; half load is {half:.0} RPCs/s",
             self.rounds, self.seconds, self.open
         );
         println!(
             "{:<8} {:>10} {:>10} {:>12} {:>12}",
-            "way", "RPCs/s", "of direct", "p50 us half", "p99 us half"
+            "path", "RPCs/s", "of direct", "p50 us half", "p99 us half"
         );
-        for (i, (name, _)) in ways.iter().enumerate() {
+        for (i, (name, _)) in paths.iter().enumerate() {
             println!(
                 "{name:<8} {:>10.0} {:>10.2} {:>12.0} {:>12.0}",
-                fast[i],
-                fast[i] / fast[0],
-                slow[i][0],
-                slow[i][1]
+                throughput[i],
+                throughput[i] / throughput[0],
+                latency[i][0],
+                latency[i][1]
             );
         }
         println!(
             "front adds p50 {:.0} us, p99 {:.0} us to direct",
-            slow[1][0] - slow[0][0],
-            slow[1][1] - slow[0][1]
+            latency[1][0] - latency[0][0],
+            latency[1][1] - latency[0][1]
         );
         if let Some(bindings) = self.peers {
-            self.catching_up(bindings, |join| begin(false, &circle(join)), key.path())?;
+            self.measure_catch_up(bindings, |join| start_front(false, &peer_args(join)), key.path())?;
         }
-        match fast.get(2).filter(|_| proxy.is_some()) {
+        match throughput.get(2).filter(|_| proxy.is_some()) {
             Some(proxy) => println!(
-                "front against the plain proxy: {:.2} times its throughput (aim 1.5)",
-                fast[1] / proxy
+                "front compared with the plain proxy: {:.2} times its throughput (target 1.5)",
+                throughput[1] / proxy
             ),
-            None => println!("no proxy was measured: cargo build --release -p rockpick-proxy makes it"),
+            None => println!("no proxy was measured: build it with cargo build --release -p rockpick-proxy"),
         }
         drop(proxy);
         let pid = front.0.id();
@@ -423,37 +445,40 @@
                 }
             }
         }
-        let by = Instant::now() + Duration::from_secs(10);
-        while status(front.1)?["clients"].as_u64().unwrap_or(0) < idle.len() as u64 && Instant::now() < by {
+        let deadline = Instant::now() + Duration::from_secs(10);
+        while status(front.1)?["clients"].as_u64().unwrap_or(0) < idle.len() as u64
+            && Instant::now() < deadline
+        {
             std::thread::sleep(Duration::from_millis(50));
         }
-        let grown = memory(pid, "VmRSS") - before;
+        let added = memory(pid, "VmRSS") - before;
         println!(
-            "{} idle client connections: {:.1} MiB, {:.0} bytes each (kernel's part not counted)",
+            "{} idle client connections: {:.1} MiB, {:.0} bytes each (kernel memory not counted)",
             idle.len(),
-            grown / 1_048_576.0,
-            grown / idle.len().max(1) as f64
+            added / 1_048_576.0,
+            added / idle.len().max(1) as f64
         );
         drop(idle);
         drop(front);
-        // The module's share is measured apart, as reading the clock around each call costs time itself.
-        let front = begin(true, &[])?;
-        load(&[front.1], self.open, None, SEC)?;
-        let (began, in_module) = (cpu(front.0.id()), status(front.1)?["module_ms"].as_f64().unwrap_or(0.0));
-        let m = load(&[front.1], self.open, None, lasts)?;
-        let ended = cpu(front.0.id());
-        let module = status(front.1)?["module_ms"].as_f64().unwrap_or(0.0) - in_module;
-        let [user, system] = [0, 1].map(|i| (ended[i] - began[i]) * 10.0);
-        let all = (user + system).max(1.0);
-        println!("CPU of the front: {:.1} us an RPC; system calls {:.0}%, module {:.0}%, parsing, buffers and the rest {:.0}%",
-            all * 1e3 / (m.a_second * self.seconds).max(1.0), 100.0 * system / all, 100.0 * module / all,
-            100.0 * (user - module) / all);
-        println!("RPCs that did not end ok meanwhile: {failed}");
+        // The share of the decision module is measured separately, as reading the clock around each call takes time too.
+        let front = start_front(true, &[])?;
+        run_load(&[front.1], self.open, None, SEC)?;
+        let (cpu_before, module_before) =
+            (cpu(front.0.id()), status(front.1)?["module_ms"].as_f64().unwrap_or(0.0));
+        let measured = run_load(&[front.1], self.open, None, duration)?;
+        let cpu_after = cpu(front.0.id());
+        let module = status(front.1)?["module_ms"].as_f64().unwrap_or(0.0) - module_before;
+        let [user, system] = [0, 1].map(|i| (cpu_after[i] - cpu_before[i]) * 10.0);
+        let total = (user + system).max(1.0);
+        println!("CPU of the front: {:.1} us per RPC; system calls {:.0}%, module {:.0}%, parsing, buffers and the rest {:.0}%",
+            total * 1e3 / (measured.rpcs_per_second * self.seconds).max(1.0), 100.0 * system / total, 100.0 * module / total,
+            100.0 * (user - module) / total);
+        println!("RPCs that did not end ok: {failed}");
         Ok(ExitCode::SUCCESS)
     }
 }
 
-fn status(front: SocketAddr) -> Result<Value, Bad2> {
-    let answer = crate::ask::call(front, "GET", "/status", "")?;
+fn status(front: SocketAddr) -> Result<Value, CliError> {
+    let answer = crate::api_client::call(front, "GET", "/status", "")?;
     Ok(serde_json::from_slice(&answer.body).unwrap_or(Value::Null))
 }
--- a/cli/src/tenants.rs
+++ b/cli/src/bench_tenants.rs
@@ -1,6 +1,7 @@
-//! `rockpick bench tenants`: what 100,000 tenants' entries cost, and what a lookup does beside a plain hash map.
+//! `rockpick bench tenants`: time and memory for the directory entries of 100,000 tenants, and the speed of lookups
+//! compared with a plain hash map.
 use crate::bench::memory;
-use crate::Bad2;
+use crate::CliError;
 use clap::Args;
 use rockpick_ldap::message::{Attribute, Entry};
 use rockpick_ldap::News;
@@ -14,13 +15,13 @@
 pub struct Tenants {
     #[arg(long, default_value_t = 100_000)]
     tenants: usize,
-    /// Principals of each.
+    /// Principals per tenant.
     #[arg(long, default_value_t = 1)]
     principals: usize,
 }
 
-/// Resident memory now, bytes.
-fn held() -> f64 {
+/// Resident memory of this process, in bytes.
+fn resident_bytes() -> f64 {
     memory(std::process::id(), "VmRSS")
 }
 
@@ -33,19 +34,22 @@
     News::Entry { uuid: (n as u128 + 1).to_be_bytes(), entry }
 }
 
-fn principal(n: usize, who: usize, firm: usize) -> News {
-    let name = format!("user-{who}");
+fn principal(n: usize, user: usize, tenant: usize) -> News {
+    let name = format!("user-{user}");
     let attributes = [("objectClass", "person".to_string()), ("uid", name.clone())];
-    entry(n, format!("uid={name},o=firm-{firm},dc=x"), &attributes)
+    entry(n, format!("uid={name},o=firm-{tenant},dc=x"), &attributes)
 }
 
 impl Tenants {
-    pub fn run(self) -> Result<ExitCode, Bad2> {
-        let many = self.tenants * (1 + self.principals);
-        if self.tenants == 0 || many > rockpick_tenant::model::MOST_ENTRIES {
-            return Err(Bad2("--tenants: 1 or more; a million entries in all at most".into()));
+    pub fn run(self) -> Result<ExitCode, CliError> {
+        let entries = self.tenants * (1 + self.principals);
+        if self.tenants == 0 || entries > rockpick_tenant::model::MOST_ENTRIES {
+            return Err(CliError(
+                "--tenants: must be 1 or more, with a million entries of tenants and principals at most"
+                    .into(),
+            ));
         }
-        let before = held();
+        let before = resident_bytes();
         let mut directory = Directory::new(Tenancy::default());
         let began = Instant::now();
         directory.take(0, News::Begin);
@@ -53,47 +57,47 @@
             let attributes = [("objectClass", "organization".to_string()), ("o", format!("firm-{n}"))];
             directory.take(0, entry(n, format!("o=firm-{n},dc=x"), &attributes));
             for p in 0..self.principals {
-                let who = n * self.principals + p;
-                directory.take(0, principal(self.tenants + who, who, n));
+                let user = n * self.principals + p;
+                directory.take(0, principal(self.tenants + user, user, n));
             }
         }
-        let read = began.elapsed().as_secs_f64();
+        let read_time = began.elapsed().as_secs_f64();
         let began = Instant::now();
         directory.take(0, News::End { whole: true });
-        let linked = began.elapsed().as_secs_f64();
-        println!("{many} entries: read in {read:.2} s, a version made in {linked:.2} s, {:.0} MiB, {:.0} bytes an entry",
-            (held() - before) / 1_048_576.0, (held() - before) / many as f64);
-        // One principal comes: the next version shares all else with the former.
-        let (kept, rounds) = (directory.version().clone(), 200);
+        let build_time = began.elapsed().as_secs_f64();
+        println!("{entries} entries: read in {read_time:.2} s, version built in {build_time:.2} s, {:.0} MiB, {:.0} bytes per entry",
+            (resident_bytes() - before) / 1_048_576.0, (resident_bytes() - before) / entries as f64);
+        // Adds one principal at a time; each version shares all other entries with the one before.
+        let (former, rounds) = (directory.version().clone(), 200);
         let began = Instant::now();
         for i in 0..rounds {
-            directory.take(1, principal(many + i, many + i, i % self.tenants));
+            directory.take(1, principal(entries + i, entries + i, i % self.tenants));
         }
         println!(
-            "one principal more: {:.0} us; the former version is still there with {} tenants",
+            "adding one principal: {:.0} us; the former version still holds {} tenants",
             began.elapsed().as_secs_f64() * 1e6 / rounds as f64,
-            kept.len()
+            former.len()
         );
         let names: Vec<Identity> = (0..self.tenants * self.principals)
-            .map(|w| Identity::Principal(format!("user-{w}").into()))
+            .map(|user| Identity::Principal(format!("user-{user}").into()))
             .collect();
         let plain: HashMap<Identity, u32> = names.iter().cloned().zip(0..).collect();
         let version = directory.version().clone();
         let order: Vec<usize> =
             (0..1_000_000).map(|i: usize| i.wrapping_mul(7_919) % names.len().max(1)).collect();
-        let time = |look: &dyn Fn(&Identity) -> Option<u32>| {
+        let lookups_per_second = |look_up: &dyn Fn(&Identity) -> Option<u32>| {
             let began = Instant::now();
             for i in &order {
-                black_box(look(&names[*i]));
+                black_box(look_up(&names[*i]));
             }
             order.len() as f64 / began.elapsed().as_secs_f64()
         };
         if !names.is_empty() {
-            let ours = time(&|who| version.of(who));
-            let theirs = time(&|who| plain.get(who).copied());
+            let ours = lookups_per_second(&|who| version.of(who));
+            let map = lookups_per_second(&|who| plain.get(who).copied());
             println!(
-                "lookups a second: {ours:.0}; of a plain hash map {theirs:.0}, {:.2} times as many",
-                theirs / ours
+                "lookups per second: {ours:.0}; of a plain hash map {map:.0}, {:.2} times as many",
+                map / ours
             );
         }
         Ok(ExitCode::SUCCESS)
--- a/cli/src/load.rs
+++ b/cli/src/load.rs
@@ -1,9 +1,9 @@
-//! `rockpick load`: open-loop load at real fronts.
-use crate::{ask, lab, Bad2};
+//! `rockpick load`: sends open-loop load to real fronts and prints the result.
+use crate::{api_client, emulation, CliError};
 use clap::Args;
 use rockpick_emu::line::QUANTILES;
 use rockpick_emu::Line;
-use rockpick_load::{Course, Result as Came};
+use rockpick_load::{Course, Result as LoadResult};
 use rockpick_net::SEC;
 use rockpick_standin::{Arrivals, Load};
 use serde_json::json;
@@ -12,94 +12,98 @@
 use std::process::ExitCode;
 
 #[derive(Args)]
-pub struct Loading {
-    /// The controller's address: settings come from there, and addresses of fronts if none are given.
+pub struct LoadArgs {
+    /// The controller's address, the source of the settings and, without --fronts, of the fronts' addresses.
     #[arg(long)]
     controller: SocketAddr,
-    /// Addresses of fronts, in the order of the settings' fronts.
+    /// Addresses of fronts, in the order of the settings, separated by commas.
     #[arg(long, value_delimiter = ',')]
     fronts: Vec<SocketAddr>,
-    /// RPCs a second.
+    /// RPCs per second.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// How arrivals follow each other: poisson, or bursts:ON_MS/OFF_MS/TIMES.
+    /// Arrival process: poisson, or bursts:ON_MS/OFF_MS/TIMES.
     #[arg(long, default_value = "poisson")]
     arrivals: String,
-    /// Plays a record of clients again, to its end or --seconds, in place of --rate and --arrivals.
+    /// Replays a record of clients, until its end or for --seconds, instead of --rate and --arrivals.
     #[arg(long, conflicts_with = "arrivals")]
     replay: Option<PathBuf>,
-    /// Keys, drawn by Zipf with this exponent.
+    /// Number of distinct keys, drawn from a Zipf distribution.
     #[arg(long, default_value_t = 2_000)]
     keys: usize,
+    /// Exponent of the Zipf distribution.
     #[arg(long, default_value_t = 0.9)]
     zipf: f64,
-    /// What else of the load differs: hot=0.2, hot_keys=2, caller, shift, heavier, tail, tail_times, hasty, patience,
-    /// leave; NAME=NUMBER, may be given several times.
+    /// Change to the shape of the load, as NAME=NUMBER (hot=0.2, hot_keys=2); NAME is one of hot, hot_keys, caller,
+    /// shift, heavier, tail, tail_times, hasty, patience and leave; repeatable.
     #[arg(long)]
     shape: Vec<String>,
-    /// Tries after the first, as each method allows.
+    /// Maximum retries per RPC, where the method allows them.
     #[arg(long, default_value_t = 2)]
     retries: u32,
-    /// Mean work of an RPC at stand-in machines, ms.
+    /// Mean work of an RPC at stand-in machines, in milliseconds.
     #[arg(long, default_value_t = 50.0)]
     work_ms: f64,
     #[arg(long, default_value_t = 1)]
     threads: usize,
-    /// RPCs open at once, over all threads; one more is not sent, and told.
+    /// Maximum number of open RPCs over all threads; further RPCs are not sent and are counted.
     #[arg(long, default_value_t = 10_000)]
     most_open: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// File for a record of each try; --replay plays it again.
+    /// File for a record of each try, for use with --replay.
     #[arg(long)]
     record: Option<PathBuf>,
-    /// File for the result, a line of JSON put to its end; `experiment compare` and `report` read it.
+    /// File to which the result is appended as a line of JSON, for `experiment compare` and `experiment report`.
     #[arg(long)]
     lines: Option<PathBuf>,
-    /// The name of the result in that file.
+    /// Name of the result in that file.
     #[arg(long, default_value = "load")]
     choice: String,
 }
 
-impl Loading {
-    pub fn run(self) -> Result<ExitCode, Bad2> {
-        let fits = self.rate > 0.0 && self.rate <= 1e6 && (0.1..=86_400.0).contains(&self.seconds);
-        if !fits || !(1..=100_000_000).contains(&self.keys) || !(0.0..=5.0).contains(&self.zipf) {
+impl LoadArgs {
+    pub fn run(self) -> Result<ExitCode, CliError> {
+        let valid = self.rate > 0.0 && self.rate <= 1e6 && (0.1..=86_400.0).contains(&self.seconds);
+        if !valid || !(1..=100_000_000).contains(&self.keys) || !(0.0..=5.0).contains(&self.zipf) {
             let why =
-                "--rate: above 0 to 1000000; --seconds: 0.1 to 86400; --keys: 1 to 100000000; --zipf: 0 to 5";
-            return Err(Bad2(why.into()));
+                "--rate: must be above 0, at most 1000000; --seconds: 0.1 to 86400; --keys: 1 to 100000000; --zipf: 0 to 5";
+            return Err(CliError(why.into()));
         }
         if !(self.work_ms > 0.0 && self.work_ms <= 6e4) || self.most_open > 1_000_000 {
-            return Err(Bad2("--work-ms: above 0 to 60000; --most-open: 1000000 at most".into()));
+            return Err(CliError(
+                "--work-ms: must be above 0, at most 60000; --most-open: must be at most 1000000".into(),
+            ));
         }
-        let charter = ask::settings(self.controller)?;
+        let settings = api_client::settings(self.controller)?;
         let (names, fronts) = match self.fronts.is_empty() {
-            true => ask::fronts(self.controller)?,
+            true => api_client::fronts(self.controller)?,
             false => {
-                let names = charter.fronts.iter().map(|f| f.name.clone());
+                let names = settings.fronts.iter().map(|f| f.name.clone());
                 (names.take(self.fronts.len()).collect(), self.fronts)
             }
         };
         let arrivals = match &self.replay {
-            None => Arrivals::read(&self.arrivals).map_err(|why| Bad2(format!("--arrivals {why}")))?,
+            None => Arrivals::read(&self.arrivals).map_err(|why| CliError(format!("--arrivals {why}")))?,
             Some(path) => {
-                let say = |why: String| Bad2(format!("{}: {why}", path.display()));
-                let text = std::fs::read_to_string(path).map_err(|err| say(err.to_string()))?;
-                Arrivals::replay(&text, &charter, &names).map_err(say)?
+                let error = |why: String| CliError(format!("{}: {why}", path.display()));
+                let text = std::fs::read_to_string(path).map_err(|err| error(err.to_string()))?;
+                Arrivals::replay(&text, &settings, &names).map_err(error)?
             }
         };
         let mut load = Load { rate: self.rate, keys: self.keys, zipf: self.zipf, ..Load::default() };
         for shape in &self.shape {
-            let parts = shape.split_once('=').and_then(|(name, v)| Some((name, v.parse::<f64>().ok()?)));
-            let (name, value) = parts.ok_or(Bad2(format!("--shape {shape}: NAME=NUMBER is wanted")))?;
-            load.change(&json!({ name: value })).map_err(|why| Bad2(format!("--shape {why}")))?;
+            let parts =
+                shape.split_once('=').and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
+            let (name, value) = parts.ok_or(CliError(format!("--shape {shape}: expected NAME=NUMBER")))?;
+            load.change(&json!({ name: value })).map_err(|why| CliError(format!("--shape {why}")))?;
         }
         let course = Course {
             fronts,
             names,
-            charter,
+            charter: settings,
             load,
             arrivals,
             lasts: (self.seconds * SEC as f64) as i64,
@@ -110,79 +114,79 @@
             most_open: self.most_open,
             record: self.record,
         };
-        let came = course.run().map_err(Bad2)?;
-        let line = line(&came, self.choice, self.seed).map_err(Bad2)?;
-        show(&course, &came, &line)?;
+        let result = course.run().map_err(CliError)?;
+        let line = result_line(&result, self.choice, self.seed).map_err(CliError)?;
+        print_result(&course, &result, &line)?;
         if let Some(path) = &self.lines {
-            lab::append(path, &line)?;
+            emulation::append(path, &line)?;
         }
         Ok(ExitCode::SUCCESS)
     }
 }
 
-fn line(came: &Came, choice: String, seed: u64) -> Result<Line, String> {
-    let (t, all) = (&came.tolls, came.all()?);
+fn result_line(result: &LoadResult, choice: String, seed: u64) -> Result<Line, String> {
+    let (tally, times) = (&result.tolls, result.all()?);
     Ok(Line {
         choice,
         seed,
         how: "loopback".into(),
-        service: t.served / t.asked.max(1e-9),
-        asked: t.asked,
-        ok: t.ok,
-        late: t.late,
-        pushed_back: t.pushed_back,
-        aborted: t.aborted,
-        // One that the tool could not send was asked for and not served.
-        unanswered: t.unanswered + t.not_sent,
-        times: QUANTILES.iter().map(|q| all.value_at_quantile(*q) as f64 / 1e3).collect(),
-        exposure: came.newest(),
-        by_second: came.by_second.iter().map(|[asked, served]| served / f64::max(*asked, 1e-9)).collect(),
+        service: tally.served / tally.asked.max(1e-9),
+        asked: tally.asked,
+        ok: tally.ok,
+        late: tally.late,
+        pushed_back: tally.pushed_back,
+        aborted: tally.aborted,
+        // An RPC that the tool could not send counts as asked for and not served.
+        unanswered: tally.unanswered + tally.not_sent,
+        times: QUANTILES.iter().map(|q| times.value_at_quantile(*q) as f64 / 1e3).collect(),
+        exposure: result.newest(),
+        by_second: result.by_second.iter().map(|[asked, served]| served / f64::max(*asked, 1e-9)).collect(),
         ..Line::default()
     })
 }
 
-fn show(course: &Course, came: &Came, line: &Line) -> Result<(), Bad2> {
-    let t = &came.tolls;
+fn print_result(course: &Course, result: &LoadResult, line: &Line) -> Result<(), CliError> {
+    let tally = &result.tolls;
     println!(
         "service {:.4} (utility within the soft deadline over utility asked for); {} RPCs, {} tries, {} threads",
-        line.service, t.rpcs, came.tries, came.threads
+        line.service, tally.rpcs, result.tries, result.threads
     );
     println!(
-        "ok {}  late {}  pushed back {}  aborted {}  unanswered {}  not sent {}  words after an answer {}",
-        t.ok, t.late, t.pushed_back, t.aborted, t.unanswered, t.not_sent, t.stray
+        "ok {}  late {}  pushed back {}  aborted {}  unanswered {}  not sent {}  data after an answer {}",
+        tally.ok, tally.late, tally.pushed_back, tally.aborted, tally.unanswered, tally.not_sent, tally.stray
     );
     println!(
         "{:<12} {:>9} {:>9} {:>9} {:>9} {:>9} {:>9} {:>14}",
-        "method, ms", "ok", "p50", "p90", "p99", "p99.9", "most", "p99 from sent"
+        "method, ms", "ok", "p50", "p90", "p99", "p99.9", "max", "p99 from sent"
     );
     let ms = |us: u64| us as f64 / 1e3;
-    for (row, times) in course.charter.methods.iter().zip(&came.times) {
-        let at = |q: f64| ms(times.due.value_at_quantile(q));
+    for (row, times) in course.charter.methods.iter().zip(&result.times) {
+        let quantile_ms = |q: f64| ms(times.due.value_at_quantile(q));
         println!(
             "{:<12} {:>9} {:>9.1} {:>9.1} {:>9.1} {:>9.1} {:>9.1} {:>14.1}",
             row.name,
             times.due.len(),
-            at(0.5),
-            at(0.9),
-            at(0.99),
-            at(0.999),
+            quantile_ms(0.5),
+            quantile_ms(0.9),
+            quantile_ms(0.99),
+            quantile_ms(0.999),
             ms(times.due.max()),
             ms(times.sent.value_at_quantile(0.99))
         );
     }
-    let builds: Vec<String> = came.builds.iter().map(|(build, n)| format!("{build}: {n}")).collect();
+    let builds: Vec<String> = result.builds.iter().map(|(build, n)| format!("{build}: {n}")).collect();
     println!("ok by build: {}", if builds.is_empty() { "none".into() } else { builds.join(", ") });
-    let busiest = came.busy.iter().copied().fold(0.0, f64::max);
+    let busiest = result.busy.iter().copied().fold(0.0, f64::max);
     println!(
-        "sends late by p50 {:.3} ms, p99 {:.3} ms, at most {:.1} ms; busiest thread worked {:.0}% of the time",
-        ms(came.lag.value_at_quantile(0.5)),
-        ms(came.lag.value_at_quantile(0.99)),
-        ms(came.lag.max()),
+        "send delay p50 {:.3} ms, p99 {:.3} ms, max {:.1} ms; busiest thread worked {:.0}% of the time",
+        ms(result.lag.value_at_quantile(0.5)),
+        ms(result.lag.value_at_quantile(0.99)),
+        ms(result.lag.max()),
         100.0 * busiest
     );
-    match came.limits().as_slice() {
-        [] => println!("the tool was no limit"),
-        limits => println!("the tool was a limit: {}", limits.join("; ")),
+    match result.limits().as_slice() {
+        [] => println!("the load tool was not a limit"),
+        limits => println!("the load tool was a limit: {}", limits.join("; ")),
     }
     Ok(())
 }
--- a/cli/src/log_writer.rs
+++ b/cli/src/log_writer.rs
@@ -1,57 +1,57 @@
-//! Log lines on their way to standard error: a thread writes them, so that a reader who stands still holds no
-//! RPC. Lines that find too many before them are left out, and counted.
+//! Writes log lines to standard error on a thread of its own, so that a reader that stalls delays no RPC. The queue is
+//! bounded; lines that find it full are dropped and counted.
 //!
-//! Both sides wait in the kernel alone (a mutex and condition variables). The bounded channel of the standard library
-//! spins while a sender stands between taking a slot and filling it; where only one thread runs at a time, that is for ever.
-use crate::Log;
+//! Both sides block in the kernel only (a mutex and condition variables). The bounded channel of the standard library
+//! spins while a sender is between reserving a slot and filling it, which never ends where one thread runs at a time.
+use crate::LogFormat;
 use std::collections::VecDeque;
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Lines that may wait: some seconds of a busy start, about a MiB.
-const MAX_WAITING: usize = 8_192;
-/// The end waits this long for the reader.
-const END_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum length of the queue: some seconds of a busy start, about 1 MiB.
+const MAX_QUEUED: usize = 8_192;
+/// How long the process waits at its end for queued lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct Queue {
     lines: VecDeque<Vec<u8>>,
-    /// Lines that found no room since the last one that was written.
-    left_out: u64,
-    /// The thread holds a line that it has not written yet.
+    /// Lines dropped since the last one that was written.
+    dropped: u64,
+    /// The thread has taken a line and not written it yet.
     writing: bool,
 }
 
 #[derive(Default)]
 struct Shared {
     queue: Mutex<Queue>,
-    arrived: Condvar,
-    written: Condvar,
+    line_queued: Condvar,
+    queue_drained: Condvar,
 }
 
 impl Shared {
-    /// A holder that panicked leaves the queue whole: each change of it is one step.
+    /// Ignores poisoning: each change of the queue is one step, so a panic leaves it consistent.
     fn lock(&self) -> MutexGuard<'_, Queue> {
         self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a line; returns it, and how many were left out.
+    /// Waits for a line; returns it and the number dropped before it.
     fn take(&self) -> (Vec<u8>, u64) {
         let mut queue = self.lock();
         queue.writing = false;
         loop {
             if let Some(line) = queue.lines.pop_front() {
                 queue.writing = true;
-                return (line, std::mem::take(&mut queue.left_out));
+                return (line, std::mem::take(&mut queue.dropped));
             }
-            self.written.notify_all();
-            queue = self.arrived.wait(queue).unwrap_or_else(PoisonError::into_inner);
+            self.queue_drained.notify_all();
+            queue = self.line_queued.wait(queue).unwrap_or_else(PoisonError::into_inner);
         }
     }
 }
 
-/// The sending side; clones share one queue.
+/// The writing end of the queue; clones share it.
 #[derive(Clone)]
 pub struct LogWriter {
     shared: Arc<Shared>,
@@ -59,53 +59,53 @@
 
 impl LogWriter {
     /// Starts the thread that writes to standard error.
-    pub fn begin(log: Log) -> LogWriter {
-        LogWriter::begin_to(io::stderr(), log)
+    pub fn start(format: LogFormat) -> LogWriter {
+        LogWriter::start_with(io::stderr(), format)
     }
 
-    fn begin_to(out: impl Write + Send + 'static, log: Log) -> LogWriter {
+    fn start_with(out: impl Write + Send + 'static, format: LogFormat) -> LogWriter {
         let shared = Arc::<Shared>::default();
         let writer = LogWriter { shared: shared.clone() };
-        std::thread::spawn(move || write_all(out, log, &shared));
+        std::thread::spawn(move || write_lines(out, format, &shared));
         writer
     }
 
-    /// Waits until what was said is written, but not for ever.
-    pub fn end(&self) {
+    /// Waits until all queued lines are written, for `FLUSH_TIMEOUT` at most.
+    pub fn finish(&self) {
         let busy = |queue: &mut Queue| queue.writing || !queue.lines.is_empty();
-        // Nobody to tell if it takes longer: that is why it is waited for no longer.
-        let _ = self.shared.written.wait_timeout_while(self.shared.lock(), END_TIMEOUT, busy);
+        // A timeout is ignored: the process is ending and has nowhere to report it.
+        let _ = self.shared.queue_drained.wait_timeout_while(self.shared.lock(), FLUSH_TIMEOUT, busy);
     }
 }
 
-fn write_all(mut out: impl Write, log: Log, shared: &Shared) {
+fn write_lines(mut out: impl Write, format: LogFormat, shared: &Shared) {
     loop {
-        let (line, left_out) = shared.take();
-        // Standard error that is gone takes no word of it either.
-        if left_out > 0 {
-            let _ = out.write_all(left_out_line(log, left_out).as_bytes());
+        let (line, dropped) = shared.take();
+        // Write errors are ignored: if standard error is closed, there is nowhere to report them.
+        if dropped > 0 {
+            let _ = out.write_all(dropped_line(format, dropped).as_bytes());
         }
         let _ = out.write_all(&line);
     }
 }
 
-fn left_out_line(log: Log, left_out: u64) -> String {
-    match log {
-        Log::Json => {
-            format!("{{\"level\":\"WARN\",\"event\":\"log behind\",\"left_out\":{left_out}}}\n")
+fn dropped_line(format: LogFormat, dropped: u64) -> String {
+    match format {
+        LogFormat::Json => {
+            format!("{{\"level\":\"WARN\",\"event\":\"log behind\",\"left_out\":{dropped}}}\n")
         }
-        Log::Text => format!("WARN event=\"log behind\" left_out={left_out}\n"),
+        LogFormat::Text => format!("WARN event=\"log behind\" left_out={dropped}\n"),
     }
 }
 
 impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut queue = self.shared.lock();
-        if queue.lines.len() < MAX_WAITING {
+        if queue.lines.len() < MAX_QUEUED {
             queue.lines.push_back(line.to_vec());
-            self.shared.arrived.notify_one();
+            self.shared.line_queued.notify_one();
         } else {
-            queue.left_out += 1;
+            queue.dropped += 1;
         }
         Ok(line.len())
     }
--- a/cli/src/log_writer/tests.rs
+++ b/cli/src/log_writer/tests.rs
@@ -1,17 +1,17 @@
-//! The log writer before a reader that is slow.
+//! Tests of the log writer with a slow reader.
 use super::*;
 use std::sync::mpsc::{channel, Receiver, Sender};
 
-/// A reader that takes each write only when it is let.
-struct SlowReader {
-    let_on: Receiver<()>,
-    seen: Sender<String>,
+/// An output that blocks each write until the test permits it.
+struct BlockingOutput {
+    permits: Receiver<()>,
+    written: Sender<String>,
 }
 
-impl Write for SlowReader {
+impl Write for BlockingOutput {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let _ = self.let_on.recv();
-        let _ = self.seen.send(String::from_utf8_lossy(line).into_owned());
+        let _ = self.permits.recv();
+        let _ = self.written.send(String::from_utf8_lossy(line).into_owned());
         Ok(line.len())
     }
 
@@ -20,43 +20,45 @@
     }
 }
 
-fn slow_writer() -> (LogWriter, Sender<()>, Receiver<String>) {
-    let ((go, let_on), (seen, lines)) = (channel(), channel());
-    (LogWriter::begin_to(SlowReader { let_on, seen }, Log::Json), go, lines)
+fn blocked_writer() -> (LogWriter, Sender<()>, Receiver<String>) {
+    let ((permit, permits), (written, lines)) = (channel(), channel());
+    (LogWriter::start_with(BlockingOutput { permits, written }, LogFormat::Json), permit, lines)
 }
 
-fn say(writer: &mut LogWriter, line: &str) {
+fn log_line(writer: &mut LogWriter, line: &str) {
     writer.write_all(line.as_bytes()).unwrap();
 }
 
-/// Guards against a reader that stands still: it holds nobody, takes bounded room, and is told what it missed.
+/// Guards against a stalled reader that blocks the process or makes the queue grow without bound, and against lines
+/// that are dropped without a notice.
 #[test]
-fn lines_beyond_the_bound_are_left_out_and_counted() {
-    let (mut writer, go, lines) = slow_writer();
-    say(&mut writer, "first\n");
-    // The thread holds the first line by then, so that the queue takes its full number of others.
+fn lines_beyond_the_bound_are_dropped_and_counted() {
+    let (mut writer, permit, lines) = blocked_writer();
+    log_line(&mut writer, "first\n");
+    // Once the thread has taken the first line, the queue has room for its full number of others.
     while !writer.shared.lock().lines.is_empty() {
         std::thread::yield_now();
     }
-    (0..MAX_WAITING + 3).for_each(|_| say(&mut writer, "more\n"));
-    (0..MAX_WAITING + 2).for_each(|_| go.send(()).unwrap());
+    (0..MAX_QUEUED + 3).for_each(|_| log_line(&mut writer, "more\n"));
+    (0..MAX_QUEUED + 2).for_each(|_| permit.send(()).unwrap());
     assert_eq!(lines.recv().unwrap(), "first\n");
     assert_eq!(lines.recv().unwrap(), "{\"level\":\"WARN\",\"event\":\"log behind\",\"left_out\":3}\n");
-    assert_eq!(lines.iter().take(MAX_WAITING).filter(|line| line == "more\n").count(), MAX_WAITING);
-    writer.end();
+    assert_eq!(lines.iter().take(MAX_QUEUED).filter(|line| line == "more\n").count(), MAX_QUEUED);
+    writer.finish();
     assert!(lines.try_recv().is_err());
 }
 
-/// Guards against last lines that are lost, and against an end that waits for a reader for ever.
+/// Guards against last lines that are lost at the end of the process, and against a process that never ends because
+/// its reader has stalled.
 #[test]
-fn the_end_waits_for_the_last_line_and_no_longer_than_its_time() {
-    let (mut writer, go, lines) = slow_writer();
-    say(&mut writer, "last\n");
+fn finish_waits_for_the_last_line_until_its_timeout() {
+    let (mut writer, permit, lines) = blocked_writer();
+    log_line(&mut writer, "last\n");
     let began = std::time::Instant::now();
-    writer.end();
-    assert!(began.elapsed() >= END_TIMEOUT);
+    writer.finish();
+    assert!(began.elapsed() >= FLUSH_TIMEOUT);
     assert!(lines.try_recv().is_err());
-    go.send(()).unwrap();
-    writer.end();
+    permit.send(()).unwrap();
+    writer.finish();
     assert_eq!(lines.try_recv().unwrap(), "last\n");
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,22 +1,22 @@
-//! The command line: `rockpick`. Exit codes: 0 good, 1 a rule broken or a check failed, 2 bad use.
+//! The `rockpick` command line. Exit codes: 0 success, 1 a violated rule or a failed check, 2 a usage error.
 
-/// In place of the standard one, which ends the process by a panic when nobody reads.
+/// Replaces the macro of the standard library, which panics when the reader of standard output is gone.
 macro_rules! println {
-    ($($words:tt)*) => { rockpick_rehearse::out(format_args!("{}\n", format_args!($($words)*))) };
+    ($($args:tt)*) => { rockpick_rehearse::out(format_args!("{}\n", format_args!($($args)*))) };
 }
 
 macro_rules! print {
-    ($($words:tt)*) => { rockpick_rehearse::out(format_args!($($words)*)) };
+    ($($args:tt)*) => { rockpick_rehearse::out(format_args!($($args)*)) };
 }
 
-mod ask;
+mod api_client;
 mod bench;
-mod fleet;
-mod lab;
+mod bench_agents;
+mod bench_tenants;
+mod emulation;
 mod load;
 mod log_writer;
-mod storms;
-mod tenants;
+mod storm;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use rockpick_control::settings::is_valid_name;
@@ -33,66 +33,66 @@
     about = "A release controller, and the router that shifts traffic between builds"
 )]
 struct Cli {
-    /// How log lines look, on standard error.
+    /// Format of the log lines on standard error.
     #[arg(long, global = true, value_enum, default_value = "text")]
-    log: Log,
-    /// A file that says how disks lie (see the package files): for storms.
+    log: LogFormat,
+    /// File with the disk faults to inject (see the package files); for storms.
     #[arg(long, global = true, hide = true)]
     disk_lies: Option<PathBuf>,
-    /// By how many parts of a million clocks run fast, a hundredth at most: for storms.
+    /// Clock skew in parts per million, 1% at most; for storms.
     #[arg(long, global = true, hide = true, value_parser = clap::value_parser!(i64).range(-10_000..=10_000))]
     clock_ppm: Option<i64>,
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Log {
+enum LogFormat {
     Json,
     Text,
 }
 
 #[derive(Args)]
-struct Listen {
-    /// Address to listen on; port 0 takes one from the system and prints it.
+struct ListenArg {
+    /// Address to listen on; with port 0 the system chooses the port, and the address is printed.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
 }
 
 #[derive(Args)]
-struct At {
+struct ControllerArg {
     /// The controller's address.
     #[arg(long)]
     controller: SocketAddr,
 }
 
-/// The company that a front keeps; without an address to listen on it keeps none.
+/// Gossip among fronts; a front without an address to listen on has no peers.
 #[derive(Args)]
-struct CircleArgs {
+struct PeerArgs {
     /// Address for datagrams of peers.
     #[arg(long)]
     peers_listen: Option<SocketAddr>,
-    /// Addresses of peers to begin with, by commas.
+    /// Addresses of initial peers, separated by commas.
     #[arg(long, visible_alias = "join", value_delimiter = ',', requires = "peers_listen")]
     peers: Vec<SocketAddr>,
-    /// Address that peers are told, where it differs (a relay, address translation).
+    /// Address advertised to peers, if it differs (a relay, address translation).
     #[arg(long, requires = "peers_listen")]
     peers_at: Option<SocketAddr>,
-    /// File of the group's key, 16 bytes or more.
+    /// File with the shared key of the group, 16 bytes or more.
     #[arg(long, requires = "peers_listen")]
     peers_key: Option<PathBuf>,
-    /// One peer is probed a period.
+    /// Probe period in milliseconds; one peer is probed in each.
     #[arg(long, default_value_t = 1_000, requires = "peers_listen")]
     peers_period_ms: u64,
 }
 
-impl CircleArgs {
-    fn circle(self) -> Result<Option<rockpick_peers::Config>, Bad2> {
+impl PeerArgs {
+    fn config(self) -> Result<Option<rockpick_peers::Config>, CliError> {
         let Some(listen) = self.peers_listen else { return Ok(None) };
-        let file = self.peers_key.ok_or(Bad2("--peers-key: peers need the group's key".into()))?;
-        let key = std::fs::read(&file).map_err(|err| Bad2(format!("{}: {err}", file.display())))?;
+        let file = self.peers_key.ok_or(CliError("--peers-key is required with --peers-listen".into()))?;
+        let key = std::fs::read(&file).map_err(|err| CliError(format!("{}: {err}", file.display())))?;
         let probe_period = i64::try_from(self.peers_period_ms.min(1 << 32)).unwrap_or(0) * MS;
-        let circle = rockpick_peers::Config {
+        let config = rockpick_peers::Config {
             join: self.peers,
             listen,
             advertised: self.peers_at,
@@ -100,216 +100,217 @@
             probe_period,
             row_log: None,
         };
-        circle.check().map_err(Bad2)?;
-        Ok(Some(circle))
+        config.check().map_err(CliError)?;
+        Ok(Some(config))
     }
 }
 
 #[derive(Subcommand)]
-enum PeersWhat {
-    /// Who is there, as one front holds it.
+enum PeersCommand {
+    /// Shows the members that one front knows.
     Show {
         #[arg(long)]
         front: SocketAddr,
         #[arg(long)]
         json: bool,
     },
-    /// The rows of one table, as one front holds them.
+    /// Prints the rows of one table as stored at one front.
     State {
         #[arg(long)]
         front: SocketAddr,
-        /// builds, machines, bindings, evidence or spent.
+        /// One of builds, machines, bindings, evidence and spent.
         #[arg(long, default_value = "builds")]
         table: String,
         #[arg(long)]
         json: bool,
     },
-    /// Rows that fronts hold differently; ends with 1 where there are any.
+    /// Prints the rows in which fronts differ; the exit code is 1 if there are any.
     Differ {
-        /// Two fronts or more, by commas.
+        /// Addresses of two fronts or more, separated by commas.
         #[arg(long, value_delimiter = ',', required = true)]
         fronts: Vec<SocketAddr>,
     },
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Runs the release controller.
     Controller {
         #[command(flatten)]
-        listen: Listen,
-        /// Folder of the snapshot; without it nothing outlives the process.
+        listen: ListenArg,
+        /// Directory of the snapshot; without it no state survives the process.
         #[arg(long)]
         state: Option<PathBuf>,
-        /// The repository of signed builds, served under /repo.
+        /// Directory of the repository of signed builds, served under /repo.
         #[arg(long)]
         repo: Option<PathBuf>,
     },
-    /// Runs the agent of a place: fetches, checks, starts, drains and takes back builds.
+    /// Runs the agent of a place, which fetches, verifies, starts, drains and rolls back builds.
     Agent {
         #[command(flatten)]
-        at: At,
-        /// Its place among the settings' places.
+        target: ControllerArg,
+        /// Name of its place in the settings.
         #[arg(long)]
         machine: String,
-        /// Folder for what it trusts, artefacts and records of processes.
+        /// Directory for trusted metadata, artefacts and process records.
         #[arg(long)]
         state: PathBuf,
-        /// The root to trust, where none is trusted yet.
+        /// Root metadata to trust if none is trusted yet.
         #[arg(long)]
         root: Option<PathBuf>,
-        /// Most bytes a second that a fetch takes.
+        /// Maximum download rate, in bytes per second.
         #[arg(long, default_value_t = 50e6)]
         rate: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Builds end with the agent; else they run on without it.
+        /// Stop the builds when the agent stops; by default they keep running.
         #[arg(long)]
         take_down: bool,
     },
-    /// Keeps a repository of signed builds.
+    /// Manages a repository of signed builds.
     Repo {
         #[command(subcommand)]
-        what: RepoDo,
+        command: RepoCommand,
     },
-    /// Runs a live front node on the platform's own protocol, as the PROXY_ variables tell.
+    /// Runs a live front node on the platform's own protocol, configured by the PROXY_ environment variables.
     Node {
         #[command(flatten)]
-        circle: CircleArgs,
+        peers: PeerArgs,
     },
-    /// Runs a front.
+    /// Runs a front over HTTP.
     Front {
         #[command(flatten)]
-        listen: Listen,
+        listen: ListenArg,
         #[command(flatten)]
-        at: At,
-        /// Its name among the settings' fronts.
+        target: ControllerArg,
+        /// Its name in the settings.
         #[arg(long)]
         name: String,
-        /// Folder of the snapshot from which it comes up at once.
+        /// Directory of the snapshot from which it starts without the controller.
         #[arg(long)]
         state: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Most client connections.
+        /// Maximum number of client connections.
         #[arg(long, default_value_t = 20_000)]
         clients: usize,
-        /// Measure the time spent in the module.
+        /// Measure the time spent in the decision module.
         #[arg(long)]
         profile: bool,
-        /// Address that other fronts are told for notes, where it differs (a relay, address translation).
+        /// Address advertised to other fronts for notes, if it differs (a relay, address translation).
         #[arg(long)]
         notes_at: Option<SocketAddr>,
         #[command(flatten)]
-        circle: CircleArgs,
+        peers: PeerArgs,
     },
-    /// The fronts that keep company: who is there.
+    /// Inspects the peers of fronts.
     Peers {
         #[command(subcommand)]
-        what: PeersWhat,
+        command: PeersCommand,
     },
-    /// Plays storms of faults upon fronts that keep company, each a process of its own; 1 when one broke something.
+    /// Injects random faults into peered front processes; the exit code is 1 if the fronts fail to converge.
     Storm {
-        /// How many fronts.
+        /// Number of fronts.
         #[arg(long, default_value_t = 5)]
         peers: usize,
-        /// How many storms are drawn.
+        /// Number of storms, each generated from its own seed.
         #[arg(long, default_value_t = 8)]
         seeds: u64,
+        /// Seed of the first storm.
         #[arg(long, default_value_t = 1)]
         first: u64,
-        /// Storms at once.
+        /// Number of storms run in parallel.
         #[arg(long, default_value_t = 4)]
         lanes: usize,
-        /// Shrinks the first that breaks something to what it needs; some minutes.
+        /// Reduce the first failing storm to a minimal plan; takes some minutes.
         #[arg(long)]
         shrink: bool,
-        /// Plays this plan alone, as a storm has printed it.
+        /// Run only this plan, in the form that a storm prints.
         #[arg(long)]
         plan: Option<PathBuf>,
     },
     /// Runs a stand-in machine.
     Machine {
         #[command(flatten)]
-        listen: Listen,
+        listen: ListenArg,
         #[command(flatten)]
-        at: At,
+        target: ControllerArg,
         #[arg(long)]
         name: String,
-        /// Its place among the settings' places.
+        /// Name of its place in the settings.
         #[arg(long)]
         place: String,
         #[arg(long)]
         build: u32,
         #[arg(long, default_value_t = 1)]
         cores: usize,
-        /// Speed of a core; 1 does a second of work a second.
+        /// Speed of a core; 1 is one second of work per second.
         #[arg(long, default_value_t = 1.0)]
         speed: f64,
-        /// A bad build: errors, method, slow, load, late, wrong or shared, and how much (errors:0.3).
+        /// Makes the build bad, as KIND:SIZE (errors:0.3); KIND is errors, method, slow, load, late, wrong or shared.
         #[arg(long)]
         bad: Option<String>,
-        /// File for the record of what arrived and ran.
+        /// File for the record of requests received and executed.
         #[arg(long)]
         record: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// It has run for long: warm from the start.
+        /// Start warm, as after a long time in service.
         #[arg(long)]
         warm: bool,
-        /// An agent speaks for it.
+        /// An agent reports it to the controller.
         #[arg(long)]
         agent: bool,
     },
-    /// Runs a stand-in directory (LDAPv3).
+    /// Runs a stand-in LDAPv3 directory server.
     Directory {
         #[command(flatten)]
-        listen: Listen,
-        /// Address where its content and faults are set, over HTTP.
+        listen: ListenArg,
+        /// Address of the HTTP interface that sets its content and faults.
         #[arg(long, default_value = "127.0.0.1:0")]
         control: SocketAddr,
-        /// Begins with TLS.
+        /// Use TLS from the start of each connection.
         #[arg(long)]
         ldaps: bool,
-        /// The name in its certificate.
+        /// Name in its certificate.
         #[arg(long, default_value = "localhost")]
         name: String,
-        /// Its certificate is out of date.
+        /// Use an expired certificate.
         #[arg(long)]
         expired: bool,
-        /// DN=PASSWORD that may bind, may be given several times; without any, anyone may.
+        /// Account that may bind, as DN=PASSWORD; repeatable. Without accounts any bind succeeds.
         #[arg(long)]
         account: Vec<String>,
     },
-    /// Says that tenants which a directory no longer shows are really gone; to all fronts that watch a
-    /// controller, or to those named.
+    /// Confirms that tenants missing from a directory have been deleted, at all fronts that watch a controller or
+    /// at those given.
     Confirm {
         #[arg(long, required_unless_present = "front")]
         controller: Option<SocketAddr>,
-        /// Addresses of fronts.
+        /// Addresses of fronts, separated by commas.
         #[arg(long, value_delimiter = ',')]
         front: Vec<SocketAddr>,
     },
     /// Runs stand-in clients.
     Client {
         #[command(flatten)]
-        listen: Listen,
+        listen: ListenArg,
         #[command(flatten)]
-        at: At,
-        /// Addresses of fronts, in the order of the settings' fronts; those that watch the controller if left out.
+        target: ControllerArg,
+        /// Addresses of fronts, in the order of the settings; by default those known to the controller.
         #[arg(long, value_delimiter = ',')]
         fronts: Vec<SocketAddr>,
-        /// RPCs a second.
+        /// RPCs per second.
         #[arg(long, default_value_t = 50.0)]
         rate: f64,
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
         #[arg(long, default_value_t = 2)]
         retries: u32,
-        /// Mean work of an RPC, ms.
+        /// Mean work of an RPC, in milliseconds.
         #[arg(long, default_value_t = 50.0)]
         work_ms: f64,
-        /// Share of wrong answers that clients dispute.
+        /// Fraction of wrong answers that clients dispute.
         #[arg(long, default_value_t = 0.3)]
         disputes: f64,
         #[arg(long)]
@@ -317,13 +318,13 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// A front that breaks a rule on purpose, for the rehearsal's checker.
+    /// Runs a front that violates one rule on purpose, to test the rehearsal's checker.
     #[command(hide = true)]
     Faulty {
         #[command(flatten)]
-        listen: Listen,
+        listen: ListenArg,
         #[command(flatten)]
-        at: At,
+        target: ControllerArg,
         #[arg(long)]
         name: String,
         #[arg(long)]
@@ -331,264 +332,286 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Plays a scripted day on loopback and judges it by what crossed the sockets.
+    /// Runs a scripted day with real processes on loopback and checks the rules from their records.
     Rehearse(Box<rockpick_rehearse::Plan>),
-    /// Plays a day on the emulator, in virtual time, and judges it by the same checker.
-    Emulate(Box<lab::Emulate>),
-    /// Sends load at real fronts: an open loop on a schedule fixed beforehand.
-    Load(Box<load::Loading>),
-    /// Compares choices on the emulator, by pairs of days, with error bars.
+    /// Runs a scripted day on the emulator, in virtual time, with the same checker.
+    Emulate(Box<emulation::Emulate>),
+    /// Sends open-loop load to real fronts, on a schedule fixed in advance.
+    Load(Box<load::LoadArgs>),
+    /// Compares choices on the emulator by paired runs, with confidence intervals.
     Experiment {
         #[command(subcommand)]
-        what: lab::Experiment,
+        command: emulation::Experiment,
     },
-    /// Gives, gets or checks settings.
+    /// Reads, replaces or validates the settings.
     Settings {
         #[command(subcommand)]
-        what: Settings,
+        command: SettingsCommand,
     },
     /// Offers a build.
     Offer {
         #[command(flatten)]
-        at: At,
+        target: ControllerArg,
         build: u32,
     },
-    /// Sends the newest build back.
+    /// Rolls the newest build back.
     Back {
         #[command(flatten)]
-        at: At,
+        target: ControllerArg,
         build: u32,
     },
-    /// Shows stage, machines, fronts and votes.
+    /// Shows the stage, machines, fronts and votes.
     Status {
         #[command(flatten)]
-        at: At,
-        /// The controller's own JSON.
+        target: ControllerArg,
+        /// Print the controller's JSON reply.
         #[arg(long)]
         json: bool,
     },
-    /// Measures.
+    /// Runs a benchmark.
     Bench {
         #[command(subcommand)]
-        what: Bench,
+        command: BenchCommand,
     },
 }
 
 #[derive(Args)]
-struct At2 {
-    /// Folder of the repository.
+struct RepoPaths {
+    /// Directory of the repository.
     #[arg(long)]
     dir: PathBuf,
-    /// Folder of the keys; only those of the roles that sign need be there.
+    /// Directory of the private keys; only those of the roles that sign are needed.
     #[arg(long)]
     keys: PathBuf,
 }
 
 #[derive(Subcommand)]
-enum RepoDo {
-    /// Makes a repository, and keys of its own for each role.
+enum RepoCommand {
+    /// Creates a repository, with separate keys for each role.
     Init {
         #[command(flatten)]
-        at: At2,
-        /// Keys of each role, all of which must sign.
+        paths: RepoPaths,
+        /// Number of keys per role, all of which must sign.
         #[arg(long, default_value_t = 1)]
         many: usize,
     },
-    /// Takes a build in.
+    /// Adds a build.
     Add {
         #[command(flatten)]
-        at: At2,
+        paths: RepoPaths,
         #[arg(long)]
         build: u32,
-        /// Pack it with zstd.
+        /// Compress the artefact with zstd.
         #[arg(long)]
         pack: bool,
         artefact: PathBuf,
     },
-    /// Signs a role anew, with a new version and expiry.
+    /// Signs a role's metadata again, with a new version and expiry.
     Sign {
         #[command(flatten)]
-        at: At2,
+        paths: RepoPaths,
         role: String,
     },
-    /// Gives a role new keys in place of its old ones.
+    /// Replaces the keys of a role.
     Rotate {
         #[command(flatten)]
-        at: At2,
+        paths: RepoPaths,
         role: String,
     },
-    /// Walks a client's way through all of it, from a trusted root.
+    /// Verifies the whole repository as a client does, from a trusted root.
     Verify {
         #[arg(long)]
         dir: PathBuf,
-        /// The root to begin with; the repository's first if left out.
+        /// Trusted root metadata; by default the repository's first version.
         #[arg(long)]
         root: Option<PathBuf>,
     },
 }
 
 #[derive(Subcommand)]
-enum Bench {
-    /// One front on one core against direct calls and a plain proxy, in one run.
+enum BenchCommand {
+    /// Compares one front on one core with direct calls and a plain proxy, in one run.
     Front(bench::Front),
-    /// Many agents on one controller: a stage, rollbacks, a controller's restart.
-    Agents(fleet::Agents),
-    /// A directory's entries: time, memory, lookups beside a plain hash map.
-    Tenants(tenants::Tenants),
+    /// Runs many agents on one controller through a stage, rollbacks and a controller restart.
+    Agents(bench_agents::Agents),
+    /// Measures a directory's entries: load time, memory, and lookups compared with a plain hash map.
+    Tenants(bench_tenants::Tenants),
 }
 
 #[derive(Subcommand)]
-enum Settings {
-    /// Prints a whole document to begin with.
+enum SettingsCommand {
+    /// Prints a complete example document.
     Example {
         #[arg(long, default_value_t = 2)]
         fronts: usize,
         #[arg(long, default_value_t = 6)]
         places: usize,
     },
-    /// Checks a document without giving it; `-` reads standard input.
+    /// Validates a document without sending it; `-` reads standard input.
     Check { file: PathBuf },
-    /// Prints the settings in force.
+    /// Prints the current settings.
     Get {
         #[command(flatten)]
-        at: At,
+        target: ControllerArg,
     },
-    /// Gives a document; a refused one changes nothing.
+    /// Replaces the settings; an invalid document changes nothing.
     Put {
         #[command(flatten)]
-        at: At,
+        target: ControllerArg,
         file: PathBuf,
     },
 }
 
-/// A plain error in use: exit code 2.
-pub struct Bad2(pub String);
+/// An error that ends the command with exit code 2.
+pub struct CliError(pub String);
 
-fn ready(at: SocketAddr) {
-    println!("listening {at}");
+/// Prints the line that parent processes read to learn the address.
+fn print_listening(address: SocketAddr) {
+    println!("listening {address}");
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let log_writer = log_writer::LogWriter::begin(cli.log);
-    let shared = log_writer.clone();
-    let made = tracing_subscriber::fmt().with_writer(move || shared.clone()).with_target(false);
+    let log_writer = log_writer::LogWriter::start(cli.log);
+    let writer = log_writer.clone();
+    let subscriber = tracing_subscriber::fmt().with_writer(move || writer.clone()).with_target(false);
     match cli.log {
-        Log::Json => made.json().flatten_event(true).init(),
-        Log::Text => made.with_ansi(false).init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
+        LogFormat::Text => subscriber.with_ansi(false).init(),
     }
     if let Some(file) = cli.disk_lies {
         rockpick_files::inject_faults_from(file);
     }
     rockpick_net::set_clock_skew(cli.clock_ppm.unwrap_or(0));
-    let end = act(cli.what).and_then(|code| match rockpick_rehearse::out_lost() {
+    let result = run_command(cli.command).and_then(|code| match rockpick_rehearse::out_lost() {
         None => Ok(code),
-        Some(why) => Err(Bad2(format!("standard output: {why}"))),
+        Some(why) => Err(CliError(format!("standard output: {why}"))),
     });
-    log_writer.end();
-    match end {
+    log_writer.finish();
+    match result {
         Ok(code) => code,
-        Err(Bad2(why)) => {
+        Err(CliError(why)) => {
             eprintln!("rockpick: {why}");
             ExitCode::from(2)
         }
     }
 }
 
-/// Names go into paths, targets and headers.
-fn named(flag: &str, name: &str) -> Result<(), Bad2> {
+/// Validates a name, which becomes part of paths, request targets and headers.
+fn check_name(flag: &str, name: &str) -> Result<(), CliError> {
     match is_valid_name(name) {
         true => Ok(()),
-        false => Err(Bad2(format!("{flag} {name:?}: 1 to 64 letters, digits, '-', '_' or '.'"))),
+        false => Err(CliError(format!("{flag} {name:?}: 1 to 64 letters, digits, '-', '_' or '.'"))),
     }
 }
 
-fn act(what: What) -> Result<ExitCode, Bad2> {
-    let good = Ok(ExitCode::SUCCESS);
-    match what {
-        What::Controller { listen, state, repo } => {
-            rockpick_control::Controller { listen: listen.listen, state, repo }.run(ready).map_err(Bad2)?;
-            good
+fn run_command(command: Command) -> Result<ExitCode, CliError> {
+    let success = Ok(ExitCode::SUCCESS);
+    match command {
+        Command::Controller { listen, state, repo } => {
+            rockpick_control::Controller { listen: listen.listen, state, repo }
+                .run(print_listening)
+                .map_err(CliError)?;
+            success
         }
-        What::Node { circle } => {
-            let mut config = rockpick_node::Config::read(|name| std::env::var(name).ok()).map_err(Bad2)?;
-            config.circle = circle.circle()?;
-            rockpick_node::run(config, ready).map_err(Bad2)?;
-            good
+        Command::Node { peers } => {
+            let mut config =
+                rockpick_node::Config::read(|name| std::env::var(name).ok()).map_err(CliError)?;
+            config.circle = peers.config()?;
+            rockpick_node::run(config, print_listening).map_err(CliError)?;
+            success
         }
-        What::Front { listen, at, name, state, seed, clients, profile, notes_at, circle } => {
-            named("--name", &name)?;
+        Command::Front { listen, target, name, state, seed, clients, profile, notes_at, peers } => {
+            check_name("--name", &name)?;
             if clients == 0 {
-                return Err(Bad2("--clients: 1 or more".into()));
+                return Err(CliError("--clients: must be 1 or more".into()));
             }
-            // Their snapshots would be the controller's, and those of another front's tenants, or in its peers' way.
-            let anothers = [".tenants", ".peers"].iter().any(|end| name.ends_with(end));
-            if state.is_some() && (name == "controller" || anothers) {
-                return Err(Bad2(format!("--name {name}: its snapshot would be another's")));
+            // The snapshot file of such a name would collide with the controller's, or with the tenants or peers file
+            // of another front.
+            let collides = [".tenants", ".peers"].iter().any(|suffix| name.ends_with(suffix));
+            if state.is_some() && (name == "controller" || collides) {
+                return Err(CliError(format!(
+                    "--name {name}: its snapshot file would collide with another process's"
+                )));
             }
-            let mut circle = circle.circle()?;
-            if let (Some(circle), Some(dir)) = (&mut circle, &state) {
-                std::fs::create_dir_all(dir).map_err(|err| Bad2(format!("{}: {err}", dir.display())))?;
-                circle.row_log = Some(dir.join(format!("{name}.peers.rows")));
+            let mut peers = peers.config()?;
+            if let (Some(peers), Some(dir)) = (&mut peers, &state) {
+                std::fs::create_dir_all(dir).map_err(|err| CliError(format!("{}: {err}", dir.display())))?;
+                peers.row_log = Some(dir.join(format!("{name}.peers.rows")));
             }
-            let opening = rockpick_front::Options {
+            let options = rockpick_front::Options {
                 name,
                 listen: listen.listen,
-                controller: at.controller,
+                controller: target.controller,
                 state,
                 seed,
                 profile,
                 max_clients: clients,
                 notes_at,
-                peers: circle,
+                peers,
             };
-            rockpick_front::run(opening, ready).map_err(Bad2)?;
-            good
+            rockpick_front::run(options, print_listening).map_err(CliError)?;
+            success
         }
-        What::Peers { what } => match what {
-            PeersWhat::Show { front, json } => ask::peers(front, json),
-            PeersWhat::State { front, table, json } => ask::rows(front, &table, json),
-            PeersWhat::Differ { fronts } => ask::differ(&fronts),
+        Command::Peers { command } => match command {
+            PeersCommand::Show { front, json } => api_client::print_peers(front, json),
+            PeersCommand::State { front, table, json } => api_client::print_rows(front, &table, json),
+            PeersCommand::Differ { fronts } => api_client::print_differences(&fronts),
         },
-        What::Storm { peers, seeds, first, lanes, shrink, plan } => {
+        Command::Storm { peers, seeds, first, lanes, shrink, plan } => {
             if !(2..=50).contains(&peers) {
-                return Err(Bad2("--peers: 2 to 50".into()));
+                return Err(CliError("--peers: must be 2 to 50".into()));
             }
-            let read = |file: PathBuf| -> Result<rockpick_storm::Plan, Bad2> {
-                let named = |why: String| Bad2(format!("{}: {why}", file.display()));
-                let text = std::fs::read_to_string(&file).map_err(|err| named(err.to_string()))?;
-                rockpick_storm::Plan::read(&text).map_err(named)
+            let read = |file: PathBuf| -> Result<rockpick_storm::Plan, CliError> {
+                let error = |why: String| CliError(format!("{}: {why}", file.display()));
+                let text = std::fs::read_to_string(&file).map_err(|err| error(err.to_string()))?;
+                rockpick_storm::Plan::read(&text).map_err(error)
             };
             let plan = plan.map(read).transpose()?;
-            let kept = storms::Storms { fronts: peers, first, seeds, lanes, plan, shrinks: shrink }.run()?;
-            Ok(ExitCode::from(u8::from(!kept)))
+            let passed = storm::Storms { fronts: peers, first, seeds, lanes, plan, shrink }.run()?;
+            Ok(ExitCode::from(u8::from(!passed)))
         }
-        What::Agent { at, machine, state, root, rate, seed, take_down } => {
-            named("--machine", &machine)?;
+        Command::Agent { target, machine, state, root, rate, seed, take_down } => {
+            check_name("--machine", &machine)?;
             if !(1e3..=1e12).contains(&rate) {
-                return Err(Bad2("--rate: 1000 to 1e12 bytes a second".into()));
+                return Err(CliError("--rate: must be 1000 to 1e12 bytes per second".into()));
             }
-            let controller = at.controller;
+            let controller = target.controller;
             let agent =
                 rockpick_agent::Agent { place: machine, controller, state, root, rate, seed, take_down };
-            agent.run(|| println!("agent up")).map_err(Bad2)?;
-            good
+            agent.run(|| println!("agent up")).map_err(CliError)?;
+            success
         }
-        What::Repo { what } => repo(what),
-        What::Machine { listen, at, name, place, build, cores, speed, bad, record, seed, warm, agent } => {
-            named("--name", &name)?;
-            named("--place", &place)?;
+        Command::Repo { command } => run_repo(command),
+        Command::Machine {
+            listen,
+            target,
+            name,
+            place,
+            build,
+            cores,
+            speed,
+            bad,
+            record,
+            seed,
+            warm,
+            agent,
+        } => {
+            check_name("--name", &name)?;
+            check_name("--place", &place)?;
             let bad = match bad {
                 None => None,
                 Some(text) => {
-                    Some(Bad::read(&text).ok_or(Bad2(format!("--bad {text}: KIND:SIZE is wanted")))?)
+                    Some(Bad::read(&text).ok_or(CliError(format!("--bad {text}: expected KIND:SIZE")))?)
                 }
             };
             if !(speed > 0.0 && speed <= 1e3 && (1..=1024).contains(&cores)) {
-                return Err(Bad2("--speed: above 0; --cores: 1 to 1024".into()));
+                return Err(CliError(
+                    "--speed: must be above 0, at most 1000; --cores: must be 1 to 1024".into(),
+                ));
             }
-            let (listen, controller) = (listen.listen, at.controller);
-            let m = Machine {
+            let (listen, controller) = (listen.listen, target.controller);
+            let stand_in = Machine {
                 name,
                 place,
                 build,
@@ -602,25 +625,41 @@
                 warm,
                 agent,
             };
-            m.run(ready).map_err(Bad2)?;
-            good
+            stand_in.run(print_listening).map_err(CliError)?;
+            success
         }
-        What::Client { listen, at, fronts, rate, seconds, retries, work_ms, disputes, record, seed } => {
-            let charter = ask::settings(at.controller)?;
+        Command::Client {
+            listen,
+            target,
+            fronts,
+            rate,
+            seconds,
+            retries,
+            work_ms,
+            disputes,
+            record,
+            seed,
+        } => {
+            let settings = api_client::settings(target.controller)?;
             let (names, fronts) = match fronts.is_empty() {
-                true => ask::fronts(at.controller)?,
-                false => (charter.fronts.iter().map(|f| f.name.clone()).take(fronts.len()).collect(), fronts),
+                true => api_client::fronts(target.controller)?,
+                false => {
+                    (settings.fronts.iter().map(|f| f.name.clone()).take(fronts.len()).collect(), fronts)
+                }
             };
             if fronts.is_empty() || names.len() != fronts.len() {
-                return Err(Bad2("no fronts, or more addresses than there are fronts".into()));
+                return Err(CliError(
+                    "no fronts are known, or --fronts has more addresses than the settings have fronts"
+                        .into(),
+                ));
             }
             if !(rate > 0.0 && seconds > 0.0 && work_ms > 0.0) {
-                return Err(Bad2("--rate, --seconds and --work-ms must be above 0".into()));
+                return Err(CliError("--rate, --seconds and --work-ms must be above 0".into()));
             }
             let clients = Clients {
                 fronts,
                 names,
-                charter,
+                charter: settings,
                 load: Load { rate, ..Load::default() },
                 listen: listen.listen,
                 lasts: (seconds * SEC as f64) as i64,
@@ -630,85 +669,102 @@
                 record,
                 seed,
             };
-            let (t, times) = clients.run(ready).map_err(Bad2)?;
-            let ms = |q: f64| times.value_at_quantile(q) as f64 / (MS / 1_000) as f64;
+            let (tally, times) = clients.run(print_listening).map_err(CliError)?;
+            let quantile_ms = |q: f64| times.value_at_quantile(q) as f64 / (MS / 1_000) as f64;
             println!("service {:.3}  rpcs {}  ok {}  late {}  pushed back {}  aborted {}  unanswered {}  not sent {}",
-                t.served / t.asked.max(1e-9), t.rpcs, t.ok, t.late, t.pushed_back, t.aborted, t.unanswered, t.not_sent);
-            println!("ok after ms: p50 {:.1}  p90 {:.1}  p99 {:.1}", ms(0.5), ms(0.9), ms(0.99));
-            good
+                tally.served / tally.asked.max(1e-9), tally.rpcs, tally.ok, tally.late, tally.pushed_back, tally.aborted,
+                tally.unanswered, tally.not_sent);
+            println!(
+                "ok after ms: p50 {:.1}  p90 {:.1}  p99 {:.1}",
+                quantile_ms(0.5),
+                quantile_ms(0.9),
+                quantile_ms(0.99)
+            );
+            success
         }
-        What::Directory { listen, control, ldaps, name, expired, account } => {
-            let split = |a: &String| a.rsplit_once('=').map(|(dn, p)| (dn.to_string(), p.to_string()));
+        Command::Directory { listen, control, ldaps, name, expired, account } => {
+            let split = |account: &String| {
+                account.rsplit_once('=').map(|(dn, password)| (dn.to_string(), password.to_string()))
+            };
             let accounts: Option<Vec<(String, String)>> = account.iter().map(split).collect();
-            let accounts = accounts.ok_or(Bad2("--account: DN=PASSWORD is wanted".into()))?;
+            let accounts = accounts.ok_or(CliError("--account: expected DN=PASSWORD".into()))?;
             let listen = listen.listen;
             let server =
                 rockpick_standin::DirectoryServer { listen, control, ldaps, name, expired, accounts };
-            let told = |at, control| {
-                ready(at);
+            let print_addresses = |address, control| {
+                print_listening(address);
                 println!("control {control}");
             };
-            server.run(told).map_err(Bad2)?;
-            good
+            server.run(print_addresses).map_err(CliError)?;
+            success
         }
-        What::Confirm { controller, front } => {
+        Command::Confirm { controller, front } => {
             let fronts = match controller {
-                Some(at) if front.is_empty() => ask::fronts(at)?.1,
+                Some(at) if front.is_empty() => api_client::fronts(at)?.1,
                 _ => front,
             };
-            // Each is told, whatever became of the others.
-            let mut bad = fronts.is_empty();
+            // A failure at one front does not keep the others from being told.
+            let mut failed = fronts.is_empty();
             for front in &fronts {
-                match ask::call(*front, "POST", "/directory/confirm", "") {
+                match api_client::call(*front, "POST", "/directory/confirm", "") {
                     Ok(answer) => {
-                        bad |= answer.status != 200;
+                        failed |= answer.status != 200;
                         println!("{front}: {}", String::from_utf8_lossy(&answer.body).trim_end());
                     }
-                    Err(Bad2(why)) => {
-                        bad = true;
+                    Err(CliError(why)) => {
+                        failed = true;
                         println!("{front}: {why}");
                     }
                 }
             }
-            Ok(if bad { ExitCode::from(1) } else { ExitCode::SUCCESS })
+            Ok(if failed { ExitCode::from(1) } else { ExitCode::SUCCESS })
         }
-        What::Faulty { listen, at, name, breaks, seed } => {
-            let (listen, controller) = (listen.listen, at.controller);
-            rockpick_standin::Faulty { name, listen, controller, breaks, seed }.run(ready).map_err(Bad2)?;
-            good
+        Command::Faulty { listen, target, name, breaks, seed } => {
+            let (listen, controller) = (listen.listen, target.controller);
+            rockpick_standin::Faulty { name, listen, controller, breaks, seed }
+                .run(print_listening)
+                .map_err(CliError)?;
+            success
         }
-        What::Rehearse(plan) => match rockpick_rehearse::run(*plan) {
-            Ok(kept) => Ok(if kept { ExitCode::SUCCESS } else { ExitCode::from(1) }),
-            Err(why) => Err(Bad2(why)),
+        Command::Rehearse(plan) => match rockpick_rehearse::run(*plan) {
+            Ok(passed) => Ok(if passed { ExitCode::SUCCESS } else { ExitCode::from(1) }),
+            Err(why) => Err(CliError(why)),
         },
-        What::Emulate(emulate) => emulate.run(),
-        What::Load(load) => load.run(),
-        What::Experiment { what } => what.run(),
-        What::Settings { what } => settings(what),
-        What::Offer { at, build } => {
-            ask::say(at.controller, "POST", "/builds", &format!("{{\"build\":{build}}}"))
+        Command::Emulate(emulate) => emulate.run(),
+        Command::Load(load) => load.run(),
+        Command::Experiment { command } => command.run(),
+        Command::Settings { command } => run_settings(command),
+        Command::Offer { target, build } => api_client::call_and_print(
+            target.controller,
+            "POST",
+            "/builds",
+            &format!("{{\"build\":{build}}}"),
+        ),
+        Command::Back { target, build } => {
+            api_client::call_and_print(target.controller, "POST", &format!("/builds/{build}/back"), "")
         }
-        What::Back { at, build } => ask::say(at.controller, "POST", &format!("/builds/{build}/back"), ""),
-        What::Status { at, json } => ask::status(at.controller, json),
-        What::Bench { what: Bench::Front(front) } => front.run(),
-        What::Bench { what: Bench::Agents(agents) } => agents.run(),
-        What::Bench { what: Bench::Tenants(tenants) } => tenants.run(),
+        Command::Status { target, json } => api_client::print_status(target.controller, json),
+        Command::Bench { command: BenchCommand::Front(front) } => front.run(),
+        Command::Bench { command: BenchCommand::Agents(agents) } => agents.run(),
+        Command::Bench { command: BenchCommand::Tenants(tenants) } => tenants.run(),
     }
 }
 
-fn repo(what: RepoDo) -> Result<ExitCode, Bad2> {
+fn run_repo(command: RepoCommand) -> Result<ExitCode, CliError> {
     use rockpick_trust::repo::Repo;
-    let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let now = wall.map_or(0, |d| d.as_secs() as i64);
+    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    let now = since_epoch.map_or(0, |d| d.as_secs() as i64);
     let open = |dir: PathBuf| Repo { dir, now };
-    match what {
-        RepoDo::Init { at, many } => open(at.dir).init(&at.keys, many).map_err(Bad2)?,
-        RepoDo::Add { at, build, pack, artefact } => {
-            println!("{}", open(at.dir).add(&at.keys, build, &artefact, pack).map_err(Bad2)?);
+    match command {
+        RepoCommand::Init { paths, many } => open(paths.dir).init(&paths.keys, many).map_err(CliError)?,
+        RepoCommand::Add { paths, build, pack, artefact } => {
+            println!("{}", open(paths.dir).add(&paths.keys, build, &artefact, pack).map_err(CliError)?);
+        }
+        RepoCommand::Sign { paths, role } => open(paths.dir).sign(&paths.keys, &role).map_err(CliError)?,
+        RepoCommand::Rotate { paths, role } => {
+            open(paths.dir).rotate(&paths.keys, &role).map_err(CliError)?
         }
-        RepoDo::Sign { at, role } => open(at.dir).sign(&at.keys, &role).map_err(Bad2)?,
-        RepoDo::Rotate { at, role } => open(at.dir).rotate(&at.keys, &role).map_err(Bad2)?,
-        RepoDo::Verify { dir, root } => {
+        RepoCommand::Verify { dir, root } => {
             let root = read(&root.unwrap_or_else(|| dir.join("metadata/1.root.json")))?;
             match open(dir).verify(&root) {
                 Ok(builds) => println!("good: {}", builds.join(" ")),
@@ -722,46 +778,48 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn read(file: &std::path::Path) -> Result<Vec<u8>, Bad2> {
+fn read(file: &std::path::Path) -> Result<Vec<u8>, CliError> {
     let mut text = Vec::new();
-    let done = if file.as_os_str() == "-" {
+    let result = if file.as_os_str() == "-" {
         std::io::Read::read_to_end(&mut std::io::stdin(), &mut text).map(drop)
     } else {
         std::fs::read(file).map(|t| text = t)
     };
-    done.map_err(|err| Bad2(format!("{}: {err}", file.display())))?;
+    result.map_err(|err| CliError(format!("{}: {err}", file.display())))?;
     Ok(text)
 }
 
-fn settings(what: Settings) -> Result<ExitCode, Bad2> {
-    match what {
-        Settings::Example { fronts, places } => {
-            let charter = rockpick_control::Settings::example(fronts, places);
-            if let Some(wrong) = charter.validate().first() {
-                return Err(Bad2(format!("{}: {}", wrong.field, wrong.why)));
+fn run_settings(command: SettingsCommand) -> Result<ExitCode, CliError> {
+    match command {
+        SettingsCommand::Example { fronts, places } => {
+            let example = rockpick_control::Settings::example(fronts, places);
+            if let Some(invalid) = example.validate().first() {
+                return Err(CliError(format!("{}: {}", invalid.field, invalid.why)));
             }
-            println!("{}", serde_json::to_string_pretty(&charter).unwrap_or_default());
+            println!("{}", serde_json::to_string_pretty(&example).unwrap_or_default());
             Ok(ExitCode::SUCCESS)
         }
-        Settings::Check { file } => match rockpick_control::Settings::parse(&read(&file)?) {
+        SettingsCommand::Check { file } => match rockpick_control::Settings::parse(&read(&file)?) {
             Ok(_) => {
                 println!("good");
                 Ok(ExitCode::SUCCESS)
             }
-            Err(wrong) => {
-                wrong.iter().for_each(|w| println!("{}: {}", w.field, w.why));
+            Err(errors) => {
+                errors.iter().for_each(|error| println!("{}: {}", error.field, error.why));
                 Ok(ExitCode::from(1))
             }
         },
-        Settings::Get { at } => ask::say(at.controller, "GET", "/settings", ""),
-        Settings::Put { at, file } => {
+        SettingsCommand::Get { target } => {
+            api_client::call_and_print(target.controller, "GET", "/settings", "")
+        }
+        SettingsCommand::Put { target, file } => {
             let text = read(&file)?;
-            // What `get` prints may be given back as it is.
+            // Accepts the output of `get`, which wraps the settings in an object, as well as a bare document.
             let text = match serde_json::from_slice::<serde_json::Value>(&text) {
                 Ok(mut value) if value.get("settings").is_some() => value["settings"].take().to_string(),
                 _ => String::from_utf8_lossy(&text).into_owned(),
             };
-            ask::say(at.controller, "PUT", "/settings", &text)
+            api_client::call_and_print(target.controller, "PUT", "/settings", &text)
         }
     }
 }
