--- a/ldap/src/frames.rs
+++ b/ldap/src/frames.rs
@@ -15,7 +15,7 @@
 
 /// Parses the header at the start of `bytes`: its length, the content's length, and whether the encoding is
 /// constructed.
-fn header(bytes: &[u8]) -> Result<Option<(usize, usize, bool)>, FrameError> {
+fn parse_header(bytes: &[u8]) -> Result<Option<(usize, usize, bool)>, FrameError> {
     let Some(&tag) = bytes.first() else { return Ok(None) };
     if tag & 0x1f == 0x1f {
         return Err(FrameError("multi-byte tag"));
@@ -50,7 +50,7 @@
         }
         let Some(&end) = ends.last() else { return Ok(()) };
         let (head, length, constructed) =
-            header(&message[at..end])?.ok_or(FrameError("element truncated by its parent"))?;
+            parse_header(&message[at..end])?.ok_or(FrameError("element truncated by its parent"))?;
         elements += 1;
         if elements > MAX_ELEMENTS {
             return Err(FrameError("too many elements"));
@@ -104,7 +104,7 @@
             Some(0x30) => {}
             Some(_) => return Err(FrameError("message is not a sequence")),
         }
-        let Some((head, length, _)) = header(rest)? else { return Ok(None) };
+        let Some((head, length, _)) = parse_header(rest)? else { return Ok(None) };
         if length > MAX_MESSAGE {
             return Err(FrameError("message too long"));
         }
--- a/ldap/src/session.rs
+++ b/ldap/src/session.rs
@@ -48,7 +48,7 @@
     pub time_limit: u32,
     /// Use content synchronization if the root DSE lists it.
     pub sync: bool,
-    /// Interval between polls, and between probes of an idle connection under content synchronization.
+    /// Interval response polls, and response probes of an idle connection under content synchronization.
     pub poll_interval: Ns,
     /// Every this many polls all entries are requested, as only that reveals deletions.
     pub full_poll_every: u32,
@@ -96,9 +96,19 @@
     Handshake,
     Bind(u32),
     RootDse(u32),
-    Sync { id: u32, persisting: bool },
-    Page { id: u32, complete: bool },
-    Idle { until: Ns },
+    /// Content synchronization; `persisting`: the refresh is complete and changes follow.
+    Sync {
+        id: u32,
+        persisting: bool,
+    },
+    /// A paged search; `complete`: for all entries rather than the latest changes.
+    Page {
+        id: u32,
+        complete: bool,
+    },
+    Idle {
+        until: Ns,
+    },
     Closed,
 }
 
@@ -112,7 +122,7 @@
     secured: bool,
     cookie: Option<Vec<u8>>,
     /// Whether content synchronization is used.
-    server_syncs: bool,
+    uses_sync: bool,
     /// Number of entries in this refresh.
     entries: usize,
     polls: u32,
@@ -141,7 +151,7 @@
             last_id: 0,
             secured,
             cookie,
-            server_syncs: false,
+            uses_sync: false,
             entries: 0,
             polls: 0,
             latest_timestamp: String::new(),
@@ -266,7 +276,7 @@
     fn request_content(&mut self, now: Ns) {
         self.entries = 0;
         self.actions.push(Action::Update(ContentUpdate::RefreshStarted));
-        if self.server_syncs {
+        if self.uses_sync {
             let request = self.search(
                 &self.config.base,
                 true,
@@ -367,8 +377,8 @@
                 code => self.fail("bind", code, &b.diagnostic_message, b.referral),
             },
             (State::RootDse(id), Op::Entry(entry)) if *id == message.id => {
-                let has = entry.values("supportedControl").any(|c| c == SYNC_REQUEST);
-                self.server_syncs = has && self.config.sync;
+                let supports_sync = entry.values("supportedControl").any(|c| c == SYNC_REQUEST);
+                self.uses_sync = supports_sync && self.config.sync;
                 self.deadline = now + self.config.response_timeout;
             }
             (State::RootDse(id), Op::SearchDone(done)) if *id == message.id => match done.code.0 {
@@ -395,9 +405,11 @@
         }
     }
 
-    fn fail(&mut self, what: &str, code: u32, why: &[u8], referral: Option<Vec<rasn::types::OctetString>>) {
+    fn fail(
+        &mut self, operation: &str, code: u32, why: &[u8], referral: Option<Vec<rasn::types::OctetString>>,
+    ) {
         let referral = referral.unwrap_or_default().iter().map(|u| printable(u)).collect();
-        self.end(format!("{what} refused: {code} {}", printable(why)), referral);
+        self.end(format!("{operation} refused: {code} {}", printable(why)), referral);
     }
 
     /// Counts an entry. Ends the session and returns false if there are too many.
@@ -450,11 +462,11 @@
                 }
                 self.update_cookie(state.cookie.map(|c| c.to_vec()));
             }
-            Op::IntermediateResponse(between)
-                if between.name.as_ref().is_some_and(|n| n.as_ref() == SYNC_INFO) =>
+            Op::IntermediateResponse(response)
+                if response.name.as_ref().is_some_and(|n| n.as_ref() == SYNC_INFO) =>
             {
                 self.deadline = now + self.config.response_timeout;
-                let Some(info) = between.value.and_then(|v| decode_value::<SyncInfo>(&v)) else {
+                let Some(info) = response.value.and_then(|v| decode_value::<SyncInfo>(&v)) else {
                     return self.end("invalid sync info message", Vec::new());
                 };
                 match info {
@@ -488,7 +500,7 @@
                 }
                 SUCCESS => self.end("the server ended the synchronization", Vec::new()),
                 UNAVAILABLE_CRITICAL_EXTENSION => {
-                    self.server_syncs = false;
+                    self.uses_sync = false;
                     self.request_content(now);
                 }
                 code => self.fail("synchronization", code, &done.diagnostic_message, done.referral),
--- a/tenant/src/limit.rs
+++ b/tenant/src/limit.rs
@@ -309,6 +309,7 @@
         let finished = served + refused;
         self.peak = (self.peak * PEAK_DECAY).max(served);
         let overloaded = finished * window >= MIN_FINISHED && refused > OVERLOAD_REFUSED_FRACTION * finished;
+        // Overload ends once fewer RPCs arrive than could be served recently.
         let recovered = received < 0.9 * self.peak;
         self.divided_rate =
             (overloaded || self.divided_rate.is_some() && !recovered).then_some(PEAK_HEADROOM * self.peak);
--- a/tenant/src/model.rs
+++ b/tenant/src/model.rs
@@ -139,8 +139,8 @@
 
 impl Tenants {
     /// The tenant of an identity.
-    pub fn tenant_of(&self, who: &Identity) -> Option<Id> {
-        self.identities.get(who).copied()
+    pub fn tenant_of(&self, identity: &Identity) -> Option<Id> {
+        self.identities.get(identity).copied()
     }
 
     /// The tenant with a current or former name.
@@ -200,15 +200,15 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Kind {
+enum EntryKind {
     Tenant { name: Box<str>, share: f64, rate: Option<f64>, members: Vec<String>, merged: Vec<[u8; 16]> },
-    Principal { who: Vec<Identity>, tenant: Option<Box<str>> },
+    Principal { identities: Vec<Identity>, tenant: Option<Box<str>> },
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct ParsedEntry {
     dn: String,
-    kind: Kind,
+    kind: EntryKind,
 }
 
 /// A loss of tenants that is not applied until it is confirmed.
@@ -256,11 +256,11 @@
 }
 
 impl TenantIndex {
-    fn of(entries: &BTreeMap<[u8; 16], ParsedEntry>) -> TenantIndex {
+    fn build(entries: &BTreeMap<[u8; 16], ParsedEntry>) -> TenantIndex {
         let (mut names, mut dns, mut members, mut merged) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         for (uuid, parsed) in entries {
-            let Kind::Tenant { name, members: m, merged: from, .. } = &parsed.kind else { continue };
+            let EntryKind::Tenant { name, members: m, merged: from, .. } = &parsed.kind else { continue };
             // Of two tenants with the same name the one with the lower entryUUID gets it, in whichever order they
             // arrive.
             names.entry(name.to_lowercase()).or_insert(*uuid);
@@ -352,19 +352,19 @@
             let members = texts(&t.member).iter().take(MAX_MEMBERS).map(|dn| normalize_dn(dn)).collect();
             let merged = texts(&t.merged).iter().filter_map(|u| parse_uuid(u)).collect();
             let share = number(&t.share).filter(|s| *s > 0.0).unwrap_or(1.0);
-            Kind::Tenant { name, share, rate: number(&t.rate), members, merged }
+            EntryKind::Tenant { name, share, rate: number(&t.rate), members, merged }
         } else {
-            let mut who: Vec<Identity> = Vec::new();
-            who.extend(texts(&t.principal).into_iter().map(|p| Identity::Principal(p.into())));
-            who.extend(texts(&t.certificate).into_iter().map(|c| Identity::Certificate(c.into())));
-            who.extend(texts(&t.key).iter().filter_map(|k| parse_digest(k)).map(Identity::Key));
-            who.truncate(MAX_IDENTITIES);
-            Kind::Principal { who, tenant: first(&t.tenant).map(Into::into) }
+            let mut identities: Vec<Identity> = Vec::new();
+            identities.extend(texts(&t.principal).into_iter().map(|p| Identity::Principal(p.into())));
+            identities.extend(texts(&t.certificate).into_iter().map(|c| Identity::Certificate(c.into())));
+            identities.extend(texts(&t.key).iter().filter_map(|k| parse_digest(k)).map(Identity::Key));
+            identities.truncate(MAX_IDENTITIES);
+            EntryKind::Principal { identities, tenant: first(&t.tenant).map(Into::into) }
         };
         Some(ParsedEntry { dn: normalize_dn(&dn), kind })
     }
 
-    fn put(&mut self, uuid: [u8; 16], parsed: Option<ParsedEntry>) {
+    fn set_entry(&mut self, uuid: [u8; 16], parsed: Option<ParsedEntry>) {
         let before = match parsed.clone() {
             Some(parsed) => self.entries.insert(uuid, parsed),
             None => self.entries.remove(&uuid),
@@ -373,7 +373,7 @@
             return;
         }
         let is_tenant =
-            |k: &Option<ParsedEntry>| matches!(k, Some(ParsedEntry { kind: Kind::Tenant { .. }, .. }));
+            |k: &Option<ParsedEntry>| matches!(k, Some(ParsedEntry { kind: EntryKind::Tenant { .. }, .. }));
         self.needs_rebuild |= is_tenant(&before) || is_tenant(&parsed);
         self.changed.entry(uuid).or_insert(before);
     }
@@ -391,7 +391,7 @@
                 });
                 match self.parse_entry(&entry) {
                     Some(parsed) if self.entries.len() < MAX_ENTRIES || self.entries.contains_key(&uuid) => {
-                        self.put(uuid, Some(parsed));
+                        self.set_entry(uuid, Some(parsed));
                     }
                     // An entry that has become invalid keeps its former content: it must not affect others.
                     _ => self.ignored_entries += 1,
@@ -405,13 +405,13 @@
                 false
             }
             ContentUpdate::Deleted(uuid) => {
-                self.put(uuid, None);
+                self.set_entry(uuid, None);
                 self.seen.is_none() && self.publish(now, false)
             }
             ContentUpdate::RefreshCompleted { complete } => {
                 if let Some(seen) = self.seen.take().filter(|_| complete) {
                     let gone: Vec<_> = self.entries.keys().filter(|u| !seen.contains(*u)).copied().collect();
-                    gone.into_iter().for_each(|uuid| self.put(uuid, None));
+                    gone.into_iter().for_each(|uuid| self.set_entry(uuid, None));
                 }
                 self.refreshed_at = Some(now);
                 self.publish(now, false)
@@ -436,7 +436,7 @@
         let max_loss = (baseline.len() as f64 * self.tenancy.believe_loss).max(ALWAYS_PLAUSIBLE_LOSS as f64);
         if missing as f64 > max_loss || present.is_empty() && !baseline.is_empty() {
             // Merged tenants are not lost. They are only counted here, as this iterates over all entries.
-            let index = TenantIndex::of(&self.entries);
+            let index = TenantIndex::build(&self.entries);
             let merged =
                 baseline.iter().filter(|u| !present.contains(*u) && index.merged.contains_key(*u)).count();
             if (missing - merged) as f64 > max_loss || present.is_empty() {
@@ -458,7 +458,7 @@
         }
         if self.needs_rebuild || self.suspicion.is_some() || confirmed {
             let tenant =
-                |(u, k): (&[u8; 16], &ParsedEntry)| matches!(k.kind, Kind::Tenant { .. }).then_some(*u);
+                |(u, k): (&[u8; 16], &ParsedEntry)| matches!(k.kind, EntryKind::Tenant { .. }).then_some(*u);
             let present: BTreeSet<[u8; 16]> = self.entries.iter().filter_map(tenant).collect();
             if confirmed {
                 self.baseline = (now, present);
@@ -475,8 +475,8 @@
             // Only principals changed: only their identities need an update.
             let index = std::mem::take(&mut self.index);
             for (uuid, before) in std::mem::take(&mut self.changed) {
-                if let Some(ParsedEntry { kind: Kind::Principal { who, .. }, .. }) = &before {
-                    who.iter().for_each(|w| {
+                if let Some(ParsedEntry { kind: EntryKind::Principal { identities, .. }, .. }) = &before {
+                    identities.iter().for_each(|w| {
                         next.identities.remove(w);
                     });
                 }
@@ -492,11 +492,11 @@
 
     fn identify(&self, index: &TenantIndex, uuid: [u8; 16], next: &mut Tenants) {
         let Some(parsed) = self.entries.get(&uuid) else { return };
-        let Kind::Principal { who, tenant } = &parsed.kind else { return };
+        let EntryKind::Principal { identities, tenant } = &parsed.kind else { return };
         let tenant = index.tenant(parsed, tenant.as_deref(), self.tenancy.subtree);
         let id = tenant.and_then(|t| index.resolve_merges(t, &self.entries)).and_then(|t| self.ids.get(&t));
         if let Some(id) = id {
-            who.iter().for_each(|w| {
+            identities.iter().for_each(|w| {
                 next.identities.insert(w.clone(), *id);
             });
         }
@@ -504,11 +504,11 @@
 
     /// Rebuilds everything, after a tenant was added, deleted, moved or modified.
     fn rebuild(&mut self, now: Ns, next: &mut Tenants) {
-        let index = TenantIndex::of(&self.entries);
+        let index = TenantIndex::build(&self.entries);
         let former = std::mem::take(&mut next.names);
         let (mut tenants, mut names, mut pruned) = (OrdMap::new(), OrdMap::new(), false);
         for (uuid, parsed) in &self.entries {
-            let Kind::Tenant { name, share, rate, .. } = &parsed.kind else { continue };
+            let EntryKind::Tenant { name, share, rate, .. } = &parsed.kind else { continue };
             if self.ids.len() >= MAX_TENANTS && !pruned && !self.ids.contains_key(uuid) {
                 // Forgets deleted tenants, which accumulate over years. Done once, as it iterates over all of them.
                 self.ids.retain(|uuid, _| self.entries.contains_key(uuid));
@@ -557,7 +557,7 @@
     /// The state for a snapshot: the entries as last received, and the cookie for resuming synchronization.
     pub fn save(&self, now: Ns) -> DirectorySnapshot {
         let entries = self.entries.iter().map(|(uuid, k)| match &k.kind {
-            Kind::Tenant { name, share, rate, members, merged } => SnapshotEntry {
+            EntryKind::Tenant { name, share, rate, members, merged } => SnapshotEntry {
                 uuid: format_uuid(uuid),
                 dn: k.dn.clone(),
                 tenant: Some((name.to_string(), *share, *rate)),
@@ -565,11 +565,11 @@
                 merged: merged.iter().map(format_uuid).collect(),
                 ..SnapshotEntry::default()
             },
-            Kind::Principal { who, tenant } => SnapshotEntry {
+            EntryKind::Principal { identities, tenant } => SnapshotEntry {
                 uuid: format_uuid(uuid),
                 dn: k.dn.clone(),
                 of: tenant.as_ref().map(|t| t.to_string()),
-                who: who.iter().map(SnapshotIdentity::of).collect(),
+                who: identities.iter().map(SnapshotIdentity::of).collect(),
                 ..SnapshotEntry::default()
             },
         });
@@ -582,19 +582,19 @@
         for e in snapshot.entries.into_iter().take(MAX_ENTRIES) {
             let Some(id) = parse_uuid(&e.uuid) else { continue };
             let kind = match e.tenant {
-                Some((name, share, rate)) => Kind::Tenant {
+                Some((name, share, rate)) => EntryKind::Tenant {
                     name: name.into(),
                     share: Some(share).filter(|s| *s > 0.0 && *s <= 1e9).unwrap_or(1.0),
                     rate: rate.filter(|r| (0.0..=1e9).contains(r)),
                     members: e.members,
                     merged: e.merged.iter().filter_map(|u| parse_uuid(u)).collect(),
                 },
-                None => Kind::Principal {
-                    who: e.who.into_iter().filter_map(SnapshotIdentity::identity).collect(),
+                None => EntryKind::Principal {
+                    identities: e.who.into_iter().filter_map(SnapshotIdentity::identity).collect(),
                     tenant: e.of.map(Into::into),
                 },
             };
-            self.put(id, Some(ParsedEntry { dn: e.dn, kind }));
+            self.set_entry(id, Some(ParsedEntry { dn: e.dn, kind }));
         }
         self.cookie = snapshot.cookie;
         self.refreshed_at = snapshot
@@ -639,8 +639,8 @@
 }
 
 impl SnapshotIdentity {
-    fn of(who: &Identity) -> SnapshotIdentity {
-        match who {
+    fn of(identity: &Identity) -> SnapshotIdentity {
+        match identity {
             Identity::Principal(p) => SnapshotIdentity::Principal(p.to_string()),
             Identity::Certificate(c) => SnapshotIdentity::Certificate(c.to_string()),
             Identity::Key(k) => SnapshotIdentity::Key(hex::encode(k)),
