--- a/fakes/src/machine.rs
+++ b/fakes/src/machine.rs
@@ -309,9 +309,9 @@
                 return self.env.net.answer(conn, if fails { 500 } else { 200 }, &[], b"");
             }
             ("GET", "/status") => {
-                let (shop, now) = (&self.model, self.env.net.now());
-                let body = json!({ "machine": self.machine.name, "build": self.machine.build, "busy": shop.busy,
-                    "queue": shop.waiting(), "warmth": shop.warmth(now), "fallen": shop.collapsed, "ran": shop.serial });
+                let (model, now) = (&self.model, self.env.net.now());
+                let body = json!({ "machine": self.machine.name, "build": self.machine.build, "busy": model.busy,
+                    "queue": model.waiting(), "warmth": model.warmth(now), "fallen": model.collapsed, "ran": model.serial });
                 return self.env.net.answer(conn, 200, &[], format!("{body}\n").as_bytes());
             }
             _ => {}
--- a/fault-injection/src/simulation.rs
+++ b/fault-injection/src/simulation.rs
@@ -56,7 +56,7 @@
 const MAX_WAITING: usize = 200;
 
 pub struct Simulation<P> {
-    seats: Vec<Slot<P>>,
+    slots: Vec<Slot<P>>,
     heap: BinaryHeap<Reverse<(Ns, u64, usize)>>,
     dues: Vec<Option<Event>>,
     free: Vec<usize>,
@@ -76,7 +76,7 @@
 impl<P: SimulatedProcess> Simulation<P> {
     /// Creates a simulation in which all processes start together.
     pub fn new(plan: Plan, base: LinkConditions) -> Simulation<P> {
-        let seat = |_| Slot {
+        let slot = |_| Slot {
             process: None,
             instance: 0,
             started: 0,
@@ -88,7 +88,7 @@
             down: 0,
         };
         let mut world = Simulation {
-            seats: (0..plan.parts).map(seat).collect(),
+            slots: (0..plan.parts).map(slot).collect(),
             heap: BinaryHeap::new(),
             dues: Vec::new(),
             free: Vec::new(),
@@ -113,17 +113,17 @@
     }
 
     pub fn process(&self, who: usize) -> Option<&P> {
-        self.seats[who].process.as_ref()
+        self.slots[who].process.as_ref()
     }
 
     pub fn process_count(&self) -> usize {
-        self.seats.len()
+        self.slots.len()
     }
 
     /// The number of instances a process has had, its current clock, and whether it runs.
     pub fn status(&self, who: usize) -> (u32, Ns, bool) {
-        let seat = &self.seats[who];
-        (seat.instance, self.clock(who), seat.process.is_some() && seat.stopped == 0)
+        let slot = &self.slots[who];
+        (slot.instance, self.clock(who), slot.process.is_some() && slot.stopped == 0)
     }
 
     fn schedule(&mut self, at: Ns, due: Event) {
@@ -138,15 +138,15 @@
 
     /// The current time of a process's own clock.
     fn clock(&self, who: usize) -> Ns {
-        let seat = &self.seats[who];
-        let lived = self.now - seat.started;
-        lived + (i128::from(lived) * i128::from(seat.ppm) / 1_000_000) as Ns + seat.jumped
+        let slot = &self.slots[who];
+        let elapsed = self.now - slot.started;
+        elapsed + (i128::from(elapsed) * i128::from(slot.ppm) / 1_000_000) as Ns + slot.jumped
     }
 
     /// The simulation time at which a process's clock will show `own`.
     fn when(&self, who: usize, own: Ns) -> Ns {
         let left = (own - self.clock(who)).max(0);
-        self.now + (i128::from(left) * 1_000_000 / i128::from(1_000_000 + self.seats[who].ppm)) as Ns
+        self.now + (i128::from(left) * 1_000_000 / i128::from(1_000_000 + self.slots[who].ppm)) as Ns
     }
 
     /// Runs the plan to its end. `make` creates the next instance of a process, from its index, the number of earlier
@@ -158,7 +158,7 @@
         &mut self, step: Ns, mut make: impl FnMut(usize, u32, RestartState) -> P,
         mut check: impl FnMut(&Simulation<P>) -> Result<(), String>,
     ) -> Result<(), String> {
-        for who in 0..self.seats.len() {
+        for who in 0..self.slots.len() {
             self.begin(who, make(who, 0, RestartState::Empty));
         }
         self.schedule(step, Event::Check);
@@ -187,20 +187,20 @@
         check(self)
     }
 
-    fn begin(&mut self, who: usize, part: P) {
-        let seat = &mut self.seats[who];
-        seat.instance += 1;
-        (seat.process, seat.started, seat.jumped, seat.woken) = (Some(part), self.now, 0, false);
-        seat.waiting.clear();
-        self.with(who, |part, now, out| part.start(now, out));
+    fn begin(&mut self, who: usize, process: P) {
+        let slot = &mut self.slots[who];
+        slot.instance += 1;
+        (slot.process, slot.started, slot.jumped, slot.woken) = (Some(process), self.now, 0, false);
+        slot.waiting.clear();
+        self.with(who, |process, now, out| process.start(now, out));
     }
 
     fn with(&mut self, who: usize, act: impl FnOnce(&mut P, Ns, &mut Output)) {
         let now = self.clock(who);
-        let Some(part) = self.seats[who].process.as_mut() else { return };
+        let Some(process) = self.slots[who].process.as_mut() else { return };
         let mut out = Output::default();
-        act(part, now, &mut out);
-        let instance = self.seats[who].instance;
+        act(process, now, &mut out);
+        let instance = self.slots[who].instance;
         for own in out.timers {
             let own = own.max(now + 1);
             self.schedule(self.when(who, own), Event::Wake { who, instance, own });
@@ -217,7 +217,7 @@
     fn send(&mut self, from: usize, to: usize, mut bytes: Vec<u8>) {
         self.sent[from].0 += 1;
         self.sent[from].1 += bytes.len() as u64;
-        if to >= self.seats.len() {
+        if to >= self.slots.len() {
             return;
         }
         let way = self.way(from, to);
@@ -239,20 +239,20 @@
     }
 
     fn deliver(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
-        let seat = &mut self.seats[to];
-        if seat.stopped > 0 {
-            if seat.process.is_some() && seat.waiting.len() < MAX_WAITING {
-                seat.waiting.push((from, bytes));
+        let slot = &mut self.slots[to];
+        if slot.stopped > 0 {
+            if slot.process.is_some() && slot.waiting.len() < MAX_WAITING {
+                slot.waiting.push((from, bytes));
             }
             return;
         }
-        self.with(to, |part, now, out| part.receive(now, from, &bytes, out));
+        self.with(to, |process, now, out| process.receive(now, from, &bytes, out));
     }
 
     fn expire_timer(&mut self, who: usize, instance: u32, own: Ns) {
         let short = self.clock(who) < own;
-        let seat = &mut self.seats[who];
-        if seat.instance != instance {
+        let slot = &mut self.slots[who];
+        if slot.instance != instance {
             return;
         }
         // Event loops compare timers with the process's own clock: if its rate has changed since, wait for the rest.
@@ -260,11 +260,11 @@
             let at = self.when(who, own).max(self.now + 1);
             return self.schedule(at, Event::Wake { who, instance, own });
         }
-        if seat.stopped > 0 {
-            seat.woken = true;
+        if slot.stopped > 0 {
+            slot.woken = true;
             return;
         }
-        self.with(who, |part, now, out| part.wake(now, out));
+        self.with(who, |process, now, out| process.wake(now, out));
     }
 
     fn fault(&mut self, act: usize, begins: bool, make: &mut impl FnMut(usize, u32, RestartState) -> P) {
@@ -276,38 +276,38 @@
         match self.plan.acts[act].fault.clone() {
             Fault::Links { .. } | Fault::Disk { .. } => {}
             Fault::Stop { who } => {
-                let seat = &mut self.seats[who];
-                seat.stopped = if begins { seat.stopped + 1 } else { seat.stopped.saturating_sub(1) };
-                if !begins && seat.stopped == 0 {
+                let slot = &mut self.slots[who];
+                slot.stopped = if begins { slot.stopped + 1 } else { slot.stopped.saturating_sub(1) };
+                if !begins && slot.stopped == 0 {
                     // Delivers what has waited in the order of an event loop: sockets before timers.
                     let (waiting, woken) =
-                        (std::mem::take(&mut seat.waiting), std::mem::take(&mut seat.woken));
+                        (std::mem::take(&mut slot.waiting), std::mem::take(&mut slot.woken));
                     for (from, bytes) in waiting {
-                        self.with(who, |part, now, out| part.receive(now, from, &bytes, out));
+                        self.with(who, |process, now, out| process.receive(now, from, &bytes, out));
                     }
                     if woken {
-                        self.with(who, |part, now, out| part.wake(now, out));
+                        self.with(who, |process, now, out| process.wake(now, out));
                     }
                 }
             }
             Fault::Kill { who, back } => self.kill(who, begins, back, make),
             Fault::Leave { who } => {
-                if begins && self.seats[who].stopped == 0 {
-                    self.with(who, |part, now, out| part.leave(now, out));
+                if begins && self.slots[who].stopped == 0 {
+                    self.with(who, |process, now, out| process.leave(now, out));
                 }
                 self.kill(who, begins, RestartState::Same, make);
             }
             Fault::Clock { who, ppm, jump } => {
                 let own = self.clock(who);
-                let seat = &mut self.seats[who];
-                seat.ppm = if begins { ppm } else { 0 };
-                seat.jumped += if begins { jump } else { 0 };
+                let slot = &mut self.slots[who];
+                slot.ppm = if begins { ppm } else { 0 };
+                slot.jumped += if begins { jump } else { 0 };
                 // A change of rate must not alter the time that the clock has shown so far.
-                let lived = self.now - seat.started;
+                let elapsed = self.now - slot.started;
                 let shows =
-                    lived + (i128::from(lived) * i128::from(seat.ppm) / 1_000_000) as Ns + seat.jumped;
+                    elapsed + (i128::from(elapsed) * i128::from(slot.ppm) / 1_000_000) as Ns + slot.jumped;
                 let jump = if begins { jump } else { 0 };
-                seat.jumped += own + jump - shows;
+                slot.jumped += own + jump - shows;
             }
         }
     }
@@ -316,17 +316,17 @@
         &mut self, who: usize, begins: bool, back: RestartState,
         make: &mut impl FnMut(usize, u32, RestartState) -> P,
     ) {
-        let seat = &mut self.seats[who];
+        let slot = &mut self.slots[who];
         if begins {
-            seat.down += 1;
-            seat.process = None;
-            seat.waiting.clear();
+            slot.down += 1;
+            slot.process = None;
+            slot.waiting.clear();
         } else {
-            seat.down = seat.down.saturating_sub(1);
-            if seat.down == 0 && back != RestartState::Never {
-                let instance = seat.instance;
-                let part = make(who, instance, back);
-                self.begin(who, part);
+            slot.down = slot.down.saturating_sub(1);
+            if slot.down == 0 && back != RestartState::Never {
+                let instance = slot.instance;
+                let process = make(who, instance, back);
+                self.begin(who, process);
             }
         }
     }
