--- a/cli/tests/node_soak.rs
+++ b/cli/tests/node_soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of the live node among scripted peers; longer ones are run by hand (docs/operations.md).
+//! Short soak tests of the live node with scripted peers; longer ones are run by hand (docs/operations.md).
 use std::process::Command;
 
 fn soak(seed: u64) {
@@ -7,18 +7,19 @@
         .args(["rehearse", "--day", "node", "--seconds", "20", "--seed", &seed])
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&out.stdout);
-    assert!(out.status.success(), "{said}{}", String::from_utf8_lossy(&out.stderr));
+    let output = String::from_utf8_lossy(&out.stdout);
+    assert!(out.status.success(), "{output}{}", String::from_utf8_lossy(&out.stderr));
 }
 
-/// Guards against requests without their one answer, effects twice, picks past a drain, cold machines overloaded, caps broken.
+/// Guards against requests without exactly one answer, duplicate effects, picks after a drain, overloaded cold machines
+/// and exceeded caps.
 #[test]
 fn a_soak_of_the_live_node_keeps_the_rules() {
     soak(1);
 }
 
-/// Guards against requests without an answer whose connections are closed for new ones of a crowd.
+/// Guards against unanswered requests whose connections are closed to make room for a surge of new clients.
 #[test]
-fn a_soak_with_crowds_keeps_the_rules() {
+fn a_soak_with_surges_of_clients_keeps_the_rules() {
     soak(9);
 }
