--- a/cli/src/storm.rs
+++ b/cli/src/storm.rs
@@ -64,7 +64,7 @@
                 Ok(outcome) => {
                     println!("all agreed {} ms after the last fault", outcome.convergence.as_millis());
                 }
-                Err(why) => println!("failed: {why}"),
+                Err(why) => println!("broken: {why}"),
             }
             return Ok(result.is_ok());
         }
@@ -91,7 +91,7 @@
             convergence_ms.get(((convergence_ms.len().max(1) - 1) as f64 * q) as usize).copied().unwrap_or(0)
         };
         println!(
-            "{} storms on {} fronts: {} failed; after the last fault all agreed within {} ms (p50), {} ms (p99), {} ms (max)",
+            "{} storms on {} fronts: {} broken; after the last fault all agreed within {} ms (p50), {} ms (p99), {} ms (max)",
             self.seeds,
             self.fronts,
             lock(&failures).len(),
