--- a/rehearse/src/judge.rs
+++ b/rehearse/src/judge.rs
@@ -424,8 +424,8 @@
         return BTreeMap::new();
     };
     let on_trial = |at: Ns| {
-        let told = evidence.stages.iter().filter(|l| l.t + RECORDING_SKEW < at).max_by_key(|l| l.t);
-        told.is_some_and(|l| l.build == newest.build && l.phase == 0)
+        let latest = evidence.stages.iter().filter(|l| l.t + RECORDING_SKEW < at).max_by_key(|l| l.t);
+        latest.is_some_and(|l| l.build == newest.build && l.phase == 0)
     };
     let end = evidence.machines.iter().map(|l| l.t).max().unwrap_or(0);
     let lines = evidence
--- a/rehearse/src/node_soak/fault_plan.rs
+++ b/rehearse/src/node_soak/fault_plan.rs
@@ -42,7 +42,8 @@
     Reload {
         times: u32,
     },
-    /// SIGTERM, in a series followed by SIGHUP, SIGTERM and SIGHUP; then SIGKILL at the earliest time that is specified, and a restart.
+    /// SIGTERM, in a series followed by SIGHUP, SIGTERM and SIGHUP; then SIGKILL at the earliest time that is specified, and a
+    /// restart.
     Stop {
         series: bool,
     },
--- a/rehearse/src/runner.rs
+++ b/rehearse/src/runner.rs
@@ -133,7 +133,8 @@
     partitioned: bool,
     /// How much a bad build slows all machines by its share of them.
     shared: f64,
-    /// Relays datagrams between fronts; it has one seat for each front's notes, then one for each front's peer protocol.
+    /// Relays datagrams between fronts; it has a seat for the notes of each front (datagrams outside the peer protocol), then
+    /// a seat for the peer protocol of each.
     relay: Relay,
     /// The faults of datagrams, and the fronts' zones during a partition.
     datagram_faults: day::DatagramFaults,
@@ -309,8 +310,8 @@
         let has_changes = |at: &SocketAddr| {
             let Ok(answer) = call(*at, "GET", "/status", "") else { return false };
             let status: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-            let d = &status["directory"];
-            d["tenants"] == directory::TENANTS_AFTER && d["settled"] == true
+            let directory = &status["directory"];
+            directory["tenants"] == directory::TENANTS_AFTER && directory["settled"] == true
         };
         if self.front_at.iter().all(has_changes) {
             self.changes_after_s = Some((now - returned) as f64 / SEC as f64);
@@ -394,7 +395,7 @@
         let proc = Proc::start(&args, &self.log(&name))?;
         self.front_at[front] = proc.at;
         self.fronts[front] = Some(proc);
-        // Tells the relay the front's real addresses; other fronts only know the relay's seats.
+        // Sets the front's real addresses in the relay; other fronts only know the relay's seats.
         let address = |target: &str, field: &str| -> Option<SocketAddr> {
             let answer = call(self.front_at[front], "GET", target, "").ok()?;
             serde_json::from_slice::<Value>(&answer.body).ok()?[field].as_str()?.parse().ok()
@@ -408,7 +409,7 @@
         Ok(())
     }
 
-    /// Sets the faults of each link between fronts, for notes and for the peer protocol.
+    /// Sets the faults of each link between fronts, for both kinds of datagrams.
     fn apply_link_faults(&self) {
         let fronts = self.plan.fronts;
         let base = Way {
@@ -948,7 +949,7 @@
             self.out.display()
         ));
         let mut remaining = script.iter().peekable();
-        let (mut told, mut slowed) = (0, began);
+        let (mut printed, mut slowed) = (0, began);
         let by = began + (seconds * SEC as f64) as i64 + END_TIMEOUT;
         loop {
             let now = clock();
@@ -964,8 +965,8 @@
                 slowed = now;
                 self.apply_shared_slowness();
             }
-            if at as u64 / 5 > told {
-                told = at as u64 / 5;
+            if at as u64 / 5 > printed {
+                printed = at as u64 / 5;
                 self.progress(at);
             }
             if self.clients.as_mut().is_none_or(Proc::has_ended) {
