--- a/cli/tests/front.rs
+++ b/cli/tests/front.rs
@@ -8,18 +8,18 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-fn charter() -> Settings {
-    let mut charter = Settings::example(1, 4);
-    charter.rollout.told_every_ms = 100;
-    charter.rollout.tally_every_ms = 0;
-    charter.rollout.free = 0.0;
-    charter
+fn settings() -> Settings {
+    let mut settings = Settings::example(1, 4);
+    settings.rollout.told_every_ms = 100;
+    settings.rollout.tally_every_ms = 0;
+    settings.rollout.free = 0.0;
+    settings
 }
 
 #[test]
 fn an_rpc_is_forwarded_whole_and_its_answer_names_the_machine() {
     let (teller, machine) =
-        (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Responds));
+        (ScriptedController::start(settings()), ScriptedMachine::start(Behavior::Responds));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(teller.at, &[]);
@@ -60,7 +60,7 @@
         (Behavior::Hangs, "lodge", 504, "aborted"),
         (Behavior::Fails, "lookup", 503, "pushed-back"),
     ] {
-        let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(does));
+        let (teller, machine) = (ScriptedController::start(settings()), ScriptedMachine::start(does));
         teller.stage(1, 0, "released", 1.0);
         teller.roster("whole", &[("m", machine.at, 1, "up")]);
         let front = front(teller.at, &[]);
@@ -74,7 +74,7 @@
     // A second machine gets RPCs that the first provably never ran, and idempotent ones.
     for does in [Behavior::Truncates, Behavior::NeverRuns] {
         let (teller, bad, good) = (
-            ScriptedController::start(charter()),
+            ScriptedController::start(settings()),
             ScriptedMachine::start(does),
             ScriptedMachine::start(Behavior::Responds),
         );
@@ -93,7 +93,7 @@
 /// answer.
 #[test]
 fn a_front_killed_during_an_rpc_does_not_send_it_again() {
-    let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Hangs));
+    let (teller, machine) = (ScriptedController::start(settings()), ScriptedMachine::start(Behavior::Hangs));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let state = std::env::temp_dir().join(format!("rockpick-test-kill-{}", std::process::id()));
@@ -121,10 +121,10 @@
 /// Guards against exceeding the cap after a restart, which loses the count of the window.
 #[test]
 fn a_front_restarted_in_mid_window_keeps_within_the_cap() {
-    let mut charter = charter();
-    (charter.rollout.window_ms, charter.rollout.free) = (2_000, 2.0);
+    let mut settings = settings();
+    (settings.rollout.window_ms, settings.rollout.free) = (2_000, 2.0);
     let (teller, old, new) = (
-        ScriptedController::start(charter),
+        ScriptedController::start(settings),
         ScriptedMachine::start(Behavior::Responds),
         ScriptedMachine::start(Behavior::Responds),
     );
@@ -174,9 +174,9 @@
     let at = full.local_addr().unwrap();
     // One connection fills the accept queue; further ones hang.
     let filler = TcpStream::connect(at).unwrap();
-    let mut charter = charter();
-    charter.methods.iter_mut().for_each(|m| m.deadline_ms = 8_000);
-    let (teller, good) = (ScriptedController::start(charter), ScriptedMachine::start(Behavior::Responds));
+    let mut settings = settings();
+    settings.methods.iter_mut().for_each(|m| m.deadline_ms = 8_000);
+    let (teller, good) = (ScriptedController::start(settings), ScriptedMachine::start(Behavior::Responds));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("hangs", at, 1, "up")]);
     let front = front(teller.at, &[]);
@@ -214,7 +214,7 @@
 #[test]
 fn a_silent_watch_is_dropped_and_a_later_stage_applied_on_return() {
     let (teller, machine) =
-        (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Responds));
+        (ScriptedController::start(settings()), ScriptedMachine::start(Behavior::Responds));
     teller.stage(2, 0, "on-trial", 0.1);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(teller.at, &[]);
@@ -232,7 +232,7 @@
 
 #[test]
 fn sigterm_stops_listening_answers_open_rpcs_and_exits() {
-    let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Hangs));
+    let (teller, machine) = (ScriptedController::start(settings()), ScriptedMachine::start(Behavior::Hangs));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let mut front = front(teller.at, &[]);
@@ -250,7 +250,7 @@
 #[test]
 fn without_descriptors_the_front_answers_503_and_recovers() {
     let (teller, machine) =
-        (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Responds));
+        (ScriptedController::start(settings()), ScriptedMachine::start(Behavior::Responds));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let controller = teller.at.to_string();
@@ -278,7 +278,7 @@
 
 #[test]
 fn a_client_that_disconnects_frees_its_rpc() {
-    let (teller, machine) = (ScriptedController::start(charter()), ScriptedMachine::start(Behavior::Hangs));
+    let (teller, machine) = (ScriptedController::start(settings()), ScriptedMachine::start(Behavior::Hangs));
     teller.stage(1, 0, "released", 1.0);
     teller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(teller.at, &[]);
--- a/cli/tests/front_peers.rs
+++ b/cli/tests/front_peers.rs
@@ -162,12 +162,12 @@
 /// A front that restarts does not remember which keys the build on trial has answered, so the other fronts must tell it.
 #[test]
 fn one_way_keys_stay_bound_across_restarts_and_fronts() {
-    let mut charter = Settings::example(2, 4);
-    charter.rollout.told_every_ms = 100;
-    charter.rollout.tally_every_ms = 0;
-    (charter.rollout.one_way, charter.rollout.free) = (true, 2.0);
-    charter.rollout.window_ms = 500;
-    let controller = ScriptedController::start(charter);
+    let mut settings = Settings::example(2, 4);
+    settings.rollout.told_every_ms = 100;
+    settings.rollout.tally_every_ms = 0;
+    (settings.rollout.one_way, settings.rollout.free) = (true, 2.0);
+    settings.rollout.window_ms = 500;
+    let controller = ScriptedController::start(settings);
     let (old, new) = (ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds));
     controller.stage(1, 0, "released", 1.0);
     controller.roster("whole", &[("a", old.at, 1, "up"), ("b", new.at, 2, "up")]);
@@ -216,14 +216,14 @@
 /// when an older line arrives late.
 #[test]
 fn a_build_withdrawn_at_another_front_gets_no_more_picks() {
-    let charter = || {
-        let mut charter = Settings::example(2, 4);
-        (charter.rollout.told_every_ms, charter.rollout.tally_every_ms) = (5_000, 0);
-        (charter.rollout.free, charter.rollout.window_ms) = (100.0, 500);
-        charter
+    let settings = || {
+        let mut settings = Settings::example(2, 4);
+        (settings.rollout.told_every_ms, settings.rollout.tally_every_ms) = (5_000, 0);
+        (settings.rollout.free, settings.rollout.window_ms) = (100.0, 500);
+        settings
     };
     let (old, new) = (ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds));
-    let controllers = [ScriptedController::start(charter()), ScriptedController::start(charter())];
+    let controllers = [ScriptedController::start(settings()), ScriptedController::start(settings())];
     for controller in &controllers {
         controller.stage(1, 0, "released", 1.0);
         controller.roster("whole", &[("a", old.at, 1, "up"), ("b", new.at, 2, "up")]);
@@ -330,12 +330,12 @@
 
 impl TrialSetup {
     fn start() -> TrialSetup {
-        let mut charter = Settings::example(3, 4);
-        (charter.rollout.told_every_ms, charter.rollout.tally_every_ms) = (100, 0);
-        (charter.rollout.one_way, charter.rollout.free, charter.rollout.window_ms) = (true, 10_000.0, 500);
+        let mut settings = Settings::example(3, 4);
+        (settings.rollout.told_every_ms, settings.rollout.tally_every_ms) = (100, 0);
+        (settings.rollout.one_way, settings.rollout.free, settings.rollout.window_ms) = (true, 10_000.0, 500);
         let machines =
             [ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds)];
-        let controller = ScriptedController::start(charter);
+        let controller = ScriptedController::start(settings);
         controller.stage(1, 0, "released", 1.0);
         controller.roster("whole", &[("a", machines[0].at, 1, "up"), ("b", machines[1].at, 2, "up")]);
         controller.stage(2, 0, "on-trial", 1.0);
--- a/cli/tests/hardening.rs
+++ b/cli/tests/hardening.rs
@@ -11,15 +11,15 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-fn charter() -> Settings {
-    let mut charter = Settings::example(1, 4);
-    charter.rollout.told_every_ms = 100;
-    charter.rollout.tally_every_ms = 0;
-    charter
+fn settings() -> Settings {
+    let mut settings = Settings::example(1, 4);
+    settings.rollout.told_every_ms = 100;
+    settings.rollout.tally_every_ms = 0;
+    settings
 }
 
 fn controller_with_machines(machines: &[(&str, SocketAddr, u32, &str)]) -> ScriptedController {
-    let controller = ScriptedController::start(charter());
+    let controller = ScriptedController::start(settings());
     controller.stage(1, 0, "released", 1.0);
     controller.roster("whole", machines);
     controller
@@ -44,12 +44,12 @@
     let dir = tempfile::tempdir().unwrap();
     let state = dir.path().to_string_lossy().into_owned();
     let controller = start(&["controller"]);
-    assert_eq!(put(controller.at, &charter()).status, 200);
+    assert_eq!(put(controller.at, &settings()).status, 200);
     let one = front(controller.at, &["--state", &state]);
     wait_for_settings(&one, 1);
     wait_until("the snapshot is written", || dir.path().join("f0.json").exists());
     drop(one);
-    assert_eq!(put(controller.at, &charter()).status, 200);
+    assert_eq!(put(controller.at, &settings()).status, 200);
     wait_for_settings(&front(controller.at, &["--state", &state]), 2);
 }
 
@@ -57,12 +57,12 @@
 #[test]
 fn settings_are_requested_again_after_an_invalid_answer() {
     // The controller sends data a minute apart, so that the watch is not considered dead and restarted meanwhile.
-    let mut charter = charter();
-    charter.rollout.told_every_ms = 60_000;
-    let controller = ScriptedController::start(charter.clone());
+    let mut settings = settings();
+    settings.rollout.told_every_ms = 60_000;
+    let controller = ScriptedController::start(settings.clone());
     let front = front(controller.at, &[]);
     wait_for_settings(&front, 1);
-    let version = controller.set_settings(charter, 2);
+    let version = controller.set_settings(settings, 2);
     wait_for_settings(&front, version);
 }
 
@@ -146,7 +146,7 @@
 fn a_wall_clock_set_ahead_makes_no_cold_machine_warm() {
     let dir = tempfile::tempdir().unwrap();
     let (state, file) = (dir.path().to_string_lossy().into_owned(), dir.path().join("f0.json"));
-    let controller = ScriptedController::start(charter());
+    let controller = ScriptedController::start(settings());
     controller.stage(1, 0, "released", 1.0);
     controller.push_line(
         json!({ "roster": { "kind": "whole", "serial": 1, "members": [{ "name": "m", "addr": "127.0.0.1:1",
@@ -181,7 +181,7 @@
     let at = front.at;
     let open = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 2500\r\n"));
     machine.requests.recv_timeout(TIMEOUT).unwrap();
-    let mut short = charter();
+    let mut short = settings();
     short.methods.iter_mut().for_each(|m| (m.soft_deadline_ms, m.deadline_ms) = (50, 100));
     let version = controller.set_settings(short, 0);
     wait_for_settings(&front, version);
@@ -231,7 +231,7 @@
     let obstacle = dir.path().join("controller.new");
     std::fs::create_dir(&obstacle).unwrap();
     let controller = start(&["controller", "--state", &dir.path().to_string_lossy()]);
-    let answer = put(controller.at, &charter());
+    let answer = put(controller.at, &settings());
     let output: Value = serde_json::from_slice(&answer.body).unwrap();
     assert_eq!((answer.status, output["errors"][0]["field"].as_str()), (500, Some("state")), "{output}");
     std::fs::remove_dir(&obstacle).unwrap();
@@ -282,7 +282,7 @@
         let began = Instant::now();
         let taken = open.len() as u64;
         wait_until("the RPC", || get(front.at, "/status")["taken"] == taken);
-        let version = controller.set_settings(charter(), 0);
+        let version = controller.set_settings(settings(), 0);
         while get(front.at, "/status")["settings_version"] != version
             && began.elapsed() < Duration::from_millis(60)
         {}
@@ -303,9 +303,9 @@
 #[test]
 fn outcomes_of_former_settings_are_not_reported_under_new_ones() {
     let machine = ScriptedMachine::start(Behavior::Hangs);
-    let mut charter = charter();
-    (charter.rollout.tally_every_ms, charter.rollout.tally_sample) = (100, 1.0);
-    let controller = ScriptedController::start(charter.clone());
+    let mut settings = settings();
+    (settings.rollout.tally_every_ms, settings.rollout.tally_sample) = (100, 1.0);
+    let controller = ScriptedController::start(settings.clone());
     controller.stage(1, 0, "released", 1.0);
     controller.roster("whole", &[("m", machine.at, 1, "up")]);
     let front = front(controller.at, &[]);
@@ -313,8 +313,8 @@
     let at = front.at;
     let former = std::thread::spawn(move || rpc(at, "lodge", "Rockpick-Time-Left-Ms: 900\r\n").0);
     machine.requests.recv_timeout(TIMEOUT).unwrap();
-    charter.methods.truncate(1);
-    let version = controller.set_settings(charter, 0);
+    settings.methods.truncate(1);
+    let version = controller.set_settings(settings, 0);
     wait_for_settings(&front, version);
     assert_eq!(former.join().unwrap(), 504);
     assert_eq!(rpc(front.at, "lookup", "Rockpick-Time-Left-Ms: 100\r\n").0, 503);
@@ -360,9 +360,9 @@
 #[test]
 fn picks_over_sockets_respect_the_cap() {
     let (old, new) = (ScriptedMachine::start(Behavior::Responds), ScriptedMachine::start(Behavior::Responds));
-    let mut charter = charter();
-    (charter.rollout.free, charter.rollout.window_ms) = (0.0, 400);
-    let controller = ScriptedController::start(charter);
+    let mut settings = settings();
+    (settings.rollout.free, settings.rollout.window_ms) = (0.0, 400);
+    let controller = ScriptedController::start(settings);
     controller.stage(2, 0, "on-trial", 0.2);
     controller.roster("whole", &[("old", old.at, 1, "up"), ("new", new.at, 2, "up")]);
     let front = front(controller.at, &[]);
@@ -384,7 +384,7 @@
     let dir = tempfile::tempdir().unwrap();
     let (state, file) = (dir.path().to_string_lossy().into_owned(), dir.path().join("f0.json"));
     let machine = ScriptedMachine::start(Behavior::Responds);
-    let controller = ScriptedController::start(charter());
+    let controller = ScriptedController::start(settings());
     controller.push_line(
         json!({ "later": [1], "stage": { "build": 1, "stage": 0, "phase": "released", "cap": 1.0, "age_ms": 1,
         "later": 1 } }),
@@ -456,7 +456,7 @@
         std::fs::write(dir.path().join(name), b"{\"half").unwrap();
     }
     let controller = start(&["controller", "--state", &state]);
-    assert_eq!(put(controller.at, &charter()).status, 200);
+    assert_eq!(put(controller.at, &settings()).status, 200);
     let mut one = front(controller.at, &["--state", &state]);
     wait_for_settings(&one, 1);
     signal(&one, Signal::TERM);
@@ -473,7 +473,7 @@
     create_fifo(&dir.path().join("controller.new"));
     let mut controller = start(&["controller", "--state", &dir.path().to_string_lossy()]);
     let mut io = TcpStream::connect(controller.at).unwrap();
-    let settings = serde_json::to_string(&charter()).unwrap();
+    let settings = serde_json::to_string(&settings()).unwrap();
     write!(io, "PUT /settings HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{settings}", settings.len())
         .unwrap();
     wait_until("the settings", || get(controller.at, "/status")["settings_version"] == 1);
--- a/cli/tests/peers/mod.rs
+++ b/cli/tests/peers/mod.rs
@@ -105,14 +105,14 @@
 }
 
 impl ScriptedController {
-    pub fn start(charter: Settings) -> ScriptedController {
+    pub fn start(settings: Settings) -> ScriptedController {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let controller = ScriptedController {
             at: listener.local_addr().unwrap(),
             votes: Arc::default(),
             counts: Arc::default(),
             watches: Arc::default(),
-            settings: Arc::new(Mutex::new((1, charter, 0))),
+            settings: Arc::new(Mutex::new((1, settings, 0))),
             lines: Arc::default(),
         };
         let (votes, watches, lines) =
@@ -129,9 +129,9 @@
     }
 
     /// Replaces the settings and announces them; the first `invalid` requests for them get invalid content.
-    pub fn set_settings(&self, charter: Settings, invalid: u32) -> u64 {
+    pub fn set_settings(&self, new: Settings, invalid: u32) -> u64 {
         let mut settings = self.settings.lock().unwrap();
-        *settings = (settings.0 + 1, charter, invalid);
+        *settings = (settings.0 + 1, new, invalid);
         self.push_line(json!({ "settings_version": settings.0 }));
         settings.0
     }
@@ -307,8 +307,8 @@
     rustix::process::kill_process(pid, signal).unwrap();
 }
 
-pub fn put(at: SocketAddr, charter: &Settings) -> rockpick_net::http::Response {
-    rockpick_rehearse::call(at, "PUT", "/settings", &serde_json::to_string(charter).unwrap()).unwrap()
+pub fn put(at: SocketAddr, settings: &Settings) -> rockpick_net::http::Response {
+    rockpick_rehearse::call(at, "PUT", "/settings", &serde_json::to_string(settings).unwrap()).unwrap()
 }
 
 /// Waits until a front lists this many machines.
--- a/emu/tests/days.rs
+++ b/emu/tests/days.rs
@@ -193,9 +193,9 @@
     let service = |limits: Option<rockpick_emu::TenantLimits>| {
         let mut day = day_of_plan(&plan, &[], 3, true).unwrap();
         (day.load.greedy, day.limits) = (0.839, limits);
-        let charter = day.settings.clone();
+        let settings = day.settings.clone();
         let outcome = World::new(day).unwrap().run();
-        assert_eq!(judge(&charter, &outcome.evidence).breaches, []);
+        assert_eq!(judge(&settings, &outcome.evidence).breaches, []);
         outcome.tenant_utility.map(|[asked, served]| served / asked)
     };
     let (unlimited, limited) =
--- a/front/src/effects.rs
+++ b/front/src/effects.rs
@@ -119,7 +119,7 @@
     pub net: Net,
     pub ids: IdTable,
     pub options: Options,
-    pub charter: Settings,
+    pub settings: Settings,
     pub newest_instance: u64,
     /// The instance of the module that is being called.
     pub current_instance: u64,
@@ -164,7 +164,7 @@
 
 impl Effects {
     pub fn new(
-        options: Options, charter: Settings, net: Net, notes_socket: Id, address: SocketAddr,
+        options: Options, settings: Settings, net: Net, notes_socket: Id, address: SocketAddr,
         notes_addr: SocketAddr,
     ) -> Effects {
         let advertised_notes_addr = options.notes_at.unwrap_or(notes_addr).to_string();
@@ -174,7 +174,7 @@
             ids: IdTable::default(),
             rng: StdRng::seed_from_u64(options.seed),
             options,
-            charter,
+            settings,
             newest_instance: 0,
             current_instance: 0,
             open: Vec::new(),
@@ -209,7 +209,7 @@
             self.open.resize_with(rpc + 1, || None);
         }
         let client_deadline = self.net.now() + time_left;
-        let margin = self.charter.guard.answer_margin_ms as Ns * MS;
+        let margin = self.settings.guard.answer_margin_ms as Ns * MS;
         let instance = self.newest_instance;
         self.open[rpc] = Some(OpenRpc {
             instance,
@@ -276,7 +276,7 @@
         self.ids.pick_ended(rpc);
         self.machines[machine].outstanding = self.machines[machine].outstanding.saturating_sub(1);
         // Skips picks of former settings, whose method numbers differ, and all picks if counts are not sent.
-        let r = &self.charter.rollout;
+        let r = &self.settings.rollout;
         let counted =
             r.tally_every_ms > 0 && instance == self.newest_instance && outcome != Outcome::Cancelled;
         if counted && self.rng.random::<f64>() < r.tally_sample {
@@ -380,7 +380,7 @@
         headers.push(("Rockpick-Front", &self.options.name));
         let request =
             http::encode_request("POST", &open.request.target, &to.to_string(), &headers, &open.request.body);
-        let grace = self.charter.guard.drain_grace_ms as Ns * MS;
+        let grace = self.settings.guard.drain_grace_ms as Ns * MS;
         let connect_within = CONNECT_TIMEOUT.min(grace).min(time_out);
         let call = Call { to, request: &request, connect_within, stream: false, head_only: false };
         pick.call = self.net.call(&mut self.pending_events, call);
@@ -487,7 +487,7 @@
     }
 
     fn send_note(&mut self, peer: Option<u32>, note: &[u8]) {
-        let own = self.charter.fronts.iter().position(|f| f.name == self.options.name).unwrap_or(0) as u32;
+        let own = self.settings.fronts.iter().position(|f| f.name == self.options.name).unwrap_or(0) as u32;
         let mut bytes = NOTE_MAGIC.to_vec();
         bytes.extend(own.to_be_bytes());
         bytes.extend(note);
@@ -536,7 +536,7 @@
         }
         let body = json!({ "front": self.options.name, "build": build, "stage": stage, "verdict": word })
             .to_string();
-        let within = self.charter.rollout.call_timeout_ms as Ns * MS;
+        let within = self.settings.rollout.call_timeout_ms as Ns * MS;
         self.vote_call = Some(self.call_controller(CallKind::Vote, "POST", "/votes", &body, Some(within)));
     }
 
--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -92,14 +92,14 @@
     let at = bound.at;
     let (notes_socket, notes_addr) = net.datagrams(SocketAddr::new(at.ip(), 0)).map_err(to_text)?;
     let no_settings = snapshot.is_none();
-    let charter = snapshot.as_ref().map_or_else(|| Settings::example(1, 1), |s| s.settings.clone());
+    let settings = snapshot.as_ref().map_or_else(|| Settings::example(1, 1), |s| s.settings.clone());
     // The number of fronts is unknown without settings.
     let front_count = snapshot.as_ref().map_or(0, |s| s.settings.fronts.len() as u32);
     let peers = match &options.peers {
         Some(circle) => Some(Peers::start(&mut net, &options.name, front_count, circle, PEERS)?),
         None => None,
     };
-    let effects = Effects::new(options, charter, net, notes_socket, at, notes_addr);
+    let effects = Effects::new(options, settings, net, notes_socket, at, notes_addr);
     let mut server = Server {
         effects,
         instances: VecDeque::new(),
@@ -375,17 +375,17 @@
         if self.effects.ids.open_rpcs() >= MAX_OPEN_RPCS {
             return self.reject(conn, 503, "too many RPCs are open");
         }
-        let Some(method) = self.effects.charter.method_index(name) else {
+        let Some(method) = self.effects.settings.method_index(name) else {
             return self.reject(conn, 404, "no such method");
         };
-        let row = &self.effects.charter.methods[method];
+        let row = &self.effects.settings.methods[method];
         let deadline = row.deadline_ms as Ns * MS;
         let time_left = match request.headers.get("rockpick-time-left-ms").map(str::parse::<f64>) {
             None => deadline,
             Some(Ok(ms)) if ms.is_finite() && ms > 0.0 => ((ms * MS as f64) as Ns).min(deadline),
             Some(_) => return self.reject(conn, 400, "Rockpick-Time-Left-Ms: a number above 0 is wanted"),
         };
-        if !restart::can_answer_in_time(time_left, self.effects.charter.guard.answer_margin_ms as Ns * MS) {
+        if !restart::can_answer_in_time(time_left, self.effects.settings.guard.answer_margin_ms as Ns * MS) {
             return self.reject(conn, 503, "too little time is left to answer");
         }
         if row.repeat == RepeatKind::Tokened
@@ -556,7 +556,7 @@
                     row.get(i).and_then(Value::as_u64).map_or(0, |n| n.min(u32::MAX.into()) as u32)
                 };
                 let (build, method, picks, bad) = (at(0), at(1) as usize, at(2), at(3).min(at(2)));
-                if build <= MAX_BUILD && method < self.effects.charter.methods.len() {
+                if build <= MAX_BUILD && method < self.effects.settings.methods.len() {
                     self.for_each_instance(|front, effects| {
                         front.platform_counted(effects, build, method, picks, bad)
                     });
@@ -603,7 +603,7 @@
         if let (Some(stage), None) = (&stage, &standing) {
             self.log_skipped("stage", &stage.to_string());
         }
-        let (now, window) = (self.effects.net.now(), self.effects.charter.rollout.window_ms as Ns * MS);
+        let (now, window) = (self.effects.net.now(), self.effects.settings.rollout.window_ms as Ns * MS);
         let mut limited_stage = None;
         if let Some(standing) = standing {
             let standing = match &mut self.peers {
@@ -726,8 +726,8 @@
                 return;
             }
             match Settings::parse(settings.to_string().as_bytes()) {
-                Ok(charter) => {
-                    self.start_instance(charter, version);
+                Ok(settings) => {
+                    self.start_instance(settings, version);
                     self.dirty = true;
                 }
                 Err(wrong) => {
@@ -740,10 +740,10 @@
         self.newer_settings = false;
     }
 
-    fn start_instance(&mut self, charter: Settings, version: u64) {
+    fn start_instance(&mut self, settings: Settings, version: u64) {
         let options = &self.effects.options;
         let Some(post) =
-            charter.front_config(&options.name, options.seed ^ (self.effects.newest_instance + 1))
+            settings.front_config(&options.name, options.seed ^ (self.effects.newest_instance + 1))
         else {
             if !std::mem::replace(&mut self.no_settings, true) || self.settings_version != version {
                 tracing::warn!(
@@ -755,21 +755,21 @@
             self.settings_version = version;
             return;
         };
-        if !self.tenants.as_ref().is_some_and(|s| s.matches_settings(&charter)) {
+        if !self.tenants.as_ref().is_some_and(|s| s.matches_settings(&settings)) {
             if let Some(tenants) = self.tenants.take() {
                 tenants.shut_down(&mut self.effects.net);
             }
             let (options, now) = (&self.effects.options, self.effects.net.now());
-            self.tenants = TenantService::new(now, &charter, &options.name, &options.state, options.seed);
+            self.tenants = TenantService::new(now, &settings, &options.name, &options.state, options.seed);
         }
         // Method numbers may differ in the new settings.
         self.effects.counts.clear();
         if let Some(peers) = &mut self.peers {
-            let zone = charter.fronts.iter().find(|f| f.name == self.effects.options.name).map(|f| &f.zone);
-            let near = charter.fronts.iter().filter(|f| Some(&f.zone) == zone).map(|f| f.name.clone());
-            peers.set_fronts(&mut self.effects.net, charter.fronts.len() as u32, near.collect());
+            let zone = settings.fronts.iter().find(|f| f.name == self.effects.options.name).map(|f| &f.zone);
+            let near = settings.fronts.iter().filter(|f| Some(&f.zone) == zone).map(|f| f.name.clone());
+            peers.set_fronts(&mut self.effects.net, settings.fronts.len() as u32, near.collect());
         }
-        self.effects.charter = charter;
+        self.effects.settings = settings;
         (self.settings_version, self.no_settings) = (version, false);
         self.effects.newest_instance += 1;
         self.effects.current_instance = self.effects.newest_instance;
@@ -815,7 +815,7 @@
         }
         Some(Snapshot {
             settings_version: self.settings_version,
-            settings: self.effects.charter.clone(),
+            settings: self.effects.settings.clone(),
             stage: self.stage.clone(),
             members: self.roster_lines(),
             saved_ms: snapshot::wall_ms(),
@@ -854,7 +854,7 @@
         self.effects.forget(FORGET_GONE_AFTER);
         // Drops a watch that was silent for three times the period at which the controller sends the stage,
         // plus a second.
-        let silent = 3 * self.effects.charter.rollout.told_every_ms as Ns * MS + SEC;
+        let silent = 3 * self.effects.settings.rollout.told_every_ms as Ns * MS + SEC;
         if self.effects.watch_call.is_some()
             && now - self.watch_heard_at > silent
             && !self.instances.is_empty()
@@ -865,7 +865,7 @@
         if let Some(tenants) = &mut self.tenants {
             tenants.tick(&mut self.effects.net);
         }
-        let every = self.effects.charter.rollout.tally_every_ms as Ns * MS;
+        let every = self.effects.settings.rollout.tally_every_ms as Ns * MS;
         let due = every > 0 && now - self.counts_sent_at >= every;
         let sums = self.tenants.as_mut().filter(|_| due).map_or(Vec::new(), TenantService::usage_sums);
         if due && !(self.effects.counts.is_empty() && sums.is_empty()) {
--- a/front/src/tenants.rs
+++ b/front/src/tenants.rs
@@ -56,17 +56,17 @@
     }
 }
 
-fn utilities(charter: &Settings) -> Vec<f64> {
-    charter.methods.iter().map(|m| m.utility).collect()
+fn utilities(settings: &Settings) -> Vec<f64> {
+    settings.methods.iter().map(|m| m.utility).collect()
 }
 
 impl TenantService {
     /// Starts the tenant service if the settings name a directory.
     pub fn new(
-        now: Ns, charter: &Settings, name: &str, state: &Option<PathBuf>, seed: u64,
+        now: Ns, settings: &Settings, name: &str, state: &Option<PathBuf>, seed: u64,
     ) -> Option<TenantService> {
-        let books = charter.directory.clone()?;
-        let fronts = charter.fronts.len();
+        let books = settings.directory.clone()?;
+        let fronts = settings.fronts.len();
         let link = Link::new(now, books.clone(), fronts, seed)
             .map_err(|why| tracing::error!(event = "no directory", why))
             .ok()?;
@@ -85,15 +85,15 @@
             })
         });
         let worker = DirectoryWorker::start(now, books.tenancy.clone(), kept, save);
-        let limits = Limits::new(now, fronts, books.unknown_callers(), utilities(charter));
-        Some(TenantService { utilities: utilities(charter), books, fronts, link, worker, limits })
+        let limits = Limits::new(now, fronts, books.unknown_callers(), utilities(settings));
+        Some(TenantService { utilities: utilities(settings), books, fronts, link, worker, limits })
     }
 
     /// Whether other settings leave the tenant service as it is.
-    pub fn matches_settings(&self, charter: &Settings) -> bool {
-        charter.directory.as_ref() == Some(&self.books)
-            && charter.fronts.len() == self.fronts
-            && utilities(charter) == self.utilities
+    pub fn matches_settings(&self, settings: &Settings) -> bool {
+        settings.directory.as_ref() == Some(&self.books)
+            && settings.fronts.len() == self.fronts
+            && utilities(settings) == self.utilities
     }
 
     /// Closes the directory session and saves a last snapshot.
