--- a/adapter/src/hosted_front.rs
+++ b/adapter/src/hosted_front.rs
@@ -164,7 +164,7 @@
 fn read_config(line: &mut Line) -> Result<FrontConfig, LineError> {
     let seed = line
         .required("rngSeed", |w| w.parse::<u64>().ok().or_else(|| w.parse::<i64>().ok().map(|x| x as u64)))?;
-    Ok(rockpick_front_settings::parse_post(seed, &SettingsMap::from_pairs(line.rest())?)?)
+    Ok(rockpick_front_settings::parse_front_config(seed, &SettingsMap::from_pairs(line.rest())?)?)
 }
 
 impl HostedFront {
--- a/front-settings/src/lib.rs
+++ b/front-settings/src/lib.rs
@@ -4,8 +4,8 @@
 //! ```
 //! let json = serde_json::json!({ "balancers": 3, "lanes": [{ "aimMs": 330.0, "idempotency": "free" }] });
 //! let settings = rockpick_front_settings::SettingsMap::from_json(&json);
-//! let post = rockpick_front_settings::parse_post(7, &settings).unwrap();
-//! assert_eq!((post.fronts, post.methods[0].soft_deadline), (3, 330_000_000));
+//! let front_config = rockpick_front_settings::parse_front_config(7, &settings).unwrap();
+//! assert_eq!((front_config.fronts, front_config.methods[0].soft_deadline), (3, 330_000_000));
 //! ```
 use rockpick::{
     Control, DedupScope, FrontConfig, Idempotency, Method, Ns, Permissions, Rollout, SafetyLimits,
@@ -136,7 +136,7 @@
 ///
 /// # Errors
 /// The first field that can't be parsed.
-pub fn parse_post(seed: u64, settings: &SettingsMap) -> Result<FrontConfig, FieldError> {
+pub fn parse_front_config(seed: u64, settings: &SettingsMap) -> Result<FrontConfig, FieldError> {
     let rows = settings.integer("lanes.count")?;
     if rows > MAX_METHODS {
         return Err(FieldError {
@@ -233,15 +233,16 @@
         let pairs = "balancers=2 discovery=subscribe lanes.count=1 lanes.0.aimMs=330.0 lanes.0.importance=2.0 \
             lanes.0.idempotency=single_shot lanes.0.keyScope=zone extra.exposureCaps=0.14,1.0 extra.oneWay=true \
             permissions.retryAfter=true permissions.maxRetryAfterMs=2000 -";
-        let a = parse_post(7, &SettingsMap::from_json(&json)).unwrap();
-        let b = parse_post(7, &SettingsMap::from_pairs(pairs).unwrap()).unwrap();
+        let a = parse_front_config(7, &SettingsMap::from_json(&json)).unwrap();
+        let b = parse_front_config(7, &SettingsMap::from_pairs(pairs).unwrap()).unwrap();
         assert_eq!(format!("{a:?}"), format!("{b:?}"));
         assert_eq!((a.rollout.caps, a.permissions.longest_wait), (vec![0.14, 1.0], 2_000_000_000));
     }
 
     #[test]
     fn a_field_that_can_t_be_parsed_is_named() {
-        let error_field = |json: Value| parse_post(7, &SettingsMap::from_json(&json)).unwrap_err().field;
+        let error_field =
+            |json: Value| parse_front_config(7, &SettingsMap::from_json(&json)).unwrap_err().field;
         assert_eq!(error_field(json!({ "lanes": [{ "aimMs": "soon" }] })), "lanes.0.aimMs");
         assert_eq!(error_field(json!({ "lanes": [{ "idempotency": "often" }] })), "lanes.0.idempotency");
         assert_eq!(error_field(json!({ "lanes": { "count": 1e9 } })), "lanes.count");
--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -742,7 +742,7 @@
 
     fn start_instance(&mut self, settings: Settings, version: u64) {
         let options = &self.effects.options;
-        let Some(post) =
+        let Some(front_config) =
             settings.front_config(&options.name, options.seed ^ (self.effects.newest_instance + 1))
         else {
             if !std::mem::replace(&mut self.no_settings, true) || self.settings_version != version {
@@ -775,7 +775,7 @@
         self.effects.current_instance = self.effects.newest_instance;
         // A new instance has no memory, like the module of a restarted front.
         self.instance_started = self.effects.net.now();
-        let mut front = Front::start(post, &mut self.effects);
+        let mut front = Front::start(front_config, &mut self.effects);
         if let Some(peers) = &mut self.peers {
             peers.replay_to(&mut front);
         }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,6 +1,6 @@
 //! A node's configuration, as read at its start and again at a reload.
 use rockpick::{FrontConfig, Ns};
-use rockpick_front_settings::{parse_post, FieldError, SettingsMap};
+use rockpick_front_settings::{parse_front_config, FieldError, SettingsMap};
 use rockpick_net::MS;
 use rockpick_platform::rollout_api::{self, BuildStatus};
 use rockpick_platform::roster;
@@ -22,7 +22,7 @@
     pub initial_status: Option<BuildStatus>,
     pub initial_roster: Value,
     pub sockets: usize,
-    pub post: FrontConfig,
+    pub front_config: FrontConfig,
     /// Name of each method, and the longest deadline of its clients.
     pub methods: Vec<(String, Ns)>,
     pub zones: Vec<String>,
@@ -84,8 +84,8 @@
         let grace = settings
             .parse("invariants.drainGraceMs", Ns::MAX, rockpick_front_settings::nanos)
             .map_err(settings_error)?;
-        let mut post = parse_post(seed, &settings).map_err(settings_error)?;
-        post.limits.told_within = roster::CHANGE_KNOWN_WITHIN;
+        let mut front_config = parse_front_config(seed, &settings).map_err(settings_error)?;
+        front_config.limits.told_within = roster::CHANGE_KNOWN_WITHIN;
         Ok(Config {
             name: text_field("name", "PROXY_NAME")?,
             listen: address("listen", &text_field("listen", "PROXY_LISTEN")?)?,
@@ -94,7 +94,7 @@
             initial_status: rollout_api::initial_status(&config["platform"]["news"]),
             initial_roster: config["known"].clone(),
             sockets: sockets.clamp(SOCKET_LIMITS.0, SOCKET_LIMITS.1),
-            post,
+            front_config,
             methods: names.into_iter().zip(deadlines.iter().map(max_deadline)).collect(),
             zones: settings.strings("zones"),
             connect_timeout: if grace > 0 { dial.min(grace) } else { dial },
--- a/node/src/connection_pool.rs
+++ b/node/src/connection_pool.rs
@@ -244,10 +244,11 @@
     fn connect_timeout(&self, rpc: usize) -> Ns {
         let max = self.config.connect_timeout;
         let Some(open) = self.open[rpc].as_ref() else { return max };
-        let method = &self.config.post.methods[open.method];
+        let method = &self.config.front_config.methods[open.method];
         let first = open.picks.iter().filter(|p| p.may_have_run).map(|p| p.sent).min();
         let first_run = first.filter(|_| method.idempotency == Idempotency::Tokened);
-        let window_left = |at: Ns| at + method.dedup_window - 2 * self.config.post.step - self.net.now();
+        let window_left =
+            |at: Ns| at + method.dedup_window - 2 * self.config.front_config.step - self.net.now();
         first_run.map_or(max, |at| window_left(at).min(max))
     }
 
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -383,7 +383,7 @@
         if let Some(old) = self.rollout_api.vote.take() {
             self.close_rollout_api(old.conn);
         }
-        let timeout = self.config.post.rollout.call_timeout.max(100 * MS);
+        let timeout = self.config.front_config.rollout.call_timeout.max(100 * MS);
         tracing::info!(event = "vote", build, stage, verdict = ?verdict);
         // Each vote has its own connection: a kept one may just be closed by the server, and a vote that is lost on
         // it may have been counted.
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -97,7 +97,7 @@
             pool: Pool::new(config.sockets),
             discovery: Discovery::new(config.discovery),
             rollout_api: RolloutApi::new(config.rollout_api),
-            rng: StdRng::seed_from_u64(config.post.seed),
+            rng: StdRng::seed_from_u64(config.front_config.seed),
             net,
             ids: IdTable::default(),
             config,
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -88,8 +88,8 @@
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as i128);
         let wall_offset = unix_time - i128::from(net.clock());
         let bound = BoundListener::bind(config.listen).map_err(|err| format!("{}: {err}", config.listen))?;
-        let (post, roster_json, initial_status) =
-            (config.post.clone(), config.initial_roster.clone(), config.initial_status);
+        let (front_config, roster_json, initial_status) =
+            (config.front_config.clone(), config.initial_roster.clone(), config.initial_status);
         let mut effects = Effects::new(net, config, wall_offset);
         let mut events = Vec::new();
         effects.net.turn(&mut events, 0).map_err(error_text)?;
@@ -100,13 +100,13 @@
         effects.discovery.seq = initial_roster.as_ref().map_or(0, |update| update.seq);
         // If rosters are pushed, the module does not request a watch; this node receives them through one all the
         // same.
-        if !post.ask_roster {
+        if !front_config.ask_roster {
             effects.watch_roster(true);
         }
-        let mut front = Front::start(post, &mut effects);
+        let mut front = Front::start(front_config, &mut effects);
         let peers = match effects.config.circle.clone() {
             Some(circle) => {
-                let (name, fronts) = (effects.config.name.clone(), effects.config.post.fronts);
+                let (name, fronts) = (effects.config.name.clone(), effects.config.front_config.fronts);
                 Some(Peers::start(&mut effects.net, &name, fronts, &circle, PEERS_TIMER)?)
             }
             None => None,
