--- a/front/src/effects.rs
+++ b/front/src/effects.rs
@@ -148,7 +148,7 @@
     pub finished_tenant_rpcs: Vec<(u32, bool)>,
     /// Keys that a build has answered for the first time at this front.
     pub new_bindings: Vec<(u64, u32)>,
-    pub standing: Option<RolloutStatus>,
+    pub status: Option<RolloutStatus>,
     pub log_limiter: LogLimiter,
     /// Time spent in the module, and the part of it spent on carrying out actions; measured only if profiling
     /// is on.
@@ -193,7 +193,7 @@
             finished_tenant_rpcs: Vec::new(),
             new_bindings: Vec::new(),
             counters: Counters::default(),
-            standing: None,
+            status: None,
             log_limiter: LogLimiter::new(LOG_LINES),
             module_time: 0,
             actions_time: 0,
--- a/front/src/restart.rs
+++ b/front/src/restart.rs
@@ -28,14 +28,14 @@
 ///
 /// ```
 /// use rockpick::{Phase, RolloutStatus};
-/// let standing = RolloutStatus { build: 2, stage: 0, phase: Phase::OnTrial, cap: 0.14, since: 0 };
-/// let (limited, due) = rockpick_front::restart::limit_cap(standing, 1_000, 2_000, 5_000);
+/// let status = RolloutStatus { build: 2, stage: 0, phase: Phase::OnTrial, cap: 0.14, since: 0 };
+/// let (limited, due) = rockpick_front::restart::limit_cap(status, 1_000, 2_000, 5_000);
 /// assert_eq!((limited.cap, due), (0.0, Some(6_000)));
-/// assert_eq!(rockpick_front::restart::limit_cap(standing, 1_000, 6_000, 5_000).0.cap, 0.14);
+/// assert_eq!(rockpick_front::restart::limit_cap(status, 1_000, 6_000, 5_000).0.cap, 0.14);
 /// ```
-pub fn limit_cap(standing: RolloutStatus, started: Ns, now: Ns, window: Ns) -> (RolloutStatus, Option<Ns>) {
-    if now - started >= window || standing.phase != Phase::OnTrial {
-        return (standing, None);
+pub fn limit_cap(status: RolloutStatus, started: Ns, now: Ns, window: Ns) -> (RolloutStatus, Option<Ns>) {
+    if now - started >= window || status.phase != Phase::OnTrial {
+        return (status, None);
     }
-    (RolloutStatus { cap: 0.0, ..standing }, Some(started + window))
+    (RolloutStatus { cap: 0.0, ..status }, Some(started + window))
 }
--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -225,7 +225,7 @@
     fn reapply_stage(&mut self) {
         let Some(mut stage) = self.stage.clone() else { return };
         let now = self.effects.net.now();
-        let age = self.effects.standing.map_or(0.0, |s| (now - s.since) as f64 / MS as f64);
+        let age = self.effects.status.map_or(0.0, |s| (now - s.since) as f64 / MS as f64);
         stage["age_ms"] = json!(age);
         self.apply_stage(Reply::News, Some(stage));
     }
@@ -599,33 +599,32 @@
     }
 
     fn apply_stage(&mut self, reply: Reply, stage: Option<Value>) {
-        let standing = stage.as_ref().and_then(|s| self.parse_stage(s));
-        if let (Some(stage), None) = (&stage, &standing) {
+        let status = stage.as_ref().and_then(|s| self.parse_stage(s));
+        if let (Some(stage), None) = (&stage, &status) {
             self.log_skipped("stage", &stage.to_string());
         }
         let (now, window) = (self.effects.net.now(), self.effects.settings.rollout.window_ms as Ns * MS);
         let mut limited_stage = None;
-        if let Some(standing) = standing {
-            let standing = match &mut self.peers {
-                Some(peers) => peers.merge_standing(standing),
-                None => standing,
+        if let Some(status) = status {
+            let status = match &mut self.peers {
+                Some(peers) => peers.merge_status(status),
+                None => status,
             };
-            let previous = self.effects.standing.replace(standing);
-            let changed = previous.is_none_or(|b| {
-                (b.build, b.stage, b.phase) != (standing.build, standing.stage, standing.phase)
-            });
+            let previous = self.effects.status.replace(status);
+            let changed = previous
+                .is_none_or(|b| (b.build, b.stage, b.phase) != (status.build, status.stage, status.phase));
             if changed {
-                let (build, stage) = (standing.build, standing.stage);
+                let (build, stage) = (status.build, status.stage);
                 tracing::info!(
                     event = "told",
                     build,
                     stage,
-                    phase = phase_name(standing.phase),
-                    cap = standing.cap
+                    phase = phase_name(status.phase),
+                    cap = status.cap
                 );
                 self.dirty = true;
             }
-            let (limited, due) = restart::limit_cap(standing, self.instance_started, now, window);
+            let (limited, due) = restart::limit_cap(status, self.instance_started, now, window);
             if due.is_some() && self.stage_due.is_none() {
                 self.effects.net.wake_at(self.instance_started + window, TICK);
             }
@@ -906,7 +905,7 @@
     fn status(&self) -> Value {
         let t = &self.effects.counters;
         let now = self.effects.net.now();
-        let stage = self.effects.standing.map(|s| {
+        let stage = self.effects.status.map(|s| {
             json!({ "build": s.build, "stage": s.stage, "phase": phase_name(s.phase), "cap": s.cap,
                 "age_ms": (now - s.since) / MS })
         });
--- a/node/src/control_links.rs
+++ b/node/src/control_links.rs
@@ -141,7 +141,7 @@
     Disputed { machine: usize, sent: Ns },
 }
 
-pub fn to_standing(now: Ns, status: BuildStatus) -> RolloutStatus {
+pub fn to_rollout_status(now: Ns, status: BuildStatus) -> RolloutStatus {
     let BuildStatus { build, stage, phase, cap, age } = status;
     RolloutStatus { build, stage, phase, cap, since: now - age }
 }
@@ -423,7 +423,7 @@
                 line.as_deref().and_then(|l| l.strip_suffix(b"\r\n")).and_then(rollout_api::parse_line);
             events.push(match reply {
                 Some(Line::Ok(status)) => {
-                    ModuleEvent::Status(Reply::Counted, status.map(|s| to_standing(now, s)))
+                    ModuleEvent::Status(Reply::Counted, status.map(|s| to_rollout_status(now, s)))
                 }
                 Some(Line::Err(why)) => {
                     tracing::info!(event = "vote refused", why);
@@ -449,7 +449,7 @@
                     self.rollout_api.redial_delay = REDIAL_DELAY.0;
                 }
                 Some(Line::Progress(status)) => {
-                    events.push(ModuleEvent::Status(Reply::News, Some(to_standing(now, status))))
+                    events.push(ModuleEvent::Status(Reply::News, Some(to_rollout_status(now, status))))
                 }
                 Some(Line::Tally { build, method, picks, not_ok }) => {
                     let method = self.config.method(method);
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,7 +1,7 @@
 //! The event loop: passes events to the decision module.
 use crate::clients::{ClientInput, ANSWER_MARGIN};
 use crate::connection_pool::PickEvent;
-use crate::control_links::{to_standing, ModuleEvent, OUTCOME_NAMES};
+use crate::control_links::{to_rollout_status, ModuleEvent, OUTCOME_NAMES};
 use crate::effects::{
     Effects, OpenRpc, DEADLINE_TIMER, MODULE_TIMER, PEERS_TIMER, RELOAD_TIMER, ROLLOUT_API_TIMER, STOP_TIMER,
     TICK_TIMER,
@@ -134,7 +134,7 @@
             node.deliver(event);
         }
         if let Some(initial_status) = initial_status {
-            let status = to_standing(node.effects.net.now(), initial_status);
+            let status = to_rollout_status(node.effects.net.now(), initial_status);
             node.deliver(ModuleEvent::Status(Reply::News, Some(status)));
         }
         node.effects.subscribe();
@@ -232,7 +232,7 @@
             ModuleEvent::Members(roll, members) => front.roster_updated(effects, roll, &members),
             ModuleEvent::Status(reply, news) => {
                 let news = match &mut self.peers {
-                    Some(peers) => news.map(|s| peers.merge_standing(s)),
+                    Some(peers) => news.map(|s| peers.merge_status(s)),
                     None => news,
                 };
                 if let Some(s) = news {
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -82,7 +82,7 @@
     /// Merges the controller's statement on the newest build with what peers know, and returns the result for this front. Once
     /// any front has heard that a build is sent back, it stays so, whatever a delayed message or an outdated controller says,
     /// as build numbers only increase.
-    fn merge_standing(&mut self, standing: RolloutStatus) -> RolloutStatus;
+    fn merge_status(&mut self, status: RolloutStatus) -> RolloutStatus;
     /// Returns what peers have reported since the last call, if anything.
     fn take_updates(&mut self) -> Option<PeerUpdates>;
     /// Passes everything known to a new instance of the module.
@@ -128,7 +128,7 @@
     /// Builds withdrawn by other fronts that have not been passed on yet.
     withdrawn: Vec<u32>,
     /// The newest build's state as last passed to the module, and whether the module knows that all keys are known.
-    standing: Option<RolloutStatus>,
+    status: Option<RolloutStatus>,
     keys_known: bool,
     row_log: Option<RowLog>,
     /// Keys whose rows are to be written to disk.
@@ -176,7 +176,7 @@
             same_zone: BTreeSet::new(),
             bound: Vec::new(),
             withdrawn: Vec::new(),
-            standing: None,
+            status: None,
             keys_known: false,
             row_log: None,
             unsaved: BTreeSet::new(),
@@ -406,23 +406,23 @@
         }
     }
 
-    fn merge_standing(&mut self, mut standing: RolloutStatus) -> RolloutStatus {
+    fn merge_status(&mut self, mut status: RolloutStatus) -> RolloutStatus {
         // The controller's statements carry no term yet: within a build stages only increase, and a release comes last.
         let row = Build {
-            withdrawn: !receives_picks(standing.phase),
+            withdrawn: !receives_picks(status.phase),
             term: 0,
             serial: 0,
-            phase: if standing.phase == rockpick::Phase::Released { Phase::Released } else { Phase::OnTrial },
-            stage: standing.stage,
+            phase: if status.phase == rockpick::Phase::Released { Phase::Released } else { Phase::OnTrial },
+            stage: status.stage,
         };
-        if self.replica.update(Key::Build(standing.build), Row::Build(row)) {
-            self.mark_unsaved(Key::Build(standing.build));
+        if self.replica.update(Key::Build(status.build), Row::Build(row)) {
+            self.mark_unsaved(Key::Build(status.build));
         }
-        if receives_picks(standing.phase) && self.replica.is_withdrawn(standing.build) {
-            (standing.phase, standing.cap) = (rockpick::Phase::GoingBack, 0.0);
+        if receives_picks(status.phase) && self.replica.is_withdrawn(status.build) {
+            (status.phase, status.cap) = (rockpick::Phase::GoingBack, 0.0);
         }
-        self.standing = Some(standing);
-        standing
+        self.status = Some(status);
+        status
     }
 
     fn take_updates(&mut self) -> Option<PeerUpdates> {
@@ -430,7 +430,7 @@
         let keys_known = self.replica.is_complete(Table::Bindings);
         let known = std::mem::replace(&mut self.keys_known, keys_known);
         let gone = std::mem::take(&mut self.withdrawn);
-        let withdrawn = self.standing.filter(|s| receives_picks(s.phase) && gone.contains(&s.build));
+        let withdrawn = self.status.filter(|s| receives_picks(s.phase) && gone.contains(&s.build));
         (!bound.is_empty() || keys_known != known || withdrawn.is_some()).then_some(PeerUpdates {
             bound,
             keys_known,
