--- a/cli/tests/front.rs
+++ b/cli/tests/front.rs
@@ -192,11 +192,11 @@
     teller.roster("changes", &[("good", good.at, 1, "up"), ("hangs", at, 1, "draining")]);
     // After the grace the machine accepts connections again: hanging ones would succeed with the next SYN retry,
     // three seconds after the first.
-    let told = Instant::now();
-    wait_until("the grace is over", || told.elapsed() > Duration::from_millis(1_100));
+    let draining_at = Instant::now();
+    wait_until("the grace is over", || draining_at.elapsed() > Duration::from_millis(1_100));
     drop(filler);
     full.set_nonblocking(true).unwrap();
-    while told.elapsed() < Duration::from_millis(3_500) {
+    while draining_at.elapsed() < Duration::from_millis(3_500) {
         if let Ok((mut io, _)) = full.accept() {
             io.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
             let mut buf = [0; 16];
--- a/emu/src/summary.rs
+++ b/emu/src/summary.rs
@@ -81,12 +81,12 @@
         let second = |t: i64| (t - begin) as f64 / 1e9;
         summary.add_clients(settings, evidence, begin);
         let mut newest: Vec<[f64; 2]> = Vec::new();
-        let mut told = evidence.stages.iter().peekable();
+        let mut stages = evidence.stages.iter().peekable();
         let mut build = settings.first_build;
         let mut arrived: Vec<_> = evidence.machines.iter().filter(|m| m.event == JobEvent::Arrived).collect();
         arrived.sort_by_key(|m| m.t);
         for m in arrived {
-            while let Some(t) = told.next_if(|t| t.t <= m.t) {
+            while let Some(t) = stages.next_if(|t| t.t <= m.t) {
                 build = t.build;
             }
             let at = second(m.t).max(0.0) as usize;
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -41,7 +41,8 @@
     /// One way between a client and a front.
     pub client: Ns,
     /// One way between the controller and a front.
-    pub told: Ns,
+    #[serde(rename = "told")]
+    pub controller: Ns,
     /// Timer overhead on a machine's core, on top of an RPC's work; not jittered.
     pub over: Ns,
 }
@@ -49,7 +50,7 @@
 impl Default for Latencies {
     /// Two zones of one site, with clients near it.
     fn default() -> Latencies {
-        Latencies { same: MS / 5, cross: MS, client: MS / 2, told: 20 * MS, over: 0 }
+        Latencies { same: MS / 5, cross: MS, client: MS / 2, controller: 20 * MS, over: 0 }
     }
 }
 
@@ -805,7 +806,7 @@
                 }
                 Action::Watch | Action::Fetch => {
                     let up = self.controller_stopped_until <= self.now;
-                    let latency = self.with_jitter(self.latencies.told);
+                    let latency = self.with_jitter(self.latencies.controller);
                     if up {
                         let (status, members) = (self.status(), Rc::new(self.roster_members(None)));
                         self.schedule(self.now + latency, Event::RolloutUpdate(front, incarnation, status));
@@ -824,7 +825,7 @@
                     self.last_id += 1;
                     let id = self.last_id;
                     self.fronts[front as usize].vote_in_flight = id;
-                    let latency = self.with_jitter(self.latencies.told);
+                    let latency = self.with_jitter(self.latencies.controller);
                     self.schedule(
                         self.now + latency,
                         Event::Vote(front, incarnation, build, stage, verdict, id),
@@ -1320,7 +1321,7 @@
             }
             for front in 0..self.fronts.len() as u32 {
                 let (incarnation, latency) =
-                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
+                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.controller));
                 self.schedule(
                     now + latency,
                     Event::RosterUpdate(front, incarnation, RosterUpdate::Changes, members.clone()),
@@ -1345,8 +1346,10 @@
             if !self.tenant_sums.is_empty() {
                 let rows = Rc::new(std::mem::take(&mut self.tenant_sums).into_iter().collect::<Vec<_>>());
                 for front in 0..self.fronts.len() as u32 {
-                    let (incarnation, latency) =
-                        (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
+                    let (incarnation, latency) = (
+                        self.fronts[front as usize].incarnation,
+                        self.with_jitter(self.latencies.controller),
+                    );
                     self.schedule(now + latency, Event::TenantSums(front, incarnation, every, rows.clone()));
                 }
             }
@@ -1355,7 +1358,7 @@
                 Rc::new(std::mem::take(&mut self.pick_counts).into_iter().map(row).collect());
             for front in 0..self.fronts.len() as u32 {
                 let (incarnation, latency) =
-                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
+                    (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.controller));
                 self.schedule(now + latency, Event::PickCounts(front, incarnation, rows.clone()));
             }
         }
@@ -1373,7 +1376,7 @@
         self.evidence.stages.push(StageRecord { t, build, stage, phase, cap });
         for front in 0..self.fronts.len() as u32 {
             let (incarnation, latency) =
-                (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.told));
+                (self.fronts[front as usize].incarnation, self.with_jitter(self.latencies.controller));
             self.schedule(self.now + latency, Event::RolloutUpdate(front, incarnation, status));
         }
     }
@@ -1393,7 +1396,7 @@
             self.release.vote(self.now, control, &name, build, stage, verdict).is_ok()
         };
         let reply = if counted { ControllerReply::Counted } else { ControllerReply::Refused };
-        let (status, latency) = (self.status(), self.with_jitter(self.latencies.told));
+        let (status, latency) = (self.status(), self.with_jitter(self.latencies.controller));
         self.schedule(self.now + latency, Event::VoteReply(front, incarnation, reply, Some(status), id));
     }
 
--- a/fakes/src/scripted.rs
+++ b/fakes/src/scripted.rs
@@ -341,7 +341,7 @@
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole.len());
             return io.write_all(format!("{head}{whole}").as_bytes()).ok();
         }
-        let told = if desk { &self.news } else { &self.lists };
+        let lines_to_send = if desk { &self.news } else { &self.lists };
         self.asked.lock().unwrap()[usize::from(desk)] += 1;
         if desk {
             io.write_all(b"OK\r\n").ok()?;
@@ -359,8 +359,8 @@
             if down() {
                 return None;
             }
-            if !mute() && !desk && !sent_first && told.lock().unwrap().len() > 1 {
-                let lines = told.lock().unwrap().clone();
+            if !mute() && !desk && !sent_first && lines_to_send.lock().unwrap().len() > 1 {
+                let lines = lines_to_send.lock().unwrap().clone();
                 lines_sent = lines.len();
                 let net = net_change(&lines[after.min(lines.len())..], lines.len());
                 io.write_all(format!("{:x}\r\n{net}\n\r\n", net.len() + 1).as_bytes()).ok()?;
@@ -371,7 +371,7 @@
             if mute() {
                 continue;
             }
-            let lines: Vec<String> = told.lock().unwrap()[lines_sent..].to_vec();
+            let lines: Vec<String> = lines_to_send.lock().unwrap()[lines_sent..].to_vec();
             lines_sent += lines.len();
             let alive = (turn % 100 == 0).then(|| if desk { "*".to_string() } else { String::new() });
             for line in lines.into_iter().chain(alive) {
@@ -403,8 +403,8 @@
 fn net_change(lines: &[String], seq: usize) -> String {
     let mut met: BTreeMap<String, (bool, Value)> = BTreeMap::new();
     for line in lines {
-        let told: Value = serde_json::from_str(line).unwrap();
-        for host in told["hosts"].as_array().unwrap() {
+        let change: Value = serde_json::from_str(line).unwrap();
+        for host in change["hosts"].as_array().unwrap() {
             let appeared = host["health"] == "active";
             let name = host["host"].as_str().unwrap().to_string();
             met.entry(name).or_insert_with(|| (appeared, host.clone())).1 = host.clone();
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -327,13 +327,17 @@
 /// 2 was on a third of the places in that roster and has been released since.
 #[test]
 fn a_front_that_starts_on_an_old_roster_keeps_to_the_build_that_surely_stays() {
-    let picks = |machines: [usize; 2], told: u32, update: RosterUpdate| {
+    let picks = |machines: [usize; 2], newest_build: u32, update: RosterUpdate| {
         let mut recorder = Recorder { now: 100 * SEC, ..Recorder::default() };
         let mut front = Front::start(FrontConfig { ask_roster: true, ..config() }, &mut recorder);
         let builds = (0..machines[0]).map(|_| 1).chain((0..machines[1]).map(|_| 2));
         let known: Vec<Member> = builds.enumerate().map(|(i, build)| member(i, build, None)).collect();
         front.roster_updated(&mut recorder, update, &known);
-        front.rollout_updated(&mut recorder, Reply::News, status(told, 0, Phase::OnTrial, 0.0, 100 * SEC));
+        front.rollout_updated(
+            &mut recorder,
+            Reply::News,
+            status(newest_build, 0, Phase::OnTrial, 0.0, 100 * SEC),
+        );
         (0..90).for_each(|rpc| receive(&mut front, &mut recorder, rpc, 0));
         let at = |build: u32| recorder.picks.iter().filter(|pick| known[pick.1].build == build).count();
         [at(1) > 0, at(2) > 0]
