--- a/cli/src/emulation.rs
+++ b/cli/src/emulation.rs
@@ -126,11 +126,11 @@
             let peak_before = memory(std::process::id(), "VmHWM");
             let outcome = World::new(day).map_err(CliError)?.run();
             let elapsed = began.elapsed().as_secs_f64();
-            let (tally, peak_bytes) = (outcome.tolls, memory(std::process::id(), "VmHWM"));
+            let (totals, peak_bytes) = (outcome.totals, memory(std::process::id(), "VmHWM"));
             println!("{} fronts, {} machines, {} RPCs in {:.0} virtual s: {elapsed:.1} s, {:.0} events/s, {:.1} real s per \
-                 virtual s, {:.0} MiB at peak, service {:.3}", self.plan.fronts, self.plan.machines, tally.rpcs,
+                 virtual s, {:.0} MiB at peak, service {:.3}", self.plan.fronts, self.plan.machines, totals.rpcs,
                 outcome.virtual_seconds, outcome.events as f64 / elapsed, elapsed / outcome.virtual_seconds,
-                peak_bytes / 1_048_576.0, tally.served / tally.asked.max(1e-9));
+                peak_bytes / 1_048_576.0, totals.served / totals.asked.max(1e-9));
             let by_tenant =
                 outcome.tenant_utility.map(|[asked, served]| format!("{:.3}", served / asked.max(1e-9)));
             println!(
--- a/emu/src/world.rs
+++ b/emu/src/world.rs
@@ -165,7 +165,7 @@
     build: u32,
     /// Increases with every start and kill of the process.
     run: u32,
-    shop: Option<MachineModel<PickTag>>,
+    model: Option<MachineModel<PickTag>>,
     /// Unreachable though its process runs: it accepts picks, but sends neither replies nor heartbeats.
     silent: bool,
     leaving: bool,
@@ -240,7 +240,7 @@
 /// A simulated fleet and the day it runs through.
 pub struct World {
     pub settings: Settings,
-    pub crowd: ClientModel,
+    pub clients: ClientModel,
     now: Ns,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
     serial: u64,
@@ -300,7 +300,7 @@
 
 /// The result of a run.
 pub struct Outcome {
-    pub tolls: ClientTotals,
+    pub totals: ClientTotals,
     pub evidence: Evidence,
     pub events: u64,
     pub virtual_seconds: f64,
@@ -378,10 +378,10 @@
             return Err(format!("{}: {}", wrong.field, wrong.why));
         }
         let fronts = settings.fronts.len();
-        let crowd = ClientModel::new(settings.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
+        let clients = ClientModel::new(settings.clone(), load, arrivals, fronts, retries, work_ms, seed)?;
         let release = Release::new(&settings);
         let mut world = World {
-            crowd,
+            clients,
             now: 0,
             queue: BinaryHeap::new(),
             serial: 0,
@@ -439,7 +439,7 @@
         }
         world.send_status();
         // Clients begin after the roster and the rollout status have reached all fronts.
-        world.crowd.schedule.begin_at(SEC);
+        world.clients.schedule.begin_at(SEC);
         world.schedule(SEC, Event::ClientArrival);
         world.schedule(CONTROLLER_PERIOD, Event::ControllerTick);
         world.schedule(HEARTBEAT_PERIOD, Event::Heartbeats);
@@ -484,12 +484,12 @@
         }
         self.evidence.machine_names = self.machines.iter().map(|m| (m.name.clone(), Some(m.place))).collect();
         Outcome {
-            tolls: self.crowd.totals.clone(),
+            totals: self.clients.totals.clone(),
             evidence: self.evidence,
             events: self.events,
             virtual_seconds: self.now as f64 / SEC as f64,
             log: self.log,
-            times: self.crowd.times,
+            times: self.clients.times,
             profile: self.profile,
             tenant_utility: self.tenant_utility,
             tenant_utility_by_second: self.tenant_utility_by_second,
@@ -531,11 +531,11 @@
             }
             Event::PickArrives { front, call, machine, run } => self.pick_arrives(front, call, machine, run),
             Event::MachineTimer(machine, run, serial) => {
-                self.with_machine(machine, run, |shop, now, context| {
+                self.with_machine(machine, run, |model, now, context| {
                     if serial & DELAYED != 0 {
-                        shop.send_delayed(context, serial)
+                        model.send_delayed(context, serial)
                     } else {
-                        shop.finish(now, context, serial)
+                        model.finish(now, context, serial)
                     }
                 })
             }
@@ -566,7 +566,7 @@
                 }
             }
             Event::PickAbandoned(machine, run, call) => {
-                self.with_machine(machine, run, |shop, _, context| shop.connection_closed(context, call))
+                self.with_machine(machine, run, |model, _, context| model.connection_closed(context, call))
             }
             Event::ControllerTick => {
                 self.controller_tick();
@@ -638,22 +638,22 @@
         if self.now >= SEC + self.duration {
             return;
         }
-        let rpc = self.crowd.arrive();
-        let (utility, tenant_index) = (self.crowd.method(&rpc).utility, rpc.tenant % 3);
+        let rpc = self.clients.arrive();
+        let (utility, tenant_index) = (self.clients.method(&rpc).utility, rpc.tenant % 3);
         self.tenant_utility[tenant_index][0] += utility;
         let second = ((self.now - SEC) / SEC).max(0) as usize;
         self.tenant_utility_by_second
             .resize(self.tenant_utility_by_second.len().max(second + 1), [[0.0; 2]; 3]);
         self.tenant_utility_by_second[second][tenant_index][0] += utility;
         // Ns::MAX: a replay has ended and has no further arrivals.
-        if self.crowd.schedule.due < Ns::MAX {
-            self.schedule(self.crowd.schedule.due, Event::ClientArrival);
+        if self.clients.schedule.due < Ns::MAX {
+            self.schedule(self.clients.schedule.due, Event::ClientArrival);
         }
         self.send(rpc);
     }
 
     fn send(&mut self, mut rpc: Rpc) {
-        let Some(sending) = self.crowd.start_attempt(self.now, &mut rpc) else { return };
+        let Some(sending) = self.clients.start_attempt(self.now, &mut rpc) else { return };
         let front = rpc.front as u32;
         self.record_client(&rpc, front, ClientEvent::Sent { leaves: rpc.leave }, false);
         self.last_id += 1;
@@ -691,7 +691,7 @@
             AttemptOutcome::Broken => ClientEvent::ConnectionLost,
             AttemptOutcome::GaveUp => ClientEvent::GaveUp,
         };
-        let row = self.crowd.method(&t.rpc);
+        let row = self.clients.method(&t.rpc);
         if how == (AttemptOutcome::Ok { right: true })
             && self.now - t.rpc.began <= row.soft_deadline_ms as Ns * MS
         {
@@ -707,7 +707,7 @@
     }
 
     fn attempt_ended(&mut self, rpc: Rpc, how: AttemptOutcome, wait: Option<Ns>) {
-        match self.crowd.attempt_ended(self.now, rpc, how, wait) {
+        match self.clients.attempt_ended(self.now, rpc, how, wait) {
             NextStep::Done => {}
             NextStep::RetryAt(at, rpc) if at <= self.now => self.send(rpc),
             NextStep::RetryAt(at, rpc) => {
@@ -856,13 +856,13 @@
     /// Sets which fronts can't reach a machine because of a partition.
     fn apply_partition(&mut self, machine: usize) {
         let m = &mut self.machines[machine];
-        let Some(shop) = &mut m.shop else { return };
+        let Some(model) = &mut m.model else { return };
         let unreachable = self
             .fronts
             .iter()
             .zip(&self.settings.fronts)
             .filter(|(s, _)| self.partitioned && s.zone != m.zone);
-        shop.fault.cut = unreachable.map(|(_, f)| f.name.clone()).collect();
+        model.fault.cut = unreachable.map(|(_, f)| f.name.clone()).collect();
     }
 
     fn request_arrives(&mut self, front: u32, attempt: u64) {
@@ -1061,14 +1061,14 @@
         if m.run != run || m.silent {
             return;
         }
-        let Some(mut shop) = m.shop.take() else { return };
+        let Some(mut model) = m.model.take() else { return };
         let lines = self.check.then_some(&mut self.evidence.machines);
         let (replies, wakes) = (Vec::new(), Vec::new());
         let mut context =
             MachineContext { now, machine, run, build: m.build, lines, replies, wakes, fell: None };
-        act(&mut shop, now, &mut context);
+        act(&mut model, now, &mut context);
         let MachineContext { replies, wakes, fell, run, .. } = context;
-        m.shop = Some(shop);
+        m.model = Some(model);
         if let Some((sent, budget, age)) = fell {
             let name = &self.machines[machine as usize].name;
             let text = format!("{name} fell over at {} ms: sent {sent:.3} of {budget:.3}", age / MS);
@@ -1113,7 +1113,7 @@
         let work = t.rpc.work_ms / 1e3 + self.latencies.over as f64 / SEC as f64;
         let until = open.deadline;
         let m = &mut self.machines[machine as usize];
-        if m.run != run || m.shop.is_none() {
+        if m.run != run || m.model.is_none() {
             let outcome = PickOutcome::Unreachable;
             return self.schedule(
                 self.now + REFUSED_AFTER,
@@ -1121,14 +1121,14 @@
             );
         }
         let name = &self.settings.fronts[front as usize].name;
-        let Some(shop) = &m.shop else { return };
-        if shop.fault.is_partitioned_from(name) {
+        let Some(model) = &m.model else { return };
+        if model.fault.is_partitioned_from(name) {
             return; // the pick ends by its timeout
         }
-        let faulty = shop.fault.affects(name);
+        let faulty = model.fault.affects(name);
         // Connections are limited; each RPC at the machine holds one.
         let at_connection_limit =
-            shop.fault.connections.is_some_and(|most| shop.busy + shop.waiting() >= most);
+            model.fault.connections.is_some_and(|most| model.busy + model.waiting() >= most);
         if at_connection_limit {
             let outcome = PickOutcome::Unreachable;
             return self.schedule(
@@ -1137,7 +1137,7 @@
             );
         }
         let job = Job::new(call, tag, work, until, last_method, faulty);
-        self.with_machine(machine, run, |shop, now, context| shop.arrive(now, context, job));
+        self.with_machine(machine, run, |model, now, context| model.arrive(now, context, job));
     }
 
     fn start_machine(&mut self, place: usize, build: u32) {
@@ -1153,7 +1153,7 @@
                 zone: zone as usize,
                 build,
                 run: 0,
-                shop: None,
+                model: None,
                 silent: false,
                 leaving: false,
                 member: Member::default(),
@@ -1172,17 +1172,17 @@
             multiple: g.overload_factor,
             fall_time: g.fall_time_ms as Ns * MS,
         };
-        let born = if warm { -3_600 * SEC } else { self.now };
+        let started = if warm { -3_600 * SEC } else { self.now };
         let seed = self.rng.random();
         let m = &mut self.machines[index as usize];
-        if m.shop.is_some() {
+        if m.model.is_some() {
             return;
         }
-        let mut shop = MachineModel::new(kind, born, seed);
+        let mut model = MachineModel::new(kind, started, seed);
         if let Some(fault) = &self.fleet_fault {
-            shop.fault = fault.clone();
+            model.fault = fault.clone();
         }
-        (m.run, m.shop, m.silent, m.leaving) = (m.run + 1, Some(shop), false, false);
+        (m.run, m.model, m.silent, m.leaving) = (m.run + 1, Some(model), false, false);
         m.member = Member {
             machine: index as usize,
             tag: m.tag,
@@ -1191,7 +1191,7 @@
             build,
             state: State::Up,
             weight: p.weight,
-            started: Some(born),
+            started: Some(started),
         };
         self.apply_partition(index as usize);
         self.heartbeat(index);
@@ -1199,7 +1199,7 @@
 
     fn kill_machine(&mut self, machine: u32) {
         let m = &mut self.machines[machine as usize];
-        m.shop = None;
+        m.model = None;
         m.silent = false;
         m.run += 1;
         let mut open: Vec<(u64, u32)> =
@@ -1238,11 +1238,11 @@
 
     /// Slows all machines in proportion to the share of them that run a bad build.
     fn apply_shared_slowdown(&mut self) {
-        let up = self.machines.iter().filter(|m| m.shop.is_some()).count().max(1);
-        let bad = |m: &&Machine| m.shop.is_some() && self.bad_builds.contains_key(&m.build);
+        let up = self.machines.iter().filter(|m| m.model.is_some()).count().max(1);
+        let bad = |m: &&Machine| m.model.is_some() && self.bad_builds.contains_key(&m.build);
         let share = self.machines.iter().filter(bad).count() as f64 / up as f64;
-        for shop in self.machines.iter_mut().filter_map(|m| m.shop.as_mut()) {
-            shop.fault.slow = 1.0 + 2.0 * self.shared_slowdown * share;
+        for model in self.machines.iter_mut().filter_map(|m| m.model.as_mut()) {
+            model.fault.slow = 1.0 + 2.0 * self.shared_slowdown * share;
         }
     }
 
@@ -1260,7 +1260,7 @@
 
     fn heartbeat(&mut self, machine: u32) {
         let m = &self.machines[machine as usize];
-        let Some(shop) = m.shop.as_ref().filter(|_| !m.silent && self.controller_stopped_until <= self.now)
+        let Some(model) = m.model.as_ref().filter(|_| !m.silent && self.controller_stopped_until <= self.now)
         else {
             return;
         };
@@ -1273,9 +1273,9 @@
             place: &place,
             build: m.build,
             run: u64::from(m.run),
-            age: self.now - shop.started,
+            age: self.now - model.started,
             leaving: m.leaving,
-            open_rpcs: (shop.busy + shop.waiting()) as u32,
+            open_rpcs: (model.busy + model.waiting()) as u32,
         };
         if self.roster.heartbeat(self.now, &self.settings, want, heartbeat) == Ok(Order::Stop) {
             let run = u64::from(m.run);
@@ -1302,7 +1302,7 @@
             let runs = self
                 .machine_index
                 .get(&(place, build))
-                .is_some_and(|m| self.machines[*m as usize].shop.is_some());
+                .is_some_and(|m| self.machines[*m as usize].model.is_some());
             if !runs && !self.starting.contains_key(&(place, build)) {
                 self.starting.insert((place, build), now + MACHINE_START_TIME);
                 self.schedule(now + MACHINE_START_TIME, Event::MachineStart(place, build));
@@ -1409,7 +1409,7 @@
     /// Machines with a running process, ordered by name.
     fn running_machines(&self) -> Vec<u32> {
         let mut up: Vec<u32> =
-            (0..self.machines.len() as u32).filter(|m| self.machines[*m as usize].shop.is_some()).collect();
+            (0..self.machines.len() as u32).filter(|m| self.machines[*m as usize].model.is_some()).collect();
         up.sort_by(|a, b| self.machines[*a as usize].name.cmp(&self.machines[*b as usize].name));
         up
     }
@@ -1497,8 +1497,8 @@
                 let up = self.running_machines();
                 let count = (share * up.len() as f64).ceil() as usize;
                 for m in up.into_iter().take(count) {
-                    if let Some(shop) = &mut self.machines[m as usize].shop {
-                        shop.fault = fault.clone();
+                    if let Some(model) = &mut self.machines[m as usize].model {
+                        model.fault = fault.clone();
                     }
                     self.apply_partition(m as usize);
                 }
@@ -1507,14 +1507,14 @@
             ScriptAction::Heal => {
                 self.fleet_fault = None;
                 for m in 0..self.machines.len() {
-                    if let Some(shop) = &mut self.machines[m].shop {
-                        shop.fault = Fault::default();
+                    if let Some(model) = &mut self.machines[m].model {
+                        model.fault = Fault::default();
                     }
                     self.apply_partition(m);
                 }
             }
             ScriptAction::Load(load) => {
-                let _ = self.crowd.schedule.load.change(load);
+                let _ = self.clients.schedule.load.change(load);
             }
             // The emulator's fronts form no peer group: of a storm's faults only stops and kills apply.
             ScriptAction::Storm { fault, begins: true, .. } => {
