--- a/cli/tests/answers.rs
+++ b/cli/tests/answers.rs
@@ -91,9 +91,9 @@
             }
             Some(())
         };
-        line.hello()?;
+        line.read_startup()?;
         block_at(Step::Dialling)?;
-        line.welcome()?;
+        line.send_startup_response()?;
         loop {
             line.query()?;
             block_at(Step::Sent)?;
@@ -124,9 +124,9 @@
 }
 
 /// All further answers that a client gets until its connection ends.
-fn further_answers(client: &mut Client) -> Vec<Said> {
+fn further_answers(client: &mut Client) -> Vec<Answer> {
     let _ = client.io.shutdown(Shutdown::Write);
-    std::iter::from_fn(|| Some(client.hear()).filter(|said| *said != Said::Closed)).collect()
+    std::iter::from_fn(|| Some(client.read_answer()).filter(|answer| *answer != Answer::Closed)).collect()
 }
 
 fn interrupt(step: Step, interruption: Interruption) {
@@ -143,7 +143,7 @@
         while client.message().expect("a startup response").0 != b'Z' {}
     }
     if step == Step::Again {
-        assert_eq!(client.rpc(&lookup(6, DEADLINE_MS)), Said::Value(VALUE.to_vec()));
+        assert_eq!(client.rpc(&lookup(6, DEADLINE_MS)), Answer::Value(VALUE.to_vec()));
     }
     if after.is_empty() {
         wait_until("the machine is at the step", || machine.reached.load(Ordering::SeqCst) > 0);
@@ -169,20 +169,20 @@
     if interruption == Interruption::Kill {
         // Whatever became of the first attempt, the second is a new command.
         let mut client = other.client();
-        assert!(matches!(client.rpc(&lookup(8, DEADLINE_MS)), Said::Value(_)), "{case}");
+        assert!(matches!(client.rpc(&lookup(8, DEADLINE_MS)), Answer::Value(_)), "{case}");
         return;
     }
     sent.unwrap();
     if step == Step::Connected || step == Step::HalfStartup {
         while client.message().unwrap_or_else(|| panic!("{case}: no startup response")).0 != b'Z' {}
     }
-    let heard = client.hear();
-    assert!(heard != Said::Closed, "{case}: closed without an answer");
+    let answer = client.read_answer();
+    assert!(answer != Answer::Closed, "{case}: closed without an answer");
     assert!(
-        matches!(heard, Said::Value(_))
+        matches!(answer, Answer::Value(_))
             || interruption == Interruption::Drain
             || interruption == Interruption::MachineCloses,
-        "{case}: {heard:?}"
+        "{case}: {answer:?}"
     );
     assert_eq!(further_answers(&mut client), [], "{case}: more than one answer");
 }
@@ -222,9 +222,9 @@
     node.signal(Signal::CONT);
     let unanswered = clients.iter_mut().filter_map(|client| {
         // The startup response, or an error in its place; then the answer.
-        let startup = client.hear();
-        let answer = if startup == Said::Closed { client.hear() } else { startup };
-        (answer == Said::Closed).then_some(())
+        let startup = client.read_answer();
+        let answer = if startup == Answer::Closed { client.read_answer() } else { startup };
+        (answer == Answer::Closed).then_some(())
     });
     assert_eq!(unanswered.count(), 0);
 }
--- a/cli/tests/moments.rs
+++ b/cli/tests/moments.rs
@@ -14,8 +14,8 @@
 
 const VALUE: &[u8] = b"value";
 
-fn value() -> Said {
-    Said::Value(VALUE.to_vec())
+fn value() -> Answer {
+    Answer::Value(VALUE.to_vec())
 }
 
 /// Waits until the node accepts no more connections; from then on it closes those that are idle.
@@ -28,10 +28,10 @@
     let (gate, counts) = (Gate::default(), [(); 2].map(|()| Arc::new(AtomicUsize::new(0))));
     let (held, [connections, queries]) = (gate.clone(), counts.clone());
     let at = machine_served_by(move |_, mut line| {
-        line.hello()?;
+        line.read_startup()?;
         connections.fetch_add(1, Ordering::SeqCst);
         held.pass();
-        line.welcome()?;
+        line.send_startup_response()?;
         line.query()?;
         queries.fetch_add(1, Ordering::SeqCst);
         line.answers(value)
@@ -117,7 +117,7 @@
         std::thread::sleep(Duration::from_millis(700));
         gate.open();
     });
-    assert!(pushed_back(&client.hear()), "it never ran");
+    assert!(pushed_back(&client.read_answer()), "it never ran");
     opens_gate.join().unwrap();
     assert_eq!(queries.load(Ordering::SeqCst), 0);
 }
@@ -135,7 +135,7 @@
     platform.list(false, &[("a", new.at, 1, "active")]);
     wait_until_served(&mut node.client(), &new);
     gate.open();
-    assert!(pushed_back(&client.hear()), "it never ran");
+    assert!(pushed_back(&client.read_answer()), "it never ran");
     assert_eq!(old.load(Ordering::SeqCst), 0);
     assert_eq!(client.rpc(&save(2, 900)), value());
 }
@@ -157,7 +157,7 @@
     platform.news("* progress 2 0 reverting 0 0");
     wait_until("the withdrawal is received", || node.log_contains("phase=GoingBack"));
     gate.open();
-    assert_eq!(client.hear(), value(), "answered by the earlier build");
+    assert_eq!(client.read_answer(), value(), "answered by the earlier build");
     assert_eq!(queries.load(Ordering::SeqCst), 0);
 }
 
@@ -191,13 +191,13 @@
         (Gate::default(), Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(0)));
     let serve = |gate: Gate, connections: Arc<AtomicUsize>, queries: Arc<Mutex<usize>>| {
         move |_: usize, mut line: MachineConnection| {
-            line.hello()?;
+            line.read_startup()?;
             // The first connection is closed after the query; that of the repeat is ready late.
             let first = connections.fetch_add(1, Ordering::SeqCst) == 0;
             if !first {
                 gate.pass();
             }
-            line.welcome()?;
+            line.send_startup_response()?;
             line.query()?;
             *queries.lock().unwrap() += 1;
             if first {
@@ -222,7 +222,7 @@
         std::thread::sleep(Duration::from_millis(600));
         gate.open();
     });
-    assert!(!matches!(client.hear(), Said::Value(_)));
+    assert!(!matches!(client.read_answer(), Answer::Value(_)));
     opens_gate.join().unwrap();
     assert_eq!(*queries.lock().unwrap(), 1, "the effect happens once");
 }
@@ -231,8 +231,8 @@
 #[test]
 fn a_late_copy_of_an_answer_is_not_taken_for_another() {
     let at = machine_served_by(|number, mut line| {
-        line.hello()?;
-        line.welcome()?;
+        line.read_startup()?;
+        line.send_startup_response()?;
         line.query()?;
         let value = number.to_string();
         line.answers(value.as_bytes())?;
@@ -247,9 +247,9 @@
     let platform = Platform::begin();
     let node = Node::start(&configuration(&platform, &[("a", at, 1, "active")]));
     let mut client = node.client();
-    assert_eq!(client.rpc(&save(1, 900)), Said::Value(b"0".to_vec()));
-    let said = client.rpc(&save(2, 900));
-    assert!([&b"1"[..], b"next"].iter().any(|good| said == Said::Value(good.to_vec())), "{said:?}");
+    assert_eq!(client.rpc(&save(1, 900)), Answer::Value(b"0".to_vec()));
+    let answer = client.rpc(&save(2, 900));
+    assert!([&b"1"[..], b"next"].iter().any(|good| answer == Answer::Value(good.to_vec())), "{answer:?}");
 }
 
 /// The node is paused while a new connection and then an RPC on the eviction candidate arrive: it reads both in the
@@ -274,10 +274,10 @@
     let mut new = node.connect();
     clients[0].ask(&save(100, 1_900));
     node.signal(Signal::CONT);
-    assert_eq!(clients[0].hear(), value());
+    assert_eq!(clients[0].read_answer(), value());
     new.startup();
     assert_eq!(new.rpc(&save(101, 900)), value());
-    assert_eq!(clients[1].hear(), Said::Closed, "the next candidate is evicted");
+    assert_eq!(clients[1].read_answer(), Answer::Closed, "the next candidate is evicted");
 }
 
 #[test]
@@ -285,8 +285,8 @@
     let gate = Gate::default();
     let machine_gate = gate.clone();
     let at = machine_served_by(move |_, mut line| {
-        line.hello()?;
-        line.welcome()?;
+        line.read_startup()?;
+        line.send_startup_response()?;
         while line.query().is_some() {
             machine_gate.pass();
             line.answers(VALUE)?;
@@ -301,7 +301,10 @@
     node.signal(Signal::TERM);
     wait_for_listener_closed(&node);
     gate.open();
-    assert_eq!([client.hear(), client.hear(), client.hear()], [value(), value(), Said::Closed]);
+    assert_eq!(
+        [client.read_answer(), client.read_answer(), client.read_answer()],
+        [value(), value(), Answer::Closed]
+    );
 }
 
 #[test]
@@ -312,9 +315,9 @@
     let (mut ready, mut new) = (node.client(), node.connect());
     node.signal(Signal::TERM);
     wait_for_listener_closed(&node);
-    assert_eq!([ready.rpc(&save(1, 900)), ready.hear()], [value(), Said::Closed]);
+    assert_eq!([ready.rpc(&save(1, 900)), ready.read_answer()], [value(), Answer::Closed]);
     new.startup();
-    assert_eq!([new.rpc(&save(2, 900)), new.hear()], [value(), Said::Closed]);
+    assert_eq!([new.rpc(&save(2, 900)), new.read_answer()], [value(), Answer::Closed]);
     assert!(node.proc.child.wait().unwrap().success());
 }
 
@@ -324,8 +327,8 @@
     let large = vec![b'x'; 64 * 1024];
     let answer = row(&large);
     let at = machine_served_by(move |_, mut line| {
-        line.hello()?;
-        line.welcome()?;
+        line.read_startup()?;
+        line.send_startup_response()?;
         while line.query().is_some() {
             line.io.write_all(&answer).ok()?;
         }
@@ -340,9 +343,9 @@
     // Without waiting for the reader it would have ended by now.
     std::thread::sleep(Duration::from_millis(300));
     for id in 0..MANY {
-        assert!(client.hear() == Said::Value(large.clone()), "answer {id}");
+        assert!(client.read_answer() == Answer::Value(large.clone()), "answer {id}");
     }
-    assert_eq!(client.hear(), Said::Closed);
+    assert_eq!(client.read_answer(), Answer::Closed);
     assert!(node.proc.child.wait().unwrap().success());
 }
 
@@ -363,10 +366,10 @@
             }
         }
     });
-    assert!(!matches!(client.hear(), Said::Closed));
+    assert!(!matches!(client.read_answer(), Answer::Closed));
     let began = Instant::now();
     node.signal(Signal::TERM);
-    while !matches!(client.hear(), Said::Closed) {
+    while !matches!(client.read_answer(), Answer::Closed) {
         assert!(began.elapsed() < Duration::from_secs(6), "the shutdown does not end");
     }
     assert!(node.proc.child.wait().unwrap().success());
@@ -408,6 +411,6 @@
         client.io.write_all(&partial[..PART - if i == 0 { 64 } else { 0 }]).unwrap();
     }
     // Each answer takes a turn, and a turn reads from all clients.
-    (0..10).for_each(|_| assert_eq!(probe.rpc(""), Said::Empty));
+    (0..10).for_each(|_| assert_eq!(probe.rpc(""), Answer::Empty));
     assert_eq!(good.rpc(&lookup(2, 900)), value());
 }
--- a/cli/tests/node.rs
+++ b/cli/tests/node.rs
@@ -23,7 +23,7 @@
 /// Serves enough RPCs for the decision module to allow several open ones; then sets the machine's script.
 fn warm_up(machine: &Machine, client: &mut Client, next: &[QueryAction]) -> usize {
     for id in 0..100 {
-        assert!(matches!(client.rpc(&lookup(1 << 32 | id, 900)), Said::Value(_)));
+        assert!(matches!(client.rpc(&lookup(1 << 32 | id, 900)), Answer::Value(_)));
     }
     *machine.script.lock().unwrap() = next.to_vec();
     machine.queries()
@@ -34,9 +34,9 @@
     let machine = machine(&[QueryAction::Answer]);
     let (_platform, node) = node_with(&machine);
     let mut client = node.client();
-    assert_eq!(client.rpc(""), Said::Empty);
+    assert_eq!(client.rpc(""), Answer::Empty);
     for id in 1..=20 {
-        assert_eq!(client.rpc(&save(id, 900)), Said::Value(b"value".to_vec()));
+        assert_eq!(client.rpc(&save(id, 900)), Answer::Value(b"value".to_vec()));
         // A connection is not reused right after an answer, as a duplicate of it may arrive late.
         std::thread::sleep(REUSE_DELAY);
     }
@@ -71,12 +71,13 @@
         let mut client = node.client();
         for (statement, rejected) in [(lookup(1, 600), lookup_rejected), (save(2, 600), save_rejected)] {
             let (began, before) = (Instant::now(), machine.queries());
-            let said = client.rpc(&statement);
-            let as_expected = if rejected { pushed_back(&said) } else { failed(&said) || pushed_back(&said) };
-            assert!(as_expected, "{opens:?} {does:?} {statement}: {said:?}");
+            let answer = client.rpc(&statement);
+            let as_expected =
+                if rejected { pushed_back(&answer) } else { failed(&answer) || pushed_back(&answer) };
+            assert!(as_expected, "{opens:?} {does:?} {statement}: {answer:?}");
             assert!(began.elapsed() < Duration::from_millis(600), "before the deadline");
             if statement.starts_with("INSERT") {
-                assert_eq!(pushed_back(&said), save_rejected, "{opens:?} {does:?}: {said:?}");
+                assert_eq!(pushed_back(&answer), save_rejected, "{opens:?} {does:?}: {answer:?}");
                 assert!(machine.queries() - before <= 1, "sent once");
             }
         }
@@ -95,7 +96,7 @@
     let node = Node::start(&config);
     let mut client = node.client();
     for id in 1..=20 {
-        assert_eq!(client.rpc(&save(id, 1_500)), Said::Value(b"value".to_vec()));
+        assert_eq!(client.rpc(&save(id, 1_500)), Answer::Value(b"value".to_vec()));
     }
     assert_eq!(good.queries(), 20);
     // Broken after the statement was sent: aborted, and each statement is sent only once.
@@ -105,8 +106,8 @@
     let machines: Vec<_> = names.iter().zip(&all).map(|(n, m)| (n.as_str(), m.at, 1, "active")).collect();
     let node = Node::start(&configuration(&platform, &machines));
     let mut client = node.client();
-    let said: Vec<Said> = (1..=20).map(|id| client.rpc(&save(id, 1_500))).collect();
-    let aborted = said.iter().filter(|s| failed(s)).count();
+    let answers: Vec<Answer> = (1..=20).map(|id| client.rpc(&save(id, 1_500))).collect();
+    let aborted = answers.iter().filter(|s| failed(s)).count();
     assert_eq!(all.iter().map(Machine::queries).sum::<usize>(), 20);
     assert_eq!(all[3].queries(), 20 - aborted);
     assert!(aborted > 0, "most machines break off");
@@ -119,7 +120,7 @@
         let (_platform, node) = node_with(&machine);
         let mut client = node.client();
         for id in 1..=2 {
-            assert_eq!(client.rpc(&save(id, 900)), Said::Value(b"value".to_vec()));
+            assert_eq!(client.rpc(&save(id, 900)), Answer::Value(b"value".to_vec()));
         }
         let got = machine.got.lock().unwrap();
         assert_eq!(got.iter().map(|(conn, _)| *conn).collect::<Vec<_>>(), [0, 1]);
@@ -142,10 +143,10 @@
         save(1, 900).replace("9f03", "9f0"),
         format!("{good}; DROP TABLE rows"),
     ] {
-        let said = client.rpc(&bad);
-        assert!(failed(&said), "{bad}: {said:?}");
+        let answer = client.rpc(&bad);
+        assert!(failed(&answer), "{bad}: {answer:?}");
     }
-    assert_eq!(client.rpc(&good), Said::Value(b"value".to_vec()), "the connection stays open");
+    assert_eq!(client.rpc(&good), Answer::Value(b"value".to_vec()), "the connection stays open");
     // Bytes of another protocol, invalid lengths and partial messages get an error or a close, soon.
     let long = |tag: &[u8], n: u32| [tag, &n.to_be_bytes()[..], b"xxxx"].concat();
     for (started, bytes) in [
@@ -164,7 +165,7 @@
         let began = Instant::now();
         let mut client = if started { node.client() } else { node.connect() };
         let _ = client.io.write_all(&bytes);
-        assert!(matches!(client.hear(), Said::Closed | Said::Error(..)), "{bytes:?}");
+        assert!(matches!(client.read_answer(), Answer::Closed | Answer::Error(..)), "{bytes:?}");
         assert!(began.elapsed() < Duration::from_secs(3), "answered or closed within 3 s");
     }
     assert_eq!(machine.queries(), 1);
@@ -179,14 +180,17 @@
     first.ask(&lookup(7, 700));
     wait_until("the first is sent", || machine.queries() > before);
     assert!(failed(&second.rpc(&lookup(7, 700))), "the id of an open RPC");
-    assert_eq!(second.rpc(&lookup(8, 700)), Said::Value(b"value".to_vec()));
-    assert!(!matches!(first.hear(), Said::Value(_) | Said::Closed));
+    assert_eq!(second.rpc(&lookup(8, 700)), Answer::Value(b"value".to_vec()));
+    assert!(!matches!(first.read_answer(), Answer::Value(_) | Answer::Closed));
     for id in 100..160 {
         second.ask(&if id % 7 == 0 { "odd".into() } else { lookup(id, 900) });
     }
     for id in 100..160 {
-        let said = second.hear();
-        assert!(if id % 7 == 0 { failed(&said) } else { matches!(said, Said::Value(_)) }, "{id}: {said:?}");
+        let answer = second.read_answer();
+        assert!(
+            if id % 7 == 0 { failed(&answer) } else { matches!(answer, Answer::Value(_)) },
+            "{id}: {answer:?}"
+        );
     }
 }
 
@@ -196,7 +200,7 @@
         (machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]), machine(&[QueryAction::Answer]));
     let (platform, node) = node_with(&a);
     let mut client = node.client();
-    assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
+    assert!(matches!(client.rpc(&lookup(1, 900)), Answer::Value(_)));
     platform.list(false, &[("a", a.at, 1, "leaving"), ("b", b.at, 1, "active")]);
     let mut id = 1;
     wait_until("b serves", || {
@@ -206,7 +210,7 @@
     });
     let drained = a.queries();
     for id in 1_000..1_020 {
-        assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)));
+        assert!(matches!(client.rpc(&lookup(id, 900)), Answer::Value(_)));
     }
     assert_eq!(a.queries(), drained);
     // The name returns with another address and build.
@@ -218,7 +222,7 @@
     });
     let before = b.queries();
     for id in 2_000..2_020 {
-        assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)));
+        assert!(matches!(client.rpc(&lookup(id, 900)), Answer::Value(_)));
     }
     assert_eq!((a.queries(), b.queries()), (drained, before));
 }
@@ -240,7 +244,7 @@
         let before = b.queries();
         (0..40).for_each(|_| {
             id += 1;
-            assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)));
+            assert!(matches!(client.rpc(&lookup(id, 900)), Answer::Value(_)));
         });
         b.queries() == before
     });
@@ -259,7 +263,7 @@
     std::thread::sleep(Duration::from_millis(400));
     node.signal(Signal::CONT);
     // It may have run, so it is aborted; closing the connection would tell the client less.
-    assert!(failed(&client.hear()));
+    assert!(failed(&client.read_answer()));
 }
 
 #[test]
@@ -312,7 +316,7 @@
     node.rewrite_config("{ half");
     node.signal(Signal::HUP);
     let mut client = node.client();
-    assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
+    assert!(matches!(client.rpc(&lookup(1, 900)), Answer::Value(_)));
     let other = Platform::begin();
     node.rewrite_config(&configuration(&other, &[]).to_string());
     node.signal(Signal::HUP);
@@ -321,7 +325,7 @@
     let mut id = 1;
     wait_until("the other platform's roster is used", || {
         id += 1;
-        assert!(matches!(client.rpc(&lookup(id, 900)), Said::Value(_)), "served throughout");
+        assert!(matches!(client.rpc(&lookup(id, 900)), Answer::Value(_)), "served throughout");
         b.queries() > 0
     });
 }
@@ -336,12 +340,12 @@
     wait_until("it is sent", || machine.queries() > before);
     let began = Instant::now();
     node.signal(Signal::TERM);
-    assert!(matches!(active.rpc(&lookup(2, 900)), Said::Value(_)));
-    assert!(matches!(node.client().rpc(&lookup(3, 900)), Said::Value(_)), "a new connection");
-    assert!(!matches!(waiting.hear(), Said::Closed), "an open RPC is answered");
+    assert!(matches!(active.rpc(&lookup(2, 900)), Answer::Value(_)));
+    assert!(matches!(node.client().rpc(&lookup(3, 900)), Answer::Value(_)), "a new connection");
+    assert!(!matches!(waiting.read_answer(), Answer::Closed), "an open RPC is answered");
     let end = node.proc.child.wait().unwrap();
     assert!(end.success() && began.elapsed() < Duration::from_millis(1_500), "{end} {:?}", began.elapsed());
-    assert_eq!(active.hear(), Said::Closed);
+    assert_eq!(active.read_answer(), Answer::Closed);
 }
 
 #[test]
@@ -349,13 +353,13 @@
     let machine = machine(&[QueryAction::Answer]);
     let (_platform, node) = node_with(&machine);
     let mut client = node.client();
-    assert!(matches!(client.rpc(&lookup(1, 900)), Said::Value(_)));
+    assert!(matches!(client.rpc(&lookup(1, 900)), Answer::Value(_)));
     let silent: Vec<Client> = (0..4 * SOCKETS).map(|_| node.connect()).collect();
     for id in 10..30 {
-        assert!(matches!(node.client().rpc(&lookup(id, 900)), Said::Value(_)));
+        assert!(matches!(node.client().rpc(&lookup(id, 900)), Answer::Value(_)));
         assert!(node.descriptors() <= SOCKETS, "{} descriptors", node.descriptors());
     }
-    assert!(matches!(client.rpc(&lookup(40, 900)), Said::Value(_)));
+    assert!(matches!(client.rpc(&lookup(40, 900)), Answer::Value(_)));
     drop(silent);
 }
 
@@ -388,7 +392,7 @@
     let machine = machine(&[QueryAction::Answer]);
     let (platform, node) = node_with(&machine);
     wait_until_polled(&platform);
-    assert!(matches!(node.client().rpc(&lookup(1, 900)), Said::Value(_)));
+    assert!(matches!(node.client().rpc(&lookup(1, 900)), Answer::Value(_)));
     let of = |file: &str| format!("/proc/{}/{file}", node.proc.child.id());
     let read = |file: &str| std::fs::read_to_string(of(file)).unwrap();
     let maps = read("maps");
--- a/cli/tests/pipelining.rs
+++ b/cli/tests/pipelining.rs
@@ -50,8 +50,8 @@
     fn begin(&self) -> SocketAddr {
         let held = self.clone();
         machine_served_by(move |_, mut line| {
-            line.hello()?;
-            line.welcome()?;
+            line.read_startup()?;
+            line.send_startup_response()?;
             while let Some(text) = line.query() {
                 let id = u64::from_str_radix(&text.split_once("id=")?.1[..16], 16).ok()?;
                 held.with(|seen| seen.received.insert(id, text));
@@ -70,8 +70,8 @@
     [&id.to_be_bytes()[..], &vec![b'x'; extra]].concat()
 }
 
-fn value(id: u64) -> Said {
-    Said::Value(value_of(id, 0))
+fn value(id: u64) -> Answer {
+    Answer::Value(value_of(id, 0))
 }
 
 /// A node in front of that many machines, each of which may have at least one open RPC.
@@ -88,7 +88,7 @@
 /// Waits for two turns of the node's event loop.
 fn wait_two_turns(node: &Node) {
     let mut probe = node.client();
-    (0..2).for_each(|_| assert_eq!(probe.rpc(""), Said::Empty));
+    (0..2).for_each(|_| assert_eq!(probe.rpc(""), Answer::Empty));
 }
 
 /// Waits until the node has counted that many ok answers.
@@ -120,12 +120,12 @@
     assert_no_data(&client);
     held.release([1]);
     for id in 1..=3 {
-        assert_eq!(client.hear(), value(id));
+        assert_eq!(client.read_answer(), value(id));
     }
-    assert!(failed(&client.hear()));
-    assert_eq!(client.hear(), Said::Empty);
-    assert!(failed(&client.hear()));
-    assert_eq!([client.hear(), client.hear()], [value(4), Said::Closed]);
+    assert!(failed(&client.read_answer()));
+    assert_eq!(client.read_answer(), Answer::Empty);
+    assert!(failed(&client.read_answer()));
+    assert_eq!([client.read_answer(), client.read_answer()], [value(4), Answer::Closed]);
 }
 
 /// A connection ends only after its outstanding answers are sent, and nothing after its end is read.
@@ -143,11 +143,11 @@
         wait_two_turns(&node);
         assert_no_data(&client);
         held.release([id]);
-        assert_eq!([client.hear(), client.hear()], [value(id), value(id + 1)]);
+        assert_eq!([client.read_answer(), client.read_answer()], [value(id), value(id + 1)]);
         if id == 1 {
-            assert!(failed(&client.hear()), "an invalid message gets an error");
+            assert!(failed(&client.read_answer()), "an invalid message gets an error");
         }
-        assert_eq!(client.hear(), Said::Closed);
+        assert_eq!(client.read_answer(), Answer::Closed);
     }
     assert_eq!(held.received(), [1, 2, 3, 4]);
 }
@@ -163,9 +163,9 @@
     held.wait_for([1]);
     std::thread::sleep(Duration::from_millis(350)); // past the deadline of the second
     held.release(1..=3);
-    assert_eq!(client.hear(), value(1));
-    assert!(pushed_back(&client.hear()), "it never ran");
-    assert_eq!(client.hear(), value(3));
+    assert_eq!(client.read_answer(), value(1));
+    assert!(pushed_back(&client.read_answer()), "it never ran");
+    assert_eq!(client.read_answer(), value(3));
     assert_eq!(held.received(), [1, 3]);
     let sent = held.with(|seen| seen.received[&3].clone());
     let deadline: u32 = sent.split_once(",d=").unwrap().1.trim_end_matches(" */").parse().unwrap();
@@ -178,10 +178,10 @@
     let (counts, gate) = (Arc::new(Mutex::new([0, 0])), Gate::default());
     let (seen, held) = (counts.clone(), gate.clone());
     let at = machine_served_by(move |_, mut line| {
-        line.hello()?;
+        line.read_startup()?;
         seen.lock().unwrap()[0] += 1;
         held.pass();
-        line.welcome()?;
+        line.send_startup_response()?;
         while line.query().is_some() {
             seen.lock().unwrap()[1] += 1;
             line.answers(b"value")?;
@@ -198,7 +198,7 @@
     drop(client);
     wait_two_turns(&node);
     gate.open();
-    wait_until("others are served", || matches!(other.rpc(&save(9, 900)), Said::Value(_)));
+    wait_until("others are served", || matches!(other.rpc(&save(9, 900)), Answer::Value(_)));
     wait_until("both void picks are counted", || node.log_contains("void 2"));
     assert_eq!(counts.lock().unwrap()[1], 1, "only the other client's query");
 }
@@ -213,7 +213,7 @@
     drop(client);
     wait_until("the disconnect is counted before the RPC ends", || node.log_contains(" aborted=0 left=1 "));
     held.with(|seen| seen.release_all = true);
-    wait_until("others are served", || matches!(other.rpc(&save(5_000, 900)), Said::Value(_)));
+    wait_until("others are served", || matches!(other.rpc(&save(5_000, 900)), Answer::Value(_)));
     wait_two_turns(&node);
     assert_eq!(held.received(), [1, 5_000], "nothing of the disconnected client");
 }
@@ -228,7 +228,7 @@
     assert_eq!(held.received().len(), 32);
     held.with(|seen| seen.release_all = true);
     for id in 1..=40 {
-        assert_eq!(client.hear(), value(id));
+        assert_eq!(client.read_answer(), value(id));
     }
 }
 
@@ -245,10 +245,10 @@
     held.release(2..=12);
     wait_for_ok_answers(&node, 7);
     held.release([1]);
-    let said: Vec<Said> = (1..=12).map(|_| client.hear()).collect();
+    let answers: Vec<Answer> = (1..=12).map(|_| client.read_answer()).collect();
     let served: Vec<bool> =
-        (1..=12).zip(&said).map(|(id, said)| *said == Said::Value(value_of(id, LARGE))).collect();
-    let aborted = said.iter().filter(|said| failed(said)).count();
+        (1..=12).zip(&answers).map(|(id, answer)| *answer == Answer::Value(value_of(id, LARGE))).collect();
+    let aborted = answers.iter().filter(|answer| failed(answer)).count();
     assert_eq!((served[0], served.iter().filter(|served| **served).count(), aborted), (true, 8, 4));
     held.with(|seen| seen.extra = 0);
     held.release([20]);
--- a/fakes/src/scripted.rs
+++ b/fakes/src/scripted.rs
@@ -94,7 +94,7 @@
 
 impl MachineConnection {
     /// Reads the startup message.
-    pub fn hello(&mut self) -> Option<()> {
+    pub fn read_startup(&mut self) -> Option<()> {
         let used = loop {
             match pg::read_startup(&self.received) {
                 Ok(pg::StartupMessage::Startup { used }) => break used,
@@ -105,7 +105,7 @@
         Some(())
     }
 
-    pub fn welcome(&mut self) -> Option<()> {
+    pub fn send_startup_response(&mut self) -> Option<()> {
         let mut out = Vec::new();
         pg::put_startup_response(&mut out);
         self.io.write_all(&out).ok()
@@ -375,11 +375,11 @@
             lines_sent += lines.len();
             let alive = (turn % 100 == 0).then(|| if desk { "*".to_string() } else { String::new() });
             for line in lines.into_iter().chain(alive) {
-                let said = match desk {
+                let framed = match desk {
                     true => format!("{line}\r\n"),
                     false => format!("{:x}\r\n{line}\n\r\n", line.len() + 1),
                 };
-                io.write_all(said.as_bytes()).ok()?;
+                io.write_all(framed.as_bytes()).ok()?;
                 if !desk {
                     *self.last_sign.lock().unwrap() = Some(Instant::now());
                 }
@@ -456,7 +456,7 @@
 
 /// The answer that a client received.
 #[derive(Debug, PartialEq)]
-pub enum Said {
+pub enum Answer {
     Value(Vec<u8>),
     /// The error code, and the detail field D.
     Error(String, Option<String>),
@@ -474,9 +474,9 @@
 
     /// Sends the startup message and reads the response.
     pub fn startup(&mut self) {
-        let mut hello = Vec::new();
-        pg::put_startup(&mut hello, "api", "ledger");
-        self.io.write_all(&hello).unwrap();
+        let mut startup = Vec::new();
+        pg::put_startup(&mut startup, "api", "ledger");
+        self.io.write_all(&startup).unwrap();
         while self.message().expect("a startup response").0 != b'Z' {}
     }
 
@@ -491,26 +491,26 @@
     }
 
     /// Reads the next answer, up to ReadyForQuery.
-    pub fn hear(&mut self) -> Said {
-        let mut said = Said::Closed;
+    pub fn read_answer(&mut self) -> Answer {
+        let mut answer = Answer::Closed;
         loop {
             match self.message() {
-                Some((b'Z', _)) => return said,
-                Some((b'D', body)) => said = Said::Value(body[6..].to_vec()),
-                Some((b'I', _)) => said = Said::Empty,
+                Some((b'Z', _)) => return answer,
+                Some((b'D', body)) => answer = Answer::Value(body[6..].to_vec()),
+                Some((b'I', _)) => answer = Answer::Empty,
                 Some((b'E', body)) => {
                     let field = |f| pg::error_field(&body, f).map(str::to_string);
-                    said = Said::Error(field(b'C').unwrap(), field(b'D'));
+                    answer = Answer::Error(field(b'C').unwrap(), field(b'D'));
                 }
                 Some(_) => {}
-                None => return said,
+                None => return answer,
             }
         }
     }
 
-    pub fn rpc(&mut self, statement: &str) -> Said {
+    pub fn rpc(&mut self, statement: &str) -> Answer {
         self.ask(statement);
-        self.hear()
+        self.read_answer()
     }
 }
 
@@ -522,10 +522,10 @@
     format!("INSERT INTO rows (handle, blob) VALUES ('00000000000000aa', '\\x9f03') RETURNING blob /* id={id:016x},c=save,t=acme,d={wait_ms} */")
 }
 
-pub fn failed(said: &Said) -> bool {
-    matches!(said, Said::Error(code, _) if code != "53300" && code != "57P03")
+pub fn failed(answer: &Answer) -> bool {
+    matches!(answer, Answer::Error(code, _) if code != "53300" && code != "57P03")
 }
 
-pub fn pushed_back(said: &Said) -> bool {
-    matches!(said, Said::Error(code, _) if code == "53300")
+pub fn pushed_back(answer: &Answer) -> bool {
+    matches!(answer, Answer::Error(code, _) if code == "53300")
 }
--- a/pg/tests/peer.rs
+++ b/pg/tests/peer.rs
@@ -45,13 +45,13 @@
 fn the_library_s_messages_are_parsed_when_complete_and_incomplete_at_each_shorter_length() {
     let mut out = BytesMut::new();
     frontend::startup_message([("user", "api"), ("database", "ledger")], &mut out).unwrap();
-    let hello = out.len();
-    for cut in 0..hello {
+    let startup = out.len();
+    for cut in 0..startup {
         assert_eq!(read_startup(&out[..cut]), Ok(StartupMessage::Incomplete), "{cut}");
     }
     frontend::query("SELECT 1", &mut out).unwrap();
-    assert_eq!(read_startup(&out), Ok(StartupMessage::Startup { used: hello }));
-    let query = &out[hello..];
+    assert_eq!(read_startup(&out), Ok(StartupMessage::Startup { used: startup }));
+    let query = &out[startup..];
     for cut in 0..query.len() {
         assert_eq!(read_frame(&query[..cut], MAX_QUERY_LEN), Ok(Frame::Incomplete), "{cut}");
     }
--- a/rehearse/src/node_soak/machines.rs
+++ b/rehearse/src/node_soak/machines.rs
@@ -78,9 +78,9 @@
     }
 
     fn serve(&self, mut line: MachineConnection) -> Connected {
-        line.hello()?;
+        line.read_startup()?;
         self.is_up().then_some(())?;
-        line.welcome()?;
+        line.send_startup_response()?;
         loop {
             let timeout = (self.behavior() == Behavior::ClosesIdle).then_some(IDLE_TIMEOUT);
             line.io.set_read_timeout(timeout).ok()?;
