--- a/fakes/src/scripted.rs
+++ b/fakes/src/scripted.rs
@@ -219,11 +219,11 @@
     }
 }
 
-/// Fake discovery and platform desk: each sends the test's lines, from the first one on, to whoever connects.
+/// Fake discovery and rollout API of the platform: each sends the test's lines, from the first one on, to whoever connects.
 #[derive(Clone)]
 pub struct Platform {
     pub discovery: SocketAddr,
-    pub desk: SocketAddr,
+    pub rollout_api: SocketAddr,
     lists: Arc<Mutex<Vec<String>>>,
     news: Arc<Mutex<Vec<String>>>,
     /// The votes received.
@@ -249,7 +249,7 @@
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let platform = Platform {
             discovery: nowhere,
-            desk: nowhere,
+            rollout_api: nowhere,
             lists: Arc::default(),
             news: Arc::default(),
             votes: Arc::default(),
@@ -266,19 +266,19 @@
 
     /// Serves the same platform at additional addresses, for a changed configuration.
     pub fn at_other_addresses(&self) -> Platform {
-        let (discovery, desk) =
+        let (discovery, rollout_api) =
             (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
         let platform = Platform {
             discovery: discovery.local_addr().unwrap(),
-            desk: desk.local_addr().unwrap(),
+            rollout_api: rollout_api.local_addr().unwrap(),
             ..self.clone()
         };
-        for (listener, desk) in [(discovery, false), (desk, true)] {
+        for (listener, is_rollout_api) in [(discovery, false), (rollout_api, true)] {
             let platform = platform.clone();
             std::thread::spawn(move || {
                 for io in listener.incoming().flatten() {
                     let platform = platform.clone();
-                    std::thread::spawn(move || platform.serve(io, desk));
+                    std::thread::spawn(move || platform.serve(io, is_rollout_api));
                 }
             });
         }
@@ -317,13 +317,13 @@
         *self.whole.lock().unwrap() = list(seq, true, machines).to_string();
     }
 
-    /// Adds a line of news at the desk.
+    /// Adds a line of news at the rollout API.
     pub fn news(&self, line: &str) {
         self.news.lock().unwrap().push(line.to_string());
     }
 
-    fn serve(&self, io: TcpStream, desk: bool) -> Option<()> {
-        let down = || !desk && self.down.load(Ordering::SeqCst);
+    fn serve(&self, io: TcpStream, is_rollout_api: bool) -> Option<()> {
+        let down = || !is_rollout_api && self.down.load(Ordering::SeqCst);
         if down() {
             return None;
         }
@@ -331,19 +331,19 @@
         let mut io = io;
         let mut line = String::new();
         read.read_line(&mut line).ok()?;
-        if desk && line.starts_with("BALLOT") {
+        if is_rollout_api && line.starts_with("BALLOT") {
             self.votes.lock().unwrap().push(line.trim_end().to_string());
             let answer = self.answer.lock().unwrap().clone()?;
             return io.write_all(format!("{answer}\r\n").as_bytes()).ok();
         }
-        if !desk && !line.contains("watch=1") {
+        if !is_rollout_api && !line.contains("watch=1") {
             let whole = self.whole.lock().unwrap().clone();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole.len());
             return io.write_all(format!("{head}{whole}").as_bytes()).ok();
         }
-        let lines_to_send = if desk { &self.news } else { &self.lists };
-        self.asked.lock().unwrap()[usize::from(desk)] += 1;
-        if desk {
+        let lines_to_send = if is_rollout_api { &self.news } else { &self.lists };
+        self.asked.lock().unwrap()[usize::from(is_rollout_api)] += 1;
+        if is_rollout_api {
             io.write_all(b"OK\r\n").ok()?;
         } else {
             io.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").ok()?;
@@ -353,13 +353,13 @@
             .split_once("after=")
             .map_or(0, |(_, n)| n.split(' ').next().and_then(|n| n.parse::<usize>().ok()).unwrap_or(0));
         let mut lines_sent = 0;
-        let mute = || !desk && self.mute.load(Ordering::SeqCst);
+        let mute = || !is_rollout_api && self.mute.load(Ordering::SeqCst);
         let mut sent_first = false;
         for turn in 0.. {
             if down() {
                 return None;
             }
-            if !mute() && !desk && !sent_first && lines_to_send.lock().unwrap().len() > 1 {
+            if !mute() && !is_rollout_api && !sent_first && lines_to_send.lock().unwrap().len() > 1 {
                 let lines = lines_to_send.lock().unwrap().clone();
                 lines_sent = lines.len();
                 let net = net_change(&lines[after.min(lines.len())..], lines.len());
@@ -373,18 +373,19 @@
             }
             let lines: Vec<String> = lines_to_send.lock().unwrap()[lines_sent..].to_vec();
             lines_sent += lines.len();
-            let alive = (turn % 100 == 0).then(|| if desk { "*".to_string() } else { String::new() });
+            let alive =
+                (turn % 100 == 0).then(|| if is_rollout_api { "*".to_string() } else { String::new() });
             for line in lines.into_iter().chain(alive) {
-                let framed = match desk {
+                let framed = match is_rollout_api {
                     true => format!("{line}\r\n"),
                     false => format!("{:x}\r\n{line}\n\r\n", line.len() + 1),
                 };
                 io.write_all(framed.as_bytes()).ok()?;
-                if !desk {
+                if !is_rollout_api {
                     *self.last_sign.lock().unwrap() = Some(Instant::now());
                 }
             }
-            if !desk {
+            if !is_rollout_api {
                 self.record_written(lines_sent);
             }
         }
@@ -436,7 +437,7 @@
 pub fn configuration(platform: &Platform, machines: &[(&str, SocketAddr, u32, &str)]) -> Value {
     json!({ "name": "n0", "listen": "127.0.0.1:0", "discovery": platform.discovery.to_string(), "seed": "8c1f",
         "limits": { "cores": 1.0, "memory_mb": 64, "sockets": SOCKETS },
-        "platform": { "address": platform.desk.to_string(),
+        "platform": { "address": platform.rollout_api.to_string(),
             "news": { "version": 1, "step": 0, "status": "stable", "maxWeight": 1.0, "observedAgoMs": 60000 } },
         "known": list(0, true, machines),
         "settings": { "balancers": 1, "rank": 0, "locality": 0, "discovery": "subscribe", "stepMs": 1.0,
