--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -517,7 +517,7 @@
         Command::Node { peers } => {
             let mut config =
                 rockpick_node::Config::read(|name| std::env::var(name).ok()).map_err(CliError)?;
-            config.circle = peers.config()?;
+            config.peers = peers.config()?;
             rockpick_node::run(config, print_listening).map_err(CliError)?;
             success
         }
--- a/front/src/server.rs
+++ b/front/src/server.rs
@@ -96,7 +96,7 @@
     // The number of fronts is unknown without settings.
     let front_count = snapshot.as_ref().map_or(0, |s| s.settings.fronts.len() as u32);
     let peers = match &options.peers {
-        Some(circle) => Some(Peers::start(&mut net, &options.name, front_count, circle, PEERS)?),
+        Some(config) => Some(Peers::start(&mut net, &options.name, front_count, config, PEERS)?),
         None => None,
     };
     let effects = Effects::new(options, settings, net, notes_socket, at, notes_addr);
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -32,7 +32,7 @@
     /// Machines close a connection that was idle for this long.
     pub machine_idle_timeout: Ns,
     /// The peers to join. There are none on a platform that forbids or does not configure them.
-    pub circle: Option<rockpick_peers::Config>,
+    pub peers: Option<rockpick_peers::Config>,
 }
 
 impl Config {
@@ -102,7 +102,7 @@
                 .parse("permissions.idleCloseMs", 10_000 * MS, rockpick_front_settings::nanos)
                 .map_err(settings_error)?,
             file,
-            circle: None,
+            peers: None,
         })
     }
 }
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -271,7 +271,7 @@
     }
 
     fn key_bound(&mut self, key: u64, build: u32) {
-        if self.config.circle.is_some() {
+        if self.config.peers.is_some() {
             self.bound_keys.push((key, build));
         }
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -104,10 +104,10 @@
             effects.watch_roster(true);
         }
         let mut front = Front::start(front_config, &mut effects);
-        let peers = match effects.config.circle.clone() {
-            Some(circle) => {
+        let peers = match effects.config.peers.clone() {
+            Some(peers_config) => {
                 let (name, fronts) = (effects.config.name.clone(), effects.config.front_config.fronts);
-                Some(Peers::start(&mut effects.net, &name, fronts, &circle, PEERS_TIMER)?)
+                Some(Peers::start(&mut effects.net, &name, fronts, &peers_config, PEERS_TIMER)?)
             }
             None => None,
         };
