--- a/front/src/tenants.rs
+++ b/front/src/tenants.rs
@@ -18,7 +18,7 @@
 const MAX_STATUS_ROWS: usize = 100;
 
 pub struct TenantService {
-    books: DirectorySettings,
+    directory: DirectorySettings,
     fronts: usize,
     utilities: Vec<f64>,
     pub link: Link,
@@ -65,9 +65,9 @@
     pub fn new(
         now: Ns, settings: &Settings, name: &str, state: &Option<PathBuf>, seed: u64,
     ) -> Option<TenantService> {
-        let books = settings.directory.clone()?;
+        let directory = settings.directory.clone()?;
         let fronts = settings.fronts.len();
-        let link = Link::new(now, books.clone(), fronts, seed)
+        let link = Link::new(now, directory.clone(), fronts, seed)
             .map_err(|why| tracing::error!(event = "no directory", why))
             .ok()?;
         let file = snapshot_path(state, name);
@@ -84,14 +84,14 @@
                 done.is_ok()
             })
         });
-        let worker = DirectoryWorker::start(now, books.tenancy.clone(), kept, save);
-        let limits = Limits::new(now, fronts, books.unknown_callers(), utilities(settings));
-        Some(TenantService { utilities: utilities(settings), books, fronts, link, worker, limits })
+        let worker = DirectoryWorker::start(now, directory.tenancy.clone(), kept, save);
+        let limits = Limits::new(now, fronts, directory.unknown_callers(), utilities(settings));
+        Some(TenantService { utilities: utilities(settings), directory, fronts, link, worker, limits })
     }
 
     /// Whether other settings leave the tenant service as it is.
     pub fn matches_settings(&self, settings: &Settings) -> bool {
-        settings.directory.as_ref() == Some(&self.books)
+        settings.directory.as_ref() == Some(&self.directory)
             && settings.fronts.len() == self.fronts
             && utilities(settings) == self.utilities
     }
