--- a/fault-injection/src/simulation.rs
+++ b/fault-injection/src/simulation.rs
@@ -58,7 +58,7 @@
 pub struct Simulation<P> {
     slots: Vec<Slot<P>>,
     heap: BinaryHeap<Reverse<(Ns, u64, usize)>>,
-    dues: Vec<Option<Event>>,
+    pending: Vec<Option<Event>>,
     free: Vec<usize>,
     serial: u64,
     now: Ns,
@@ -90,7 +90,7 @@
         let mut world = Simulation {
             slots: (0..plan.parts).map(slot).collect(),
             heap: BinaryHeap::new(),
-            dues: Vec::new(),
+            pending: Vec::new(),
             free: Vec::new(),
             serial: 0,
             now: 0,
@@ -126,13 +126,13 @@
         (slot.instance, self.clock(who), slot.process.is_some() && slot.stopped == 0)
     }
 
-    fn schedule(&mut self, at: Ns, due: Event) {
+    fn schedule(&mut self, at: Ns, event: Event) {
         self.serial += 1;
         let slot = self.free.pop().unwrap_or_else(|| {
-            self.dues.push(None);
-            self.dues.len() - 1
+            self.pending.push(None);
+            self.pending.len() - 1
         });
-        self.dues[slot] = Some(due);
+        self.pending[slot] = Some(event);
         self.heap.push(Reverse((at, self.serial, slot)));
     }
 
@@ -172,7 +172,7 @@
                 return Err(format!("more than {MAX_EVENTS} events"));
             }
             self.free.push(slot);
-            match self.dues[slot].take() {
+            match self.pending[slot].take() {
                 Some(Event::Message { to, from, bytes }) => self.deliver(to, from, bytes),
                 Some(Event::Wake { who, instance, own }) => self.expire_timer(who, instance, own),
                 Some(Event::FaultStarts(act)) => self.fault(act, true, &mut make),
--- a/rehearse/src/node_soak/fleet.rs
+++ b/rehearse/src/node_soak/fleet.rs
@@ -229,8 +229,8 @@
             Health::Gone => "left",
         };
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-        let born = started.map_or(0, |at| wall - ((self.clock.now() - at) / MS) as u64);
-        host(&self.machines[machine].name, self.machines[machine].at, build, health, born)
+        let started_ms = started.map_or(0, |at| wall - ((self.clock.now() - at) / MS) as u64);
+        host(&self.machines[machine].name, self.machines[machine].at, build, health, started_ms)
     }
 
     fn whole_list(&self) -> Value {
